--- a/fleet/relay/rollout/decider.go
+++ b/fleet/relay/rollout/decider.go
@@ -5,98 +5,98 @@
 )
 
 const (
-	// settled is how long what a decider saw must hold before it counts on it: digests of
+	// settleTime is how long an observation must hold before a decider relies on it: digests of
 	// calls in flight are that old, and nodes learn of a status that much later than others.
-	settled = 400 * time.Millisecond
-	// refusedWaits is how long a refused write is not tried again: the store may be away.
-	// After refusedSoon of them in a row it is refusedLater, since each try is one more call
-	// to the store.
-	refusedWaits = 500 * time.Millisecond
-	refusedSoon  = 4
-	refusedLater = 750 * time.Millisecond
-	// writeWaits is after how long a write without any word is asked for again.
-	writeWaits = 1500 * time.Millisecond
-	// foundAfter is how long no node may have run before a status was found.
-	foundAfter = time.Second
+	settleTime = 400 * time.Millisecond
+	// refusedDelay is the delay before a refused write is retried: the store may be unavailable.
+	// After maxShortDelays refusals in a row it is refusedLongDelay, since each attempt is one more
+	// call to the store.
+	refusedDelay     = 500 * time.Millisecond
+	maxShortDelays   = 4
+	refusedLongDelay = 750 * time.Millisecond
+	// writeTimeout is the time after which a write without an answer is requested again.
+	writeTimeout = 1500 * time.Millisecond
+	// minOutage is the shortest time in which no node runs before a started node finds a status.
+	minOutage = time.Second
 )
 
-// Decider follows one service's order and says what is to be written of it: an immutable
-// value. Each delegate has one and judges; the one that decides writes.
+// Decider follows the order of one service and returns what to write to its status. It is an
+// immutable value. Every delegate has one and judges; only the delegate that decides writes.
 type Decider struct {
-	rule    Rule
-	rollout Rollout
-	known   bool
-	began   time.Time // of the order, by this node's steady clock, as far as the status tells
-	judge   Judge
-	first   Evidence // at the first word of nodes, for the rates
-	firstAt time.Time
-	metAt   time.Time // of the first answer of the target that it heard of
-	pace    pace
-	latest  Evidence
-	at      time.Time // of the latest evidence
-	tick    Tick
-	noOld   time.Time     // since when no old endpoint is there
-	quiet   time.Time     // since when nothing runs at old endpoints
-	written time.Time     // when a write was asked for that is not answered yet
-	took    time.Duration // by the slowest write
-	refused int           // writes in a row
-	bad     bool          // found by this node or another
-	why     string
+	rule          Rule
+	rollout       Rollout
+	known         bool
+	orderStart    time.Time // by this node's steady clock, as far as the status tells
+	judge         Judge
+	firstEvidence Evidence // when nodes first reported, for the call rates
+	firstAt       time.Time
+	firstTargetAt time.Time // when the first answer of the target was reported
+	pace          pace
+	latest        Evidence
+	latestAt      time.Time // time of the latest evidence
+	tick          Tick
+	noOldSince    time.Time     // since when there are no old endpoints
+	oldIdleSince  time.Time     // since when no calls run at old endpoints
+	writeAskedAt  time.Time     // when the unanswered write was requested; zero if there is none
+	slowestWrite  time.Duration // duration of the slowest write
+	refusals      int           // consecutive refused writes
+	foundBad      bool          // the target was found bad, by this node or another
+	why           string
 }
 
-// NewDecider returns a decider that knows of no order.
+// NewDecider returns a decider without an order.
 func NewDecider(rule Rule) Decider { return Decider{rule: rule.OrDefaults()} }
 
-// Handle takes a message in.
+// Handle processes a message and returns the next decider and the effects to carry out.
 func (d Decider) Handle(m Message) (Decider, []Effect) {
 	switch m := m.(type) {
 	case Learned:
-		return d.learned(m), nil
+		return d.handleLearned(m), nil
 	case Gone:
 		return NewDecider(d.rule), nil
 	case Told:
-		return d.told(m)
+		return d.handleEvidence(m)
 	case Heard:
-		return d.heard(m)
+		return d.handleReportedBad(m)
 	case Tick:
-		return d.ticked(m)
+		return d.handleTick(m)
 	case Refused:
-		d.refused++
-		d.written = m.Now.Add(d.waits() - writeWaits)
+		d.refusals++
+		d.writeAskedAt = m.Now.Add(d.retryDelay() - writeTimeout)
 	}
 	return d, nil
 }
 
-// waits is how long the write that was refused last is not tried again.
-func (d Decider) waits() time.Duration {
-	if d.refused > refusedSoon {
-		return refusedLater
+// retryDelay returns the delay before the write that was refused last is retried.
+func (d Decider) retryDelay() time.Duration {
+	if d.refusals > maxShortDelays {
+		return refusedLongDelay
 	}
-	return refusedWaits
+	return refusedDelay
 }
 
-// Rollout is the order that the decider knows, and whether there is one.
+// Rollout returns the order that the decider follows, and reports whether there is one.
 func (d Decider) Rollout() (Rollout, bool) { return d.rollout, d.known }
 
-// Judge is what the decider makes of the evidence, for logs and metrics.
+// Judge returns the current judgment of the evidence, for logs and metrics.
 func (d Decider) Judge() Judge { return d.judge }
 
-func (d Decider) learned(m Learned) Decider {
+func (d Decider) handleLearned(m Learned) Decider {
 	if !d.known || !sameOrder(d.rollout, m.Rollout) {
 		d = NewDecider(d.rule)
 		d.judge = NewJudge(d.rule, m.Rollout.Duration)
 	}
-	if began := m.Rollout.began(); d.began.IsZero() || began.Before(d.began) {
-		d.began = began
+	if start := m.Rollout.orderStart(); d.orderStart.IsZero() || start.Before(d.orderStart) {
+		d.orderStart = start
 	}
-	if !d.written.IsZero() && m.Rollout.Status.Writes > d.rollout.Status.Writes {
-		d.took = max(d.took, m.Now.Sub(d.written))
+	if !d.writeAskedAt.IsZero() && m.Rollout.Status.Writes > d.rollout.Status.Writes {
+		d.slowestWrite = max(d.slowestWrite, m.Now.Sub(d.writeAskedAt))
 	}
 	if !d.known || m.Rollout.Revision >= d.rollout.Revision {
-		d.rollout, d.written, d.refused = m.Rollout, time.Time{}, 0
+		d.rollout, d.writeAskedAt, d.refusals = m.Rollout, time.Time{}, 0
 	}
 	d.known = true
-	d.judge = d.judge.Referring(d.rollout.Status.Usual)
+	d.judge = d.judge.WithReferences(d.rollout.Status.Usual)
 	return d
 }
 
@@ -104,101 +104,101 @@
 	return a.Service == b.Service && a.Target == b.Target && a.Made == b.Made
 }
 
-// began is when the order was made, as far as its status tells.
-func (r Rollout) began() time.Time {
+// orderStart returns when the order was made, as far as its status tells.
+func (r Rollout) orderStart() time.Time {
 	if r.State() == Ordered {
 		return r.Learned
 	}
-	return r.Learned.Add(-r.Status.Used - r.unknown())
+	return r.Learned.Add(-r.Status.Used - r.uncertainty())
 }
 
-// unknown is how much more of the duration may be over than a found status says: the time
-// between two writes, and a start. The second write follows the first one soon.
-func (r Rollout) unknown() time.Duration {
-	most := time.Duration(checkpoint * float64(r.Duration))
+// uncertainty returns how much more of the duration may have passed than a found status says: the
+// time between two writes, plus the start of a node. The second write follows the first one soon.
+func (r Rollout) uncertainty() time.Duration {
+	maxLost := time.Duration(checkpointPart * float64(r.Duration))
 	switch {
 	case !r.Found:
 		return 0
 	case r.Status.Writes < 2:
-		most = min(most, ratesMost)
+		maxLost = min(maxLost, maxRateWindow)
 	case r.Status.Stage == Moving:
-		most = min(most, r.Status.Left+settled) // it is ended by another write then
+		maxLost = min(maxLost, r.Status.Left+settleTime) // another write follows by then
 	}
-	return most + foundAfter
+	return maxLost + minOutage
 }
 
-func (d Decider) told(m Told) (Decider, []Effect) {
+func (d Decider) handleEvidence(m Told) (Decider, []Effect) {
 	if !d.known || m.Evidence.Made != d.rollout.Made || m.Evidence.Service != d.rollout.Service {
 		return d, nil
 	}
 	if d.firstAt.IsZero() {
-		d.first, d.firstAt = m.Evidence, m.Now
+		d.firstEvidence, d.firstAt = m.Evidence, m.Now
 	}
-	if _, target := m.Evidence.Answers(); d.metAt.IsZero() && target.Answers > 0 {
-		d.metAt = m.Now
+	if _, target := m.Evidence.Answers(); d.firstTargetAt.IsZero() && target.Answers > 0 {
+		d.firstTargetAt = m.Now
 	}
 	all, _ := m.Evidence.Answers()
-	d.pace = d.pace.with(all.Answers, max(d.used(m.Now), foundAfter), m.Now)
-	d.latest, d.at = m.Evidence, m.Now
+	d.pace = d.pace.with(all.Answers, max(d.used(m.Now), minOutage), m.Now)
+	d.latest, d.latestAt = m.Evidence, m.Now
 	d.judge = d.judge.With(m.Evidence, m.Now)
-	if d.bad || !d.open() || d.judge.Verdict() != Bad {
+	if d.foundBad || !d.open() || d.judge.Verdict() != Bad {
 		return d, nil
 	}
-	d.bad, d.why = true, d.judge.Why()
-	d, effects := d.ended(m.Now)
+	d.foundBad, d.why = true, d.judge.Why()
+	d, effects := d.revertBad(m.Now)
 	return d, append([]Effect{Warn{d.rollout.Service, d.rollout.Target, d.rollout.Made, d.why}}, effects...)
 }
 
-func (d Decider) heard(m Heard) (Decider, []Effect) {
-	if !d.known || d.bad || m.Made != d.rollout.Made || m.Target != d.rollout.Target || !d.open() {
+func (d Decider) handleReportedBad(m Heard) (Decider, []Effect) {
+	if !d.known || d.foundBad || m.Made != d.rollout.Made || m.Target != d.rollout.Target || !d.open() {
 		return d, nil
 	}
-	d.bad, d.why = true, m.Why
-	return d.ended(m.Now)
+	d.foundBad, d.why = true, m.Why
+	return d.revertBad(m.Now)
 }
 
-// open is whether the order has not ended.
+// open reports whether the order is still in progress.
 func (d Decider) open() bool {
 	state := d.rollout.State()
 	return state == Ordered || state == InProgress
 }
 
-// ended writes that a target was found bad. It waits for no other write: that one is
-// refused, or this one is.
-func (d Decider) ended(now time.Time) (Decider, []Effect) {
+// revertBad writes that the target was found bad. It doesn't wait for a pending write: either that
+// one is refused, or this one.
+func (d Decider) revertBad(now time.Time) (Decider, []Effect) {
 	if !d.tick.Decides {
 		return d, nil
 	}
 	return d.write(Status{State: Reverted}, "bad: "+d.why, now)
 }
 
-func (d Decider) ticked(t Tick) (Decider, []Effect) {
+func (d Decider) handleTick(t Tick) (Decider, []Effect) {
 	d.tick = t
-	d.judge = d.judge.Lone(t.Cohorts == 1 || d.spreads(t.Now) && d.judge.OneAnswers())
+	d.judge = d.judge.WithSingleCohort(t.Cohorts == 1 || d.spreadsCalls(t.Now) && d.judge.SingleCohortAnswers())
 	if !d.known || d.rollout.Fault() != "" || !d.open() {
 		return d, nil
 	}
-	d.noOld = since(d.noOld, t.Old == 0, t.Now)
-	d.quiet = since(d.quiet, t.OldInFlight == 0, t.Now)
-	if !t.Decides || !d.written.IsZero() && t.Now.Sub(d.written) < writeWaits {
+	d.noOldSince = since(d.noOldSince, t.Old == 0, t.Now)
+	d.oldIdleSince = since(d.oldIdleSince, t.OldInFlight == 0, t.Now)
+	if !t.Decides || !d.writeAskedAt.IsZero() && t.Now.Sub(d.writeAskedAt) < writeTimeout {
 		return d, nil
 	}
 	switch {
-	case d.bad:
-		return d.ended(t.Now)
+	case d.foundBad:
+		return d.revertBad(t.Now)
 	case d.rollout.State() == Ordered:
-		return d.begin(t)
+		return d.startSampling(t)
 	case d.rollout.Status.Stage == Moving:
-		return d.moving(t)
+		return d.tickMoving(t)
 	}
-	return d.sampling(t)
+	return d.tickSampling(t)
 }
 
-// spreads is whether all endpoints of the target have got calls for a while, and not one
-// after the other.
-func (d Decider) spreads(now time.Time) bool {
-	moving := d.known && d.rollout.State() == InProgress && d.rollout.Status.Stage == Moving
-	return moving && now.Sub(d.rollout.Learned) >= learnedLater+usualShort
+// spreadsCalls reports whether calls have moved long enough that all endpoints of the target receive
+// them, instead of one after the other.
+func (d Decider) spreadsCalls(now time.Time) bool {
+	isMoving := d.known && d.rollout.State() == InProgress && d.rollout.Status.Stage == Moving
+	return isMoving && now.Sub(d.rollout.Learned) >= maxLearnDelay+baselineShort
 }
 
 func since(before time.Time, holds bool, now time.Time) time.Time {
@@ -211,23 +211,23 @@
 	return before
 }
 
-// used is how much of the order's duration is over.
-func (d Decider) used(now time.Time) time.Duration { return now.Sub(d.began) }
+// used returns how much of the order's duration has passed.
+func (d Decider) used(now time.Time) time.Duration { return now.Sub(d.orderStart) }
 
 func (d Decider) write(s Status, why string, now time.Time) (Decider, []Effect) {
 	s.Target, s.Made = d.rollout.Target, d.rollout.Made
 	s.Used = d.used(now)
-	for _, told := range []*time.Duration{&s.Used, &s.Left, &s.Full} {
-		*told -= *told % time.Millisecond // as statuses tell times, so that what is read is what was written
+	for _, rounded := range []*time.Duration{&s.Used, &s.Left, &s.Full} {
+		*rounded -= *rounded % time.Millisecond // the precision of stored statuses
 	}
 	s.Barred = d.rollout.Unproven()
 	if s.State == InProgress {
-		s.Usual = referenceTo(d.latest, d.rollout.Status.Usual)
+		s.Usual = updatedReferences(d.latest, d.rollout.Status.Usual)
 	}
 	s.Writes = 1
 	if d.rollout.State() != Ordered {
 		s.Writes = d.rollout.Status.Writes + 1
 	}
-	d.written = now
+	d.writeAskedAt = now
 	return d, []Effect{Write{Status: s, Revision: d.rollout.Revision, Why: why}}
 }
--- a/fleet/relay/rollout/decider_test.go
+++ b/fleet/relay/rollout/decider_test.go
@@ -274,12 +274,12 @@
 			}
 			if !c.want {
 				for _, e := range effects {
-					assert.NotContains(t, e.(rollout.Write).Why, "nothing was seen")
+					assert.NotContains(t, e.(rollout.Write).Why, "nothing was observed")
 				}
 				return
 			}
 			require.NotEmpty(t, effects)
-			assert.Contains(t, effects[0].(rollout.Write).Why, "nothing was seen")
+			assert.Contains(t, effects[0].(rollout.Write).Why, "nothing was observed")
 			assert.Equal(t, rollout.Sampling, effects[0].(rollout.Write).Status.Stage)
 		})
 	}
--- a/fleet/relay/rollout/drawn_test.go
+++ b/fleet/relay/rollout/drawn_test.go
@@ -20,7 +20,7 @@
 const modelDelegates = 6
 
 // sheetRule is the bounds of the sheet that has roll-outs.
-var sheetRule = Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second}
+var modelRule = Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second}
 
 // rollouts is how many are drawn; LYNXSHED_MODEL_STEPS asks for more than CI plays.
 func rollouts() int {
@@ -51,7 +51,7 @@
 }
 
 // account counts what roll-outs came to.
-type account struct {
+type summary struct {
 	good, completed, bad, reverted, exposed, sent, late int
 	dropped                                             []time.Duration
 	writes, cut                                         int
@@ -60,19 +60,19 @@
 func (o outcome) completedInTime() bool { return o.state == Completed && o.endedAt <= o.duration }
 
 // mostStoreCalls is from how many calls to the store on a roll-out costs too many.
-const mostStoreCalls = 60
+const maxStoreCalls = 60
 
 // storeCalls are the order's and each written status's: one, and one of each delegate.
 func (o outcome) storeCalls() int { return (o.stored+1)*(modelDelegates+1) + o.writes - o.stored }
 
-func accountOf(all []outcome, rule Rule) account {
-	var a account
+func summarize(all []outcome, rule Rule) summary {
+	var a summary
 	for _, o := range all {
 		a.writes = max(a.writes, o.writes)
 		if !o.bad() {
 			a.good++
 			a.completed += lo.Ternary(o.completedInTime(), 1, 0)
-			a.cut += o.cutCalls
+			a.cut += o.interrupted
 			continue
 		}
 		a.bad++
@@ -88,7 +88,7 @@
 	return a
 }
 
-func (a account) String() string {
+func (a summary) String() string {
 	p99 := time.Duration(0)
 	if len(a.dropped) > 0 {
 		p99 = a.dropped[len(a.dropped)*99/100]
@@ -98,8 +98,8 @@
 }
 
 func TestDrawn(t *testing.T) {
-	all := playAll(rollouts(), sheetRule, nil)
-	a := accountOf(all, sheetRule)
+	all := playAll(rollouts(), modelRule, nil)
+	a := summarize(all, modelRule)
 	t.Log(a)
 	logBy(t, "form", all, func(o outcome) string { return fmt.Sprintf("%s tenth=%v", o.form, o.tenth) })
 	if testing.Verbose() {
@@ -110,17 +110,17 @@
 		logBy(t, "trouble", lo.Filter(all, func(o outcome, _ int) bool { return len(o.troubles) == 1 }), func(o outcome) string { return o.troubles[0] })
 	}
 	for _, o := range all {
-		if o.bad() && (o.overExposed(sheetRule) || o.afterBad > 0 || o.state != Reverted) || !o.bad() && !o.completedInTime() {
+		if o.bad() && (o.overExposed(modelRule) || o.afterBad > 0 || o.state != Reverted) || !o.bad() && !o.completedInTime() {
 			t.Log(o)
 		}
 	}
 	for _, o := range all {
-		assert.Less(t, o.storeCalls(), mostStoreCalls, "calls to the store: %s", o)
+		assert.Less(t, o.storeCalls(), maxStoreCalls, "calls to the store: %s", o)
 	}
 	assert.Zero(t, a.exposed, "bad versions over the share")
 	assert.Zero(t, a.late, "bad versions that got calls too late")
-	assert.LessOrEqual(t, float64(a.bad-a.reverted), most(0.01, a.bad), "bad ones that were not reverted")
-	assert.LessOrEqual(t, float64(a.good-a.completed), most(0.02, a.good), "good ones that were not completed in time")
+	assert.LessOrEqual(t, float64(a.bad-a.reverted), allowed(0.01, a.bad), "bad ones that were not reverted")
+	assert.LessOrEqual(t, float64(a.good-a.completed), allowed(0.02, a.good), "good ones that were not completed in time")
 }
 
 // TestDrawnSeedsOnceAtFault plays roll-outs that an earlier decision got wrong.
@@ -154,11 +154,11 @@
 		{8967, "each try of a refused write is a call to the store"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
-			o := newPlay(draw(c.seed), sheetRule, nil).run()
-			assert.Less(t, o.storeCalls(), mostStoreCalls, "%s: %s", c.what, o)
+			o := newPlay(draw(c.seed), modelRule, nil).run()
+			assert.Less(t, o.storeCalls(), maxStoreCalls, "%s: %s", c.what, o)
 			if o.bad() {
 				assert.Equal(t, Reverted, o.state, "%s: %s", c.what, o)
-				assert.False(t, o.overExposed(sheetRule), "%s: %s", c.what, o)
+				assert.False(t, o.overExposed(modelRule), "%s: %s", c.what, o)
 				assert.Zero(t, o.afterBad, "%s: %s", c.what, o)
 				return
 			}
@@ -169,7 +169,7 @@
 
 // most is how many of so many may go wrong at a rate. Few plays differ from the rate by
 // chance, and get three standard errors; a thousand get none.
-func most(rate float64, of int) float64 {
+func allowed(rate float64, of int) float64 {
 	expected := rate * float64(of)
 	if of >= 1000 {
 		return expected
@@ -180,6 +180,6 @@
 func logBy(t *testing.T, what string, all []outcome, key func(outcome) string) {
 	groups := lo.GroupBy(all, key)
 	for _, name := range slices.SortedFunc(slices.Values(lo.Keys(groups)), cmp.Compare[string]) {
-		t.Logf("%s %s: %s", what, name, accountOf(groups[name], sheetRule))
+		t.Logf("%s %s: %s", what, name, summarize(groups[name], modelRule))
 	}
 }
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sample is how one answer went, for the comparison of two versions on one route.
+// Sample is the result of one call, for the comparison of two versions on one route.
 type Sample struct {
 	Service   string
 	Route     string
@@ -13,41 +13,41 @@
 	Target    bool   // it ran at an endpoint of the target
 	Endpoint  uint64 // hash of the endpoint's id
 	Failed    bool
-	Unreached bool          // no answer came: no connection, a reset, silence; Failed goes with it
-	Cold      bool          // the endpoint says that it is slow from its start: its slowness isn't counted
+	Unreached bool          // no answer came: no connection, a reset or silence; implies Failed
+	Cold      bool          // the endpoint signals a cold start: its slowness isn't counted
 	Now       time.Time     // by the node's steady clock
 	Sent      bool          // Recorder.Sent counted the call when it was sent
-	Slowness  float64       // time taken over time expected for its prompt and the load; 0 is not known
-	Took      time.Duration // until the first event, or all of a plain call; 0 is not known
-	Since     time.Time     // when the attempt was sent; zero is not known
-	AtLeast   bool          // it may have taken longer than Slowness and Took say: it may be slow, and teaches nothing
+	Slowness  float64       // time taken over time expected for its prompt and the load; 0 if unknown
+	Took      time.Duration // until the first event, or all of a plain call; 0 if unknown
+	Since     time.Time     // when the attempt was sent; zero if unknown
+	AtLeast   bool          // Slowness and Took are lower bounds, which don't update the baseline
 }
 
-// Cohorts is how many groups the endpoints of a version are counted in, by the hash of
-// their ids: one endpoint that is ill spoils one of them.
+// Cohorts is the number of groups in which the endpoints of a version are counted, by the hash of
+// their ids: one unhealthy endpoint affects one of them.
 const Cohorts = 16
 
-// CohortOf is the group of an endpoint, by the hash of its id.
+// CohortOf returns the cohort of an endpoint, by the hash of its id.
 func CohortOf(endpoint uint64) int { return int(mix(endpoint) % Cohorts) }
 
-// Count is answers of one version on one route, with those that are still to come:
-// failures come sooner than answers, and late answers later, so that a version that has
-// just got more calls would else look worse or better than it is.
+// Count is the answers of one version on one route, including those that are still to come: failures
+// arrive sooner than answers and slow answers later, so that a version that just started to receive
+// more calls would otherwise look worse or better than it is.
 type Count struct {
 	Answers int `json:"n,omitempty"`
-	Bad     int `json:"b,omitempty"` // failed, or several times slower than the old version's usual
+	Bad     int `json:"b,omitempty"` // failed, or several times slower than the old version's baseline
 }
 
 // Plus adds two counts.
 func (c Count) Plus(o Count) Count { return Count{c.Answers + o.Answers, c.Bad + o.Bad} }
 
-// Minus is what a count has more than an earlier one.
+// Minus returns the difference to an earlier count.
 func (c Count) Minus(o Count) Count { return Count{c.Answers - o.Answers, c.Bad - o.Bad} }
 
-// Counts is answers of one version on one route, by cohort.
+// Counts is the answers of one version on one route, by cohort.
 type Counts [Cohorts]Count
 
-// Plus adds two counts.
+// Plus adds two sets of counts.
 func (c Counts) Plus(o Counts) Counts {
 	for i := range c {
 		c[i] = c[i].Plus(o[i])
@@ -55,7 +55,7 @@
 	return c
 }
 
-// Minus is what counts have more than earlier ones.
+// Minus returns the difference to earlier counts.
 func (c Counts) Minus(o Counts) Counts {
 	for i := range c {
 		c[i] = c[i].Minus(o[i])
@@ -63,7 +63,7 @@
 	return c
 }
 
-// Sum is all cohorts together.
+// Sum returns the total of all cohorts.
 func (c Counts) Sum() Count {
 	var sum Count
 	for _, one := range c {
@@ -72,33 +72,33 @@
 	return sum
 }
 
-// RouteEvidence is what was seen on one route.
+// RouteEvidence is what was observed on one route.
 type RouteEvidence struct {
 	Route  string `json:"r"`
 	Once   bool   `json:"x,omitempty"` // its calls may run at most once
 	Old    Counts `json:"o"`
 	Target Counts `json:"t"`
-	// UsualMs is how long the old version usually takes until the first event, or for all of
-	// a plain call; 0 is not known.
+	// UsualMs is the old version's median time until the first event, or for all of a plain call; 0
+	// if unknown.
 	UsualMs float64 `json:"u,omitempty"`
 }
 
-// Evidence is what was seen of an order's two versions, by one node since it knows of
-// the order, or by several nodes together. It only grows.
+// Evidence is what was observed of an order's two versions, by one node since it knows of the order,
+// or by several nodes together. Its counts only grow.
 type Evidence struct {
 	Service string          `json:"s"`
 	Made    int64           `json:"m"` // of the order
 	Routes  []RouteEvidence `json:"e,omitempty"`
 }
 
-// AtLeast returns evidence that falls below an earlier one nowhere: one who has just begun
-// to gather may not have heard of a life that others knew.
-func (e Evidence) AtLeast(earlier Evidence) Evidence { return e.joined(earlier, Counts.atLeast) }
+// Max returns the elementwise maximum with earlier evidence, so that no count falls: a node that has
+// just started to gather may not have received the counts of an incarnation that others knew.
+func (e Evidence) Max(earlier Evidence) Evidence { return e.merged(earlier, Counts.max) }
 
-// Plus adds what others have seen of the same order.
-func (e Evidence) Plus(o Evidence) Evidence { return e.joined(o, Counts.Plus) }
+// Plus adds what others observed of the same order.
+func (e Evidence) Plus(o Evidence) Evidence { return e.merged(o, Counts.Plus) }
 
-// add adds what others have seen of the same order to evidence that nobody else holds.
+// add adds what others observed of the same order, in place. The receiver must not be shared.
 func (e *Evidence) add(o Evidence) {
 	for i := range o.Routes {
 		r := &o.Routes[i]
@@ -107,15 +107,15 @@
 			e.Routes = append(e.Routes, *r)
 			continue
 		}
-		e.Routes[at].UsualMs = e.Routes[at].usualWith(*r)
+		e.Routes[at].UsualMs = e.Routes[at].mergedUsualMs(*r)
 		e.Routes[at].Old.add(&r.Old)
 		e.Routes[at].Target.add(&r.Target)
 	}
 }
 
-// usualWith is what both know of the old version's usual time, by how many answers each
-// knows it from.
-func (r RouteEvidence) usualWith(o RouteEvidence) float64 {
+// mergedUsualMs combines both medians of the old version, weighted by the number of answers behind
+// each.
+func (r RouteEvidence) mergedUsualMs(o RouteEvidence) float64 {
 	own, other := float64(r.Old.Sum().Answers), float64(o.Old.Sum().Answers)
 	switch {
 	case o.UsualMs <= 0 || other == 0:
@@ -132,8 +132,8 @@
 	}
 }
 
-// joined returns the evidence with another one's counts joined to its own, route by route.
-func (e Evidence) joined(o Evidence, join func(own, other Counts) Counts) Evidence {
+// merged returns the evidence with the counts of another one merged into it, route by route.
+func (e Evidence) merged(o Evidence, join func(own, other Counts) Counts) Evidence {
 	e.Routes = slices.Clone(e.Routes)
 	for _, r := range o.Routes {
 		i := slices.IndexFunc(e.Routes, func(own RouteEvidence) bool { return own.Route == r.Route })
@@ -141,21 +141,21 @@
 			e.Routes = append(e.Routes, r)
 			continue
 		}
-		e.Routes[i].UsualMs = e.Routes[i].usualWith(r)
+		e.Routes[i].UsualMs = e.Routes[i].mergedUsualMs(r)
 		e.Routes[i].Old = join(e.Routes[i].Old, r.Old)
 		e.Routes[i].Target = join(e.Routes[i].Target, r.Target)
 	}
 	return e
 }
 
-func (c Counts) atLeast(earlier Counts) Counts {
+func (c Counts) max(earlier Counts) Counts {
 	for i := range c {
 		c[i] = Count{max(c[i].Answers, earlier[i].Answers), max(c[i].Bad, earlier[i].Bad)}
 	}
 	return c
 }
 
-// Route finds what was seen on a route.
+// Route returns what was observed on a route.
 func (e Evidence) Route(name string) RouteEvidence {
 	for _, r := range e.Routes {
 		if r.Route == name {
@@ -165,7 +165,7 @@
 	return RouteEvidence{Route: name}
 }
 
-// counts is the answers of both versions on a route; "" is all routes.
+// counts returns the answers of both versions on a route; "" selects all routes.
 func (e Evidence) counts(route string) (target, old Count) {
 	for _, r := range e.Routes {
 		if route == "" || r.Route == route {
@@ -176,13 +176,13 @@
 	return target, old
 }
 
-// Answers is how many answers there are, of both versions and of the target.
+// Answers returns the number of answers of both versions together, and of the target.
 func (e Evidence) Answers() (all, target Count) {
 	target, old := e.counts("")
 	return target.Plus(old), target
 }
 
-// Verdict is what evidence says of a target.
+// Verdict is a judgment of a target.
 type Verdict int
 
 // The verdicts.
--- a/fleet/relay/rollout/gathered.go
+++ b/fleet/relay/rollout/gathered.go
@@ -5,37 +5,37 @@
 	"strings"
 )
 
-// Gathered is what all nodes have told of an order's versions. A node that starts anew
-// has another life: what its earlier one told still counts. It changes in place, since
-// each node tells several times a second, and isn't safe for concurrent use.
+// Gathered is what all nodes have reported about an order's versions. A restarted node has another
+// incarnation; what its earlier one reported still counts. It changes in place, since each node
+// reports several times per second, and isn't safe for concurrent use.
 type Gathered struct {
-	service string
-	made    int64
-	lives   map[string]Evidence
+	service       string
+	made          int64
+	byIncarnation map[string]Evidence
 }
 
-// NewGathered returns what is known of an order that nobody told of yet.
+// NewGathered returns an empty Gathered for an order.
 func NewGathered(service string, made int64) *Gathered {
-	return &Gathered{service: service, made: made, lives: map[string]Evidence{}}
+	return &Gathered{service: service, made: made, byIncarnation: map[string]Evidence{}}
 }
 
-// Take takes in what a node's life has seen so far. What is about another order, or is
-// older than what is known, changes nothing.
-func (g *Gathered) Take(life string, e Evidence) {
+// Take records what one incarnation of a node has observed so far. Evidence about another order, or
+// older than what is known, is ignored.
+func (g *Gathered) Take(incarnation string, e Evidence) {
 	if e.Service != g.service || e.Made != g.made {
 		return
 	}
-	before, _ := g.lives[life].Answers()
+	before, _ := g.byIncarnation[incarnation].Answers()
 	if now, _ := e.Answers(); now.Answers < before.Answers {
 		return
 	}
-	g.lives[life] = e
+	g.byIncarnation[incarnation] = e
 }
 
-// Sum is what all have seen together.
+// Sum returns what all nodes have observed together.
 func (g *Gathered) Sum() Evidence {
 	sum := Evidence{Service: g.service, Made: g.made}
-	for _, e := range g.lives {
+	for _, e := range g.byIncarnation {
 		sum.add(e)
 	}
 	slices.SortFunc(sum.Routes, func(a, b RouteEvidence) int { return strings.Compare(a.Route, b.Route) })
--- a/fleet/relay/rollout/judge.go
+++ b/fleet/relay/rollout/judge.go
@@ -10,68 +10,70 @@
 )
 
 const (
-	// badMore is by how much the share of bad answers of a version to be found lies above
-	// the old one's: half of the least that operators' bad versions show, so that those
-	// are found fast and smaller differences still are.
-	badMore = 0.2
-	// fromStart is the weight of a version that is bad from its first answer; the rest is
-	// spread over the order's duration, for those that turn bad later.
-	fromStart = 0.5
-	// suspectBad is how many bad answers a suspect target must have given since, to be taken
-	// for a bad one when nothing clears it in time: few less than what operators count.
-	suspectBad = 40
-	// cleared is the evidence below which other cohorts are known to be sound: a dozen good
+	// minExcessBad is the excess over the old version's share of bad answers that the test looks
+	// for: half of the smallest excess that operators' bad versions show, so that those are found
+	// fast and smaller differences are still found.
+	minExcessBad = 0.2
+	// startWeight is the prior weight of a version that is bad from its first answer. The rest is
+	// spread over the order's duration, for versions that turn bad later.
+	startWeight = 0.5
+	// maxSuspectBad is how many bad answers a suspected target may give before it counts as bad if
+	// nothing clears it in time: slightly fewer than operators count.
+	maxSuspectBad = 40
+	// clearedScore is the score below which the other cohorts count as healthy: a dozen good
 	// answers.
-	cleared = -2.0
-	// illRare is the logarithm of how many roll-outs there are for one that meets an ill
-	// endpoint among the few that are tried: five, which is many.
-	illRare = 1.6
-	// leastRecent is how many answers of late tell which cohorts answer, and oneAnswers the
-	// part of them that one must give to be the only one.
-	leastRecent = 8.0
-	oneAnswers  = 0.95
-	// leastScore bounds how much good answers count for: what turns bad later starts anew.
-	leastScore = -40.0
-	// doubtPart is the part of the way to a verdict from which a target is in doubt.
+	clearedScore = -2.0
+	// unhealthyPrior is the logarithm of the number of rollouts per rollout that meets an unhealthy
+	// endpoint among the few that are sampled: five, a cautious estimate, as such rollouts are
+	// rarer.
+	unhealthyPrior = 1.6
+	// minRecent is the number of recent answers needed to tell which cohorts answer, and
+	// singleCohortPart the part of them that one cohort must give to count as the only one.
+	minRecent        = 8.0
+	singleCohortPart = 0.95
+	// minScore bounds how far good answers lower a score, so that the evidence against a version
+	// that turns bad later does not start from far below.
+	minScore = -40.0
+	// doubtPart is the part of the verdict limit above which a target is in doubt.
 	doubtPart = 0.45
 )
 
-// Judge compares a target with the old version on each route, and on all together, as
-// answers come in: an immutable value. It is a sequential test: the evidence that the
-// target has been worse since some moment is the likelihood of a worse one over that of
-// one alike, over all moments by weight. Such a sum exceeds one over the stated rate of
-// false verdicts for a good version with no more than that rate, whenever one looks.
+// Judge compares a target with the old version, per route and for all routes together, as answers
+// come in. It is an immutable value. It is a sequential test: the evidence that the target has been
+// worse since some moment is the likelihood ratio of a worse version to an equal one, summed over
+// all moments by weight. For a good version, the probability that this sum ever exceeds 1/FalseRate
+// is at most FalseRate, no matter how often it is checked.
 type Judge struct {
-	rule     Rule
-	duration time.Duration
-	seen     Evidence
-	at       time.Time
-	test     test
-	routes   []judged
-	late     fading           // answers of the old version, of late
-	service  scores           // of all routes together: what is bad on each shows sooner
-	ill      [Cohorts]bool    // cohorts that look bad while the others don't
-	referred []Reference      // what others saw of the old version
-	recent   [Cohorts]float64 // answers of the target, of late
+	rule         Rule
+	duration     time.Duration
+	observed     Evidence
+	at           time.Time
+	test         evidenceTest
+	routes       []routeJudge
+	recentOld    decayingCount    // recent answers of the old version
+	service      scores           // all routes together: finds what is bad on each of them sooner
+	unhealthy    [Cohorts]bool    // cohorts that look bad while the others don't
+	references   []Reference      // what others observed of the old version
+	recentTarget [Cohorts]float64 // recent answers of the target
 }
 
-// judged is what is held of one route.
-type judged struct {
-	route  string
-	usual  usual
-	expect usually
-	target fading // answers of the target, of late
-	scores scores
+// routeJudge is the state of one route.
+type routeJudge struct {
+	route    string
+	baseline baseline
+	expected expectation
+	target   decayingCount // recent answers of the target
+	scores   scores
 }
 
-// NewJudge returns a judge who has seen nothing of an order of a duration.
+// NewJudge returns a judge without evidence, for an order of the given duration.
 func NewJudge(rule Rule, duration time.Duration) Judge {
 	return Judge{rule: rule, duration: duration, test: likelihood, service: newScores()}
 }
 
-// Lone says whether all endpoints of the target count in one cohort: then it makes a
-// verdict alone, since no other one will clear it or be cleared.
-func (j Judge) Lone(lone bool) Judge {
+// WithSingleCohort sets whether all endpoints of the target fall into one cohort. If so, that cohort
+// alone makes a verdict, since no other cohort can clear it or be cleared.
+func (j Judge) WithSingleCohort(lone bool) Judge {
 	j.service.lone = lone
 	j.routes = slices.Clone(j.routes)
 	for i := range j.routes {
@@ -80,104 +82,104 @@
 	return j
 }
 
-// Referring returns a judge who knows of the old version what others saw of it.
-func (j Judge) Referring(to []Reference) Judge {
-	if len(to) == 0 || !j.at.IsZero() {
+// WithReferences returns a judge that starts with what others observed of the old version.
+func (j Judge) WithReferences(references []Reference) Judge {
+	if len(references) == 0 || !j.at.IsZero() {
 		return j
 	}
-	j.referred, j.late = lo.Map(to[:min(len(to), mostRoutes)], func(r Reference, _ int) Reference { return r.bounded() }), fading{}
-	for _, r := range j.referred {
-		j.late = j.late.with(Count{r.Answers, r.Bad}, 1)
+	j.references, j.recentOld = lo.Map(references[:min(len(references), maxRoutes)], func(r Reference, _ int) Reference { return r.capped() }), decayingCount{}
+	for _, r := range j.references {
+		j.recentOld = j.recentOld.plus(Count{r.Answers, r.Bad}, 1)
 	}
 	return j
 }
 
-// KnowsOld is whether enough was seen of the old version, by whomever, to compare with it.
-func (j Judge) KnowsOld() bool {
-	all, target := j.seen.Answers()
-	return referredAnswers(j.referred)+all.Answers-target.Answers >= leastReferred
+// HasBaseline reports whether enough was observed of the old version, by any node, to compare with
+// it.
+func (j Judge) HasBaseline() bool {
+	all, target := j.observed.Answers()
+	return referenceAnswers(j.references)+all.Answers-target.Answers >= minReferenceAnswers
 }
 
-// With takes in what was seen until a moment.
+// With returns the judge updated with the evidence observed until now.
 func (j Judge) With(e Evidence, now time.Time) Judge {
-	e = e.AtLeast(j.seen)
-	weight := j.weight(now)
-	routes := make([]judged, 0, len(e.Routes))
+	e = e.Max(j.observed)
+	weight := j.changeWeight(now)
+	routes := make([]routeJudge, 0, len(e.Routes))
 	for _, r := range e.Routes {
-		route := j.of(r.Route)
-		route.usual = route.usual.with(r.Old.Minus(j.seen.Route(r.Route).Old), j.passed(now))
+		route := j.routeState(r.Route)
+		route.baseline = route.baseline.with(r.Old.Minus(j.observed.Route(r.Route).Old), j.elapsed(now))
 		routes = append(routes, route)
 	}
-	j.late = lately(routes, j.late)
-	j.recent = j.recentWith(e, now)
-	j.service = j.service.grown(weight)
+	j.recentOld = recentService(routes, j.recentOld)
+	j.recentTarget = j.recentTargetWith(e, now)
+	j.service = j.service.withChangeWeight(weight)
 	for i, r := range e.Routes {
-		target := r.Target.Minus(j.seen.Route(r.Route).Target)
-		routes[i].expect = routes[i].usual.bad(j.late)
-		routes[i].target = routes[i].target.with(target.Sum(), keeps(j.passed(now), usualShort))
-		sure := routes[i].expect.answers / (routes[i].expect.answers + routes[i].target.answers)
-		routes[i].scores = routes[i].scores.grown(weight).with(target, routes[i].expect, sure, j.test)
-		j.service = j.service.with(target, routes[i].expect, sure, j.test)
+		target := r.Target.Minus(j.observed.Route(r.Route).Target)
+		routes[i].expected = routes[i].baseline.expected(j.recentOld)
+		routes[i].target = routes[i].target.plus(target.Sum(), retention(j.elapsed(now), baselineShort))
+		certainty := routes[i].expected.answers / (routes[i].expected.answers + routes[i].target.answers)
+		routes[i].scores = routes[i].scores.withChangeWeight(weight).with(target, routes[i].expected, certainty, j.test)
+		j.service = j.service.with(target, routes[i].expected, certainty, j.test)
 	}
-	j.routes, j.seen, j.at = routes, e, now
-	return j.weighed()
+	j.routes, j.observed, j.at = routes, e, now
+	return j.withSuspicions()
 }
 
-// recentWith is the target's answers of late, by cohort, with those that are new.
-func (j Judge) recentWith(e Evidence, now time.Time) [Cohorts]float64 {
-	recent, keep := j.recent, keeps(j.passed(now), usualShort)
+// recentTargetWith returns the target's recent answers by cohort, including the new ones.
+func (j Judge) recentTargetWith(e Evidence, now time.Time) [Cohorts]float64 {
+	recent, retained := j.recentTarget, retention(j.elapsed(now), baselineShort)
 	for c := range recent {
-		recent[c] *= keep
+		recent[c] *= retained
 	}
 	for _, r := range e.Routes {
-		for c, count := range r.Target.Minus(j.seen.Route(r.Route).Target) {
+		for c, count := range r.Target.Minus(j.observed.Route(r.Route).Target) {
 			recent[c] += float64(count.Answers)
 		}
 	}
 	return recent
 }
 
-// OneAnswers is whether of late the target's answers came from one cohort: its others are
-// down, or cold, and will not clear it.
-func (j Judge) OneAnswers() bool {
-	sum := lo.Sum(j.recent[:])
-	return sum >= leastRecent && slices.Max(j.recent[:]) >= oneAnswers*sum
+// SingleCohortAnswers reports whether the target's recent answers come from one cohort: its others
+// are down or cold, and will not clear it.
+func (j Judge) SingleCohortAnswers() bool {
+	sum := lo.Sum(j.recentTarget[:])
+	return sum >= minRecent && slices.Max(j.recentTarget[:]) >= singleCohortPart*sum
 }
 
-func (j Judge) passed(now time.Time) time.Duration {
+func (j Judge) elapsed(now time.Time) time.Duration {
 	if j.at.IsZero() {
 		return 0
 	}
 	return max(now.Sub(j.at), 0)
 }
 
-// weight is that of a version that turns bad since the last look. The first one's is
-// that of a version that is bad from its start, which scores begin with.
-func (j Judge) weight(now time.Time) float64 {
-	return (1 - fromStart) * min(j.passed(now).Seconds()/max(j.duration.Seconds(), 1), 1)
+// changeWeight returns the prior weight of a version that turned bad since the last update. A
+// version that is bad from its start is covered by the initial score.
+func (j Judge) changeWeight(now time.Time) float64 {
+	return (1 - startWeight) * min(j.elapsed(now).Seconds()/max(j.duration.Seconds(), 1), 1)
 }
 
-func (j Judge) of(route string) judged {
-	i := slices.IndexFunc(j.routes, func(r judged) bool { return r.route == route })
+func (j Judge) routeState(route string) routeJudge {
+	i := slices.IndexFunc(j.routes, func(r routeJudge) bool { return r.route == route })
 	if i < 0 {
-		fresh := judged{route: route, scores: newScores()}
+		fresh := routeJudge{route: route, scores: newScores()}
 		fresh.scores.lone = j.service.lone
-		if known, ok := lo.Find(j.referred, func(r Reference) bool { return r.Route == route }); ok {
-			seen := known.fading()
-			fresh.usual = usual{long: seen, short: seen, now: seen}
+		if known, ok := lo.Find(j.references, func(r Reference) bool { return r.Route == route }); ok {
+			observed := known.decayingCounts()
+			fresh.baseline = baseline{long: observed, short: observed, now: observed}
 		}
 		return fresh
 	}
 	return j.routes[i]
 }
 
-// limit is the evidence that makes a verdict: the rate of false ones is shared by what is
-// tested.
+// limit returns the score that makes a verdict: the rate of false verdicts is shared by all tests.
 func (j Judge) limit() float64 {
 	return math.Log(float64(len(j.routes)+1) / j.rule.FalseRate)
 }
 
-// worst is what speaks against the target most: of one route, or of the service.
+// worst returns the highest score against the target: that of one route, or of the service.
 func (j Judge) worst() (route string, s scores) {
 	s = j.service
 	for _, r := range j.routes {
@@ -188,8 +190,8 @@
 	return route, s
 }
 
-// Verdict is what the evidence says so far. A target is never found good for good: its
-// stage moves on by time, and evidence against it may still come.
+// Verdict returns the current verdict. A target is never finally found good: its stage advances by
+// time, and evidence against it may still come.
 func (j Judge) Verdict() Verdict {
 	if _, s := j.worst(); j.test.score(s) > j.limit() || j.overdue() {
 		return Bad
@@ -197,30 +199,31 @@
 	return Undecided
 }
 
-// weighed finds out whether one cohort is suspect, and whether it is an ill endpoint's.
-func (j Judge) weighed() Judge {
-	_, target := j.seen.Answers()
-	weigh := func(s scores) scores {
-		s, cleared := s.weighed(j.limit(), j.ill, target.Bad, j.at)
-		if cleared {
-			j.ill[s.suspect.cohort] = true
+// withSuspicions updates whether one cohort is suspected, and whether that cohort is just an
+// unhealthy endpoint.
+func (j Judge) withSuspicions() Judge {
+	_, target := j.observed.Answers()
+	update := func(s scores) scores {
+		s, isCleared := s.updateSuspicion(j.limit(), j.unhealthy, target.Bad, j.at)
+		if isCleared {
+			j.unhealthy[s.suspect.cohort] = true
 			s.suspect = suspicion{}
 		}
 		return s
 	}
-	j.service = weigh(j.service)
+	j.service = update(j.service)
 	for i := range j.routes {
-		j.routes[i].scores = weigh(j.routes[i].scores)
+		j.routes[i].scores = update(j.routes[i].scores)
 	}
 	return j
 }
 
-// overdue is whether a target has been suspect for half of the time in which a bad one
-// must be gone, and went on to answer badly: that goes before waiting for others to clear it.
+// overdue reports whether a target has been suspected for half of the rollback time and kept
+// answering badly: it is reverted instead of waiting for other cohorts to clear it.
 func (j Judge) overdue() bool {
-	_, target := j.seen.Answers()
+	_, target := j.observed.Answers()
 	for _, s := range j.suspicions() {
-		if target.Bad-s.bad >= suspectBad && j.at.Sub(s.since) >= j.rule.Rollback/2 {
+		if target.Bad-s.bad >= maxSuspectBad && j.at.Sub(s.since) >= j.rule.Rollback/2 {
 			return true
 		}
 	}
@@ -235,39 +238,39 @@
 	return lo.Reject(all, func(s suspicion, _ int) bool { return s.since.IsZero() })
 }
 
-// Doubt is whether the evidence against the target is more than chance often brings.
-func (j Judge) Doubt() bool { return j.Over(doubtPart) }
+// InDoubt reports whether the evidence against the target exceeds what chance often produces.
+func (j Judge) InDoubt() bool { return j.Exceeds(doubtPart) }
 
-// Over is whether the evidence against the target is over a part of what makes a verdict.
-func (j Judge) Over(part float64) bool {
+// Exceeds reports whether the evidence against the target exceeds a part of the verdict limit.
+func (j Judge) Exceeds(part float64) bool {
 	_, s := j.worst()
 	return j.test.score(s) > part*j.limit()
 }
 
-// Ill is the cohorts, as bits, that look bad while the others don't.
-func (j Judge) Ill() uint32 {
+// UnhealthyCohorts returns the cohorts that look bad while the others don't, as a bit set.
+func (j Judge) UnhealthyCohorts() uint32 {
 	var bits uint32
-	for c, ill := range j.ill {
-		if ill {
+	for c, unhealthy := range j.unhealthy {
+		if unhealthy {
 			bits |= 1 << c
 		}
 	}
 	return bits
 }
 
-// SuspectSince is whether a suspicion has come up since a moment.
-func (j Judge) SuspectSince(moment time.Time) bool {
+// SuspectedSince reports whether a suspicion has arisen after a moment.
+func (j Judge) SuspectedSince(moment time.Time) bool {
 	return lo.SomeBy(j.suspicions(), func(s suspicion) bool { return s.since.After(moment) })
 }
 
-// Suspect is whether one cohort shows what makes a verdict and too little is known of
-// the others to say that it is an ill endpoint.
-func (j Judge) Suspect() bool { return len(j.suspicions()) > 0 }
+// HasSuspicion reports whether one cohort alone looks bad enough for a verdict, and too little is
+// known of the others to attribute it to an unhealthy endpoint.
+func (j Judge) HasSuspicion() bool { return len(j.suspicions()) > 0 }
 
-// Why says in a line what speaks against the target most.
+// Why returns one line on the strongest evidence against the target.
 func (j Judge) Why() string {
 	route, s := j.worst()
-	target, old := j.seen.counts(route)
+	target, old := j.observed.counts(route)
 	return fmt.Sprintf("route %q: target %d bad of %d, old %d of %d, evidence %.1f of %.1f",
 		route, target.Bad, target.Answers, old.Bad, old.Answers, j.test.score(s), j.limit())
 }
--- a/fleet/relay/rollout/lost_test.go
+++ b/fleet/relay/rollout/lost_test.go
@@ -10,47 +10,47 @@
 )
 
 // losing has all nodes end while calls move, at a moment drawn by the seed.
-func losing(version func(*rand.Rand) fault) func(*play) {
+func loseAllNodes(version func(*rand.Rand) fault) func(*play) {
 	return func(p *play) {
 		r := rand.New(rand.NewPCG(p.seed, 37))
-		p.drawn = drawn{
+		p.scenario = scenario{
 			seed: p.seed, service: p.service, tenth: p.tenth, duration: p.duration, nodes: len(p.nodes), targets: p.targets, form: "good",
 		}
-		p.lost = &loss{into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)), version: version(r)}
-		if p.lost.version != (fault{}) {
+		p.loss = &loss{into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)), version: version(r)}
+		if p.loss.version != (fault{}) {
 			p.form = "later"
 		}
-		p.out.drawn = p.drawn
+		p.out.scenario = p.scenario
 	}
 }
 
 // TestABadVersionIsNotCompletedWhereAllNodesEndWhileCallsMove guards against nodes that
 // take what a bad version shows for usual, as none is left that knew the old one.
 func TestABadVersionIsNotCompletedWhereAllNodesEndWhileCallsMove(t *testing.T) {
-	all := playAll(rollouts(), sheetRule, losing(illness))
+	all := playAll(rollouts(), modelRule, loseAllNodes(drawFault))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
-	a := accountOf(lost, sheetRule)
+	a := summarize(lost, modelRule)
 	t.Logf("%d met the loss: %s", len(lost), a)
 	for _, o := range lost {
 		if o.state != Reverted {
 			t.Log(o)
 		}
 	}
-	assert.LessOrEqual(t, float64(a.bad-a.reverted), most(0.01, a.bad), "bad ones that were not reverted")
+	assert.LessOrEqual(t, float64(a.bad-a.reverted), allowed(0.01, a.bad), "bad ones that were not reverted")
 }
 
 // TestAGoodVersionWhereAllNodesEndWhileCallsMove tells what becomes of sound versions.
 func TestAGoodVersionWhereAllNodesEndWhileCallsMove(t *testing.T) {
-	all := playAll(rollouts(), sheetRule, losing(func(*rand.Rand) fault { return fault{} }))
+	all := playAll(rollouts(), modelRule, loseAllNodes(func(*rand.Rand) fault { return fault{} }))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
-	a := accountOf(lost, sheetRule)
+	a := summarize(lost, modelRule)
 	t.Logf("%d met the loss: %s", len(lost), a)
 	assert.Positive(t, a.completed, "a loss is no reason to revert whatever was ordered")
 }
 
 // underLoad is how a version is bad at endpoints that are about as full as old ones.
 func underLoad(r *rand.Rand) fault {
-	f := illness(r)
+	f := drawFault(r)
 	f.load = within(r, 0.5, 0.9)
 	return f
 }
@@ -59,22 +59,22 @@
 // that send all calls to a version because they found a move under way.
 func TestABadVersionGetsNoMoreThanItsShareWhereAllNodesEndWhileCallsMove(t *testing.T) {
 	fromStart := func(p *play) {
-		losing(func(*rand.Rand) fault { return fault{} })(p)
+		loseAllNodes(func(*rand.Rand) fault { return fault{} })(p)
 		p.version, p.form = underLoad(rand.New(rand.NewPCG(p.seed, 38))), "under load"
-		p.out.drawn = p.drawn
+		p.out.scenario = p.scenario
 	}
 	for _, c := range []struct {
 		name string
 		vary func(*play)
 	}{
-		{"it turns bad shortly before", losing(illness)},
-		{"it turns bad under load shortly before", losing(underLoad)},
+		{"it turns bad shortly before", loseAllNodes(drawFault)},
+		{"it turns bad under load shortly before", loseAllNodes(underLoad)},
 		{"it is bad under load from its start", fromStart},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			all := playAll(rollouts(), sheetRule, c.vary)
+			all := playAll(rollouts(), modelRule, c.vary)
 			lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
-			a := accountOf(lost, sheetRule)
+			a := summarize(lost, modelRule)
 			t.Logf("%d met the loss: %s", len(lost), a)
 			assert.Zero(t, a.sent, "bad versions over the share")
 		})
@@ -84,12 +84,12 @@
 // TestAVersionThatIsBadUnderLoadIsNotCompletedWhereAllNodesEndWhileCallsMove guards against
 // a decider that starts in the move and completes before slow or few answers show the load.
 func TestAVersionThatIsBadUnderLoadIsNotCompletedWhereAllNodesEndWhileCallsMove(t *testing.T) {
-	all := playAll(rollouts(), sheetRule, losing(underLoad))
+	all := playAll(rollouts(), modelRule, loseAllNodes(underLoad))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
 	completed := lo.Filter(lost, func(o outcome, _ int) bool { return o.state == Completed })
 	for _, o := range completed {
 		t.Log(o)
 	}
 	t.Logf("%d met the loss, %d were completed", len(lost), len(completed))
-	assert.LessOrEqual(t, float64(len(completed)), most(0.01, len(lost)), "bad ones that were completed")
+	assert.LessOrEqual(t, float64(len(completed)), allowed(0.01, len(lost)), "bad ones that were completed")
 }
--- a/fleet/relay/rollout/message.go
+++ b/fleet/relay/rollout/message.go
@@ -6,25 +6,25 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Message is what a decider is told: sealed.
+// Message is an input of a Decider. The interface is sealed.
 type Message interface{ message() }
 
-// Learned is the rollout as the store holds it now.
+// Learned carries the rollout as the store holds it now.
 type Learned struct {
 	Rollout Rollout
 	Now     time.Time
 }
 
-// Gone says that the order was taken away.
+// Gone reports that the order was deleted.
 type Gone struct{}
 
-// Told is what nodes together have seen so far.
+// Told carries what all nodes have observed so far.
 type Told struct {
 	Evidence Evidence
 	Now      time.Time
 }
 
-// Heard says that another node found the target of an order bad.
+// Heard reports that another node found the target of an order bad.
 type Heard struct {
 	Target string
 	Made   int64
@@ -32,19 +32,19 @@
 	Now    time.Time
 }
 
-// Tick is a moment, and what is known of the endpoints at it.
+// Tick is the current time, and what is known of the endpoints at it.
 type Tick struct {
 	Now         time.Time
-	Old, Target int           // endpoints that take new work, by version
-	Cohorts     int           // in which the target's count; 0 is not known
-	Cold        int           // of the target's: slow from their start
-	OldInFlight int           // calls at old endpoints, by the nodes' digests and the endpoints' own word
-	Lasts       time.Duration // how long the longest calls may still take at old endpoints
-	Decides     bool          // this node is the one that writes; the others judge only
+	Old, Target int           // endpoints that accept new work, by version
+	Cohorts     int           // number of cohorts in which the target's endpoints fall; 0 if unknown
+	Cold        int           // endpoints of the target that are slow after their start
+	OldInFlight int           // calls at old endpoints, by the nodes' digests and the endpoints' signals
+	Lasts       time.Duration // how long the longest calls at old endpoints may still take
+	Decides     bool          // this node writes; the others only judge
 }
 
-// Refused says that a write did not take effect: another node wrote, or the store is
-// away. The next tick tries again from what was learned meanwhile.
+// Refused reports that a write did not take effect: another node wrote, or the store is unavailable.
+// The next tick retries with what was learned meanwhile.
 type Refused struct{ Now time.Time }
 
 func (Learned) message() {}
@@ -54,17 +54,17 @@
 func (Tick) message()    {}
 func (Refused) message() {}
 
-// Effect is what a decider asks for: sealed.
+// Effect is an output of a Decider. The interface is sealed.
 type Effect interface{ effect() }
 
-// Write asks for the status to be written if the object's revision still holds.
+// Write requests that the status is written if the object still has this revision.
 type Write struct {
 	Status   Status
 	Revision store.Revision
 	Why      string // for the log
 }
 
-// Warn asks for every node to be told at once that the target of an order is bad.
+// Warn requests that all nodes are told at once that the target of an order is bad.
 type Warn struct {
 	Service string
 	Target  string
--- a/fleet/relay/rollout/model_answers_test.go
+++ b/fleet/relay/rollout/model_answers_test.go
@@ -9,20 +9,20 @@
 
 // answer is one that is on its way.
 type answer struct {
-	node    int
-	life    int
-	sample  Sample
-	old     bool
-	first   bool  // it is the first event, and the end comes later
-	badOnes bool  // the version made it bad
-	told    *bool // as bad already, when it was late
-	timer   bool  // it is the node's own, and not an answer
+	node           int
+	incarnation    int
+	sample         Sample
+	old            bool
+	first          bool  // it is the first event, and the end comes later
+	fromBadVersion bool  // the version made it bad
+	reported       *bool // as bad already, when it was late
+	timer          bool  // it is the node's own, and not an answer
 }
 
 func (p *play) send(i, k int, route *modelRoute, e *engine.Engine) {
 	n := &p.nodes[k]
 	target := e.Version == "v2"
-	a := answer{node: k, life: n.life, old: !target,
+	a := answer{node: k, incarnation: n.incarnation, old: !target,
 		sample: Sample{Service: "svc", Route: route.name, Once: route.once, Target: target, Endpoint: e.Hash}}
 	slow := math.Exp(0.35 * p.rand.NormFloat64())
 	if p.rand.IntN(300) == 0 {
@@ -38,30 +38,30 @@
 		return true
 	}
 	if target {
-		a.badOnes = add(p.version, p.load(e))
+		a.fromBadVersion = add(p.version, p.load(e))
 		a.sample.Cold = p.now < p.cold
 		if a.sample.Cold {
 			slow *= 3
 		}
-		if p.fresh[e.Hash]++; p.empty && p.fresh[e.Hash] < 8 {
+		if p.callsByEndpoint[e.Hash]++; p.empty && p.callsByEndpoint[e.Hash] < 8 {
 			slow *= 1.5
 		}
-		if e.Hash == p.ill[1] {
-			add(p.illTarget, 1)
+		if e.Hash == p.unhealthy[1] {
+			add(p.unhealthyTarget, 1)
 		}
-	} else if e.Hash == p.ill[0] {
-		add(p.illOld, 1)
+	} else if e.Hash == p.unhealthy[0] {
+		add(p.unhealthyOld, 1)
 	}
-	if p.bothAt.holds(p.now) {
-		add(p.both, 1)
+	if p.bothDuring.holds(p.now) {
+		add(p.faultOfBoth, 1)
 	}
 	n.recorder.Sent(a.sample)
 	a.sample.Sent = true
 	a.sample.Failed = p.rand.Float64() < fails
-	if p.apart(n, e) {
-		a.sample.Failed, a.sample.Unreached, a.badOnes = true, true, false
+	if p.separated(n, e) {
+		a.sample.Failed, a.sample.Unreached, a.fromBadVersion = true, true, false
 	}
-	a.badOnes = a.badOnes && (a.sample.Failed || p.version.slower > 0)
+	a.fromBadVersion = a.fromBadVersion && (a.sample.Failed || p.version.slower > 0)
 	if a.old {
 		p.inFlight++
 	}
@@ -73,7 +73,7 @@
 const lateMargin = 1.1
 
 // late lets a node tell of a call that takes as long as a slow one before its answer comes.
-func (p *play) late(i int, route *modelRoute, a answer, slow float64) {
+func (p *play) reportLate(i int, route *modelRoute, a answer, slow float64) {
 	shows := route.shows()
 	times, after := p.nodes[a.node].recorder.SlowFrom(route.name)
 	if times > 0 {
@@ -83,50 +83,50 @@
 		return
 	}
 	a.first, a.timer, a.old, a.sample.Slowness, a.sample.Took = true, true, false, lateMargin*times, after
-	p.put(i, after, a)
+	p.enqueue(i, after, a)
 }
 
 // schedule lets a call's first event and its end come; its slowness shows by the first
 // one that there is.
 func (p *play) schedule(i int, route *modelRoute, a answer, slow float64) {
-	ends := min(time.Duration(slow*float64(route.usual)), 12*time.Second)
-	a.told = new(bool)
+	ends := min(time.Duration(slow*float64(route.median)), 12*time.Second)
+	a.reported = new(bool)
 	if !a.sample.Failed {
-		p.late(i, route, a, slow)
+		p.reportLate(i, route, a, slow)
 	}
 	switch {
 	case a.sample.Failed:
-		ends = route.usual / 3
+		ends = route.median / 3
 	case route.first > 0:
-		first := answer{node: a.node, life: a.life, first: true, sample: a.sample, told: a.told}
+		first := answer{node: a.node, incarnation: a.incarnation, first: true, sample: a.sample, reported: a.reported}
 		first.sample.Slowness, first.sample.Took = slow, time.Duration(slow*float64(route.first))
-		p.put(i, min(time.Duration(slow*float64(route.first)), ends), first)
+		p.enqueue(i, min(time.Duration(slow*float64(route.first)), ends), first)
 	default:
-		a.sample.Slowness, a.sample.Took = slow, time.Duration(slow*float64(route.usual))
+		a.sample.Slowness, a.sample.Took = slow, time.Duration(slow*float64(route.median))
 	}
-	p.put(i, ends, a)
+	p.enqueue(i, ends, a)
 }
 
-func (p *play) put(i int, after time.Duration, a answer) {
+func (p *play) enqueue(i int, after time.Duration, a answer) {
 	at := (i + 1 + int(after/step)) % len(p.ends)
 	p.ends[at] = append(p.ends[at], a)
 }
 
-func (p *play) answered(i int) {
+func (p *play) deliverAnswers(i int) {
 	at := i % len(p.ends)
 	for _, a := range p.ends[at] {
-		if p.unread(i, a) {
+		if p.postpone(i, a) {
 			continue
 		}
 		if a.old {
 			p.inFlight--
 		}
 		n := &p.nodes[a.node]
-		if n.life == a.life && !*a.told {
+		if n.incarnation == a.incarnation && !*a.reported {
 			a.sample.Now = p.time()
-			*a.told = n.recorder.Add(a.sample)
+			*a.reported = n.recorder.Add(a.sample)
 		}
-		if a.badOnes && !a.first {
+		if a.fromBadVersion && !a.first {
 			p.out.badAnswers++
 			if p.out.badAnswers == 50 {
 				p.fiftieth = p.now
--- a/fleet/relay/rollout/model_decider_test.go
+++ b/fleet/relay/rollout/model_decider_test.go
@@ -9,20 +9,20 @@
 
 // round lets nodes tell what they have seen, and the decider tick.
 func (p *play) round() {
-	if p.stands(0) {
+	if p.stalled(0) {
 		return
 	}
 	for i := range p.nodes {
 		n := &p.nodes[i]
-		if p.now < n.upAt || p.cutNow(n.zone) || p.unheard(i) {
+		if p.now < n.upAt || p.partitioned(n.zone) || p.unreachable(i) {
 			continue
 		}
-		p.gathered.Take(fmt.Sprintf("%d.%d", i, n.life), n.recorder.Evidence())
+		p.gathered.Take(fmt.Sprintf("%d.%d", i, n.incarnation), n.recorder.Evidence())
 	}
-	p.before = append(p.before, p.inFlight)
+	p.inFlightHistory = append(p.inFlightHistory, p.inFlight)
 	sum, at := p.gathered.Sum(), p.time()
-	told := p.tells
-	p.tells = []func(){func() { p.handle(Told{sum, at}) }}
+	told := p.evidenceQueue
+	p.evidenceQueue = []func(){func() { p.handle(Told{sum, at}) }}
 	for _, tell := range told {
 		tell()
 	}
@@ -32,9 +32,9 @@
 	}
 	most := time.Duration(0)
 	for _, r := range p.service.routes {
-		most = max(most, r.most)
+		most = max(most, r.maximum)
 	}
-	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.before[max(len(p.before)-2, 0)], Lasts: most, Decides: !p.hearing()})
+	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.inFlightHistory[max(len(p.inFlightHistory)-2, 0)], Lasts: most, Decides: !p.listening()})
 }
 
 func (p *play) handle(m Message) {
@@ -44,7 +44,7 @@
 		switch e := e.(type) {
 		case Write:
 			if p.early && e.Status.State == InProgress && e.Status.Writes > 1 {
-				e.Status.Stage, e.Status.Left, e.Status.Full = Moving, 6*time.Second, leastProof
+				e.Status.Stage, e.Status.Left, e.Status.Full = Moving, 6*time.Second, minFullLoad
 			}
 			p.write(e)
 		case Warn:
@@ -56,7 +56,7 @@
 func (p *play) warn() {
 	for i := range p.nodes {
 		if n := &p.nodes[i]; n.warnAt == 0 {
-			n.warnAt = p.now + time.Duration(p.rand.Float64()*float64(tellLatest))
+			n.warnAt = p.now + time.Duration(p.rand.Float64()*float64(maxSendDelay))
 		}
 	}
 }
@@ -73,14 +73,14 @@
 	wait = func() {
 		switch {
 		case p.now < done:
-			p.writing = append(p.writing, wait)
-		case p.storeAway.holds(p.now) || w.Revision != p.revision:
+			p.pendingWrites = append(p.pendingWrites, wait)
+		case p.storeUnavailable.holds(p.now) || w.Revision != p.revision:
 			p.handle(Refused{p.time()})
 		default:
 			p.stored(w)
 		}
 	}
-	p.writing = append(p.writing, wait)
+	p.pendingWrites = append(p.pendingWrites, wait)
 }
 
 func (p *play) stored(w Write) {
@@ -92,11 +92,11 @@
 		p.out.moved = p.now
 	}
 	if w.Status.State == Completed {
-		p.out.cutCalls = p.inFlight
+		p.out.interrupted = p.inFlight
 	}
 	for i := range p.nodes {
-		at := p.now + time.Duration(p.rand.Float64()*float64(learnLatest))
-		p.nodes[i].coming = append(p.nodes[i].coming, seen{at: at, status: w.Status, rev: p.revision})
+		at := p.now + time.Duration(p.rand.Float64()*float64(maxStatusDelay))
+		p.nodes[i].updates = append(p.nodes[i].updates, statusUpdate{at: at, status: w.Status, rev: p.revision})
 	}
-	p.wrote(Learned{p.rollout(p.status, p.revision, false), p.time()})
+	p.statusWritten(Learned{p.rollout(p.status, p.revision, false), p.time()})
 }
--- a/fleet/relay/rollout/order.go
+++ b/fleet/relay/rollout/order.go
@@ -1,7 +1,7 @@
-// Package rollout decides how the calls of a service move to endpoints of another
-// version: which versions may get work, what part of the calls tries the new one,
-// when what they show is enough to go on or to go back, and when the old endpoints
-// may stop. It has no clock, no random numbers and no network of its own.
+// Package rollout decides how the calls of a service move to endpoints of another version: which
+// versions may get work, which share of the calls samples the new one, when the evidence suffices to
+// proceed or to revert, and when the old endpoints may stop. It uses no clock, random numbers or
+// network of its own.
 package rollout
 
 import (
@@ -13,17 +13,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Order is what an operator asks for: that a service's calls move to endpoints of a
-// version.
+// Order is an operator's request to move a service's calls to endpoints of a version.
 type Order struct {
 	Service  string
 	Target   string        // version
-	Duration time.Duration // from the order until all calls are to have moved
-	Made     int64         // number of the revision of the store at which it was made: another one is another order
+	Duration time.Duration // from the order until all calls must have moved
+	Made     int64         // number of the store's revision at which it was made: identifies the order
 }
 
-// Fault is why an order makes no sense; "" where it does. Such an order changes
-// nothing, and is logged.
+// Fault returns why an order is invalid; "" if it is valid. An invalid order changes nothing, and is
+// logged.
 func (o Order) Fault() string {
 	switch {
 	case o.Service == "":
@@ -36,44 +35,44 @@
 	return ""
 }
 
-// State is how far an order has come, as the store says.
+// State is the progress of an order, as stored.
 type State int
 
 // The states.
 const (
-	Ordered    State = iota // nothing is written yet: the target gets nothing
-	InProgress              // the target gets a part of the calls, or all new ones
-	Completed               // the target alone gets calls
-	Reverted                // the target gets nothing, for good
+	Ordered    State = iota // nothing is written yet: the target receives nothing
+	InProgress              // the target receives a share of the calls, or all new ones
+	Completed               // only the target receives calls
+	Reverted                // the target receives nothing, finally
 )
 
-// Status is what the fleet has agreed on for an order: it lies in the store.
+// Status is what the fleet has agreed on for an order. It is kept in the store.
 type Status struct {
 	State  State
-	Target string // of the order that it is about; another target is another order's status
-	Made   int64  // and that order's Made; 0 where it is not told
+	Target string // target of its order; a status with another target belongs to another order
+	Made   int64  // Made of its order; 0 if unknown
 	Stage  Stage
-	Share  float64       // of each node's calls that try the target while sampling
-	Parts  []Part        // shares of single routes; of the others Share holds
+	Share  float64       // of each node's calls that sample the target while sampling
+	Parts  []Part        // shares of single routes; Share applies to the others
 	Used   time.Duration // of the order's duration when the status was written
-	Filled float64       // while sampling: share that fills one endpoint as full as old ones; 0 is no pulses
-	Ill    uint32        // cohorts of the target, as bits, that are not tried: one ill endpoint each
-	First  int           // and which of the tried endpoints the first pulse fills
+	Filled float64       // while sampling: share that loads one endpoint like an old one; 0 without pulses
+	Ill    uint32        // bit set of the target's cohorts that are not sampled: one unhealthy endpoint each
+	First  int           // index of the sampled endpoint that the first pulse loads
 	Left   time.Duration // in the stage Moving: until old endpoints may stop
-	Full   time.Duration // and of that, how long at its end nearly all new calls go to the target
-	Barred []string      // versions of earlier orders that were not found good: they get nothing
+	Full   time.Duration // end of Left in which nearly all new calls go to the target
+	Barred []string      // versions of earlier orders that were not found good: they receive nothing
 	Writes int           // how often the status of this order was written
-	Usual  []Reference   // what the old version showed until then, for nodes that never saw it
+	Usual  []Reference   // the old version's baseline, for nodes that never observed it
 }
 
-// Part is the share of one route's calls that tries the target: routes with few calls
-// need a larger one.
+// Part is the share of one route's calls that samples the target: routes with few calls need a
+// larger one.
 type Part struct {
 	Route string
 	Share float64
 }
 
-// Stage is a part of the way while an order is in progress.
+// Stage is a phase of an order in progress.
 type Stage int
 
 // The stages.
@@ -82,19 +81,19 @@
 	Moving                // calls go to the target unless they end at an old endpoint in time
 )
 
-// Rollout is an order and its status, as one node knows them.
+// Rollout is an order and its status, as known to one node.
 type Rollout struct {
 	Order
 	Status   Status
 	Revision store.Revision // of the object in the store
 	Learned  time.Time      // when this node learned of this status, by its steady clock
-	Found    bool           // the status was there when this node first read of the order: how old it is isn't known
-	Lacking  bool           // the store came back from a copy without this status
+	Found    bool           // the status was there when this node first read the order: its age is unknown
+	Lacking  bool           // the store was restored from a copy without this status
 }
 
-// Outlasts is the rollout as a later era of the store holds it, with what was known of it in an
-// earlier one where that had come further. An operator's order that is written again is the
-// same order, whatever the revision at which it was made.
+// Outlasts returns the rollout as a later era of the store holds it, with the status known from an
+// earlier era if that is further along. An operator's order that is written again is the same order,
+// whatever the revision at which it was made.
 func (r Rollout) Outlasts(known Rollout) Rollout {
 	same := known.Service == r.Service && known.Target == r.Target && known.Duration == r.Duration
 	if !same || known.State() == Ordered || r.State() != Ordered && r.Status.Writes >= known.Status.Writes {
@@ -107,8 +106,7 @@
 	return r
 }
 
-// State is the state of the order itself: a status that is about an earlier order
-// says nothing of this one.
+// State returns the state of the order itself: the status of an earlier order doesn't count.
 func (r Rollout) State() State {
 	if r.Status.Target != r.Target || r.Status.Made != 0 && r.Status.Made != r.Made {
 		return Ordered
@@ -116,9 +114,8 @@
 	return r.Status.State
 }
 
-// Unproven lists the versions beside the target that may not get work: those of earlier
-// orders that ended badly or were replaced before their end. The target itself may be
-// ordered again.
+// Unproven returns the versions beside the target that may not get work: those of earlier orders
+// that ended badly or were replaced before their end. The target itself may be ordered again.
 func (r Rollout) Unproven() []string {
 	barred := lo.Without(r.Status.Barred, r.Target)
 	before := r.Status.Target
--- a/fleet/relay/rollout/pace.go
+++ b/fleet/relay/rollout/pace.go
@@ -6,60 +6,60 @@
 )
 
 const (
-	// paceHalf is after how long half of the answers of late has faded.
-	paceHalf = 700 * time.Millisecond
-	// paceLow is the part of the usual answers below which nodes are taken for silent, where
-	// it is more than paceErrors standard errors below.
-	paceLow    = 0.75
-	paceErrors = 2.0
-	// paceGap is from when on evidence that comes late was held up by the decider's own
-	// standstill: nodes tell several times as often.
-	paceGap = 700 * time.Millisecond
+	// paceHalfLife is the half-life of recent answers.
+	paceHalfLife = 700 * time.Millisecond
+	// minPacePart is the part of the typical number of answers below which nodes count as silent, if
+	// the number is also more than paceDeviations standard errors lower.
+	minPacePart    = 0.75
+	paceDeviations = 2.0
+	// stallGap is the shortest gap in the evidence that counts as a stall of the decider itself:
+	// nodes report several times as often.
+	stallGap = 700 * time.Millisecond
 )
 
-// pace is how fast evidence comes in: where nodes, or the one that decides, stand still,
-// answers are missing, and the time that passes proves nothing. It is immutable.
+// pace tracks how fast evidence comes in. While nodes or the decider stall, answers are missing, and
+// the time that passes proves nothing. It is an immutable value.
 type pace struct {
-	since   time.Time // what is usual is counted from then on, once others were heard
-	before  int       // answers until then
-	began   time.Time // of the evidence
-	all     int       // answers by the latest evidence
-	recent  float64   // answers of late
-	lasted  float64   // seconds in which they came, fading as these do
-	at      time.Time // of the latest evidence
-	missing time.Time // when answers were missing last
-	resumed time.Time // when evidence came again after it was held up
+	baselineSince   time.Time // start of the baseline, once other nodes were received
+	baselineAnswers int       // answers before baselineSince
+	evidenceStart   time.Time // when evidence first came in
+	answers         int       // answers in the latest evidence
+	recentAnswers   float64   // recent answers, decaying
+	recentSeconds   float64   // seconds in which they came, decaying likewise
+	latestAt        time.Time // time of the latest evidence
+	missingAt       time.Time // when answers were last missing
+	resumedAt       time.Time // when evidence resumed after a stall
 }
 
-// with takes in how many answers there are of an order of which so much is over. What others
-// saw before a decider began comes with the first words of theirs, and is no pace: until
-// these are in nothing is known of it.
+// with records the number of answers of an order of which the given time is used. What others
+// observed before a decider started arrives with their first reports and is not a rate: until then
+// the pace is unknown.
 func (p pace) with(all int, used time.Duration, now time.Time) pace {
-	if p.at.IsZero() {
-		p.began, p.at, p.all = now, now, all
+	if p.latestAt.IsZero() {
+		p.evidenceStart, p.latestAt, p.answers = now, now, all
 		return p
 	}
-	passed := max(now.Sub(p.at), time.Millisecond)
-	keep := keeps(passed, paceHalf)
-	p.recent, p.lasted = p.recent*keep+float64(all-p.all), p.lasted*keep+passed.Seconds()
-	p.at, p.all = now, all
-	hears := p.since.Before(p.began.Add(foundAfter))
-	if passed >= paceGap {
-		p.resumed, p.missing = now, now
-		if hears {
-			p.began = now // what others saw meanwhile is still to be heard
+	elapsed := max(now.Sub(p.latestAt), time.Millisecond)
+	retained := retention(elapsed, paceHalfLife)
+	p.recentAnswers, p.recentSeconds = p.recentAnswers*retained+float64(all-p.answers), p.recentSeconds*retained+elapsed.Seconds()
+	p.latestAt, p.answers = now, all
+	stillReceiving := p.baselineSince.Before(p.evidenceStart.Add(minOutage))
+	if elapsed >= stallGap {
+		p.resumedAt, p.missingAt = now, now
+		if stillReceiving {
+			p.evidenceStart = now // what others observed meanwhile is still to be received
 		}
 	}
-	if hears {
-		p.since, p.before, p.recent, p.lasted, p.missing = now, all, 0, 0, now
+	if stillReceiving {
+		p.baselineSince, p.baselineAnswers, p.recentAnswers, p.recentSeconds, p.missingAt = now, all, 0, 0, now
 		return p
 	}
-	// Nodes that were lost take what they saw with them, and a decider that has just begun may
-	// have seen nothing but a standstill: the greater one is usual.
-	perSecond := max(float64(all)/used.Seconds(), float64(all-p.before)/max(now.Sub(p.since), time.Millisecond).Seconds())
-	usual := perSecond * p.lasted
-	if p.recent+paceErrors*math.Sqrt(usual) < paceLow*usual {
-		p.missing = now
+	// Lost nodes take their counts with them, and a decider that has just started may have observed
+	// only a stall: the greater rate is the typical one.
+	perSecond := max(float64(all)/used.Seconds(), float64(all-p.baselineAnswers)/max(now.Sub(p.baselineSince), time.Millisecond).Seconds())
+	typical := perSecond * p.recentSeconds
+	if p.recentAnswers+paceDeviations*math.Sqrt(typical) < minPacePart*typical {
+		p.missingAt = now
 	}
 	return p
 }
--- a/fleet/relay/rollout/plan_test.go
+++ b/fleet/relay/rollout/plan_test.go
@@ -16,7 +16,7 @@
 }
 
 // shareOf counts what part of calls goes to the target.
-func shareOf(p Plan, c Call) float64 {
+func targetShare(p Plan, c Call) float64 {
 	const calls = 20_000
 	target := 0
 	for i := range uint64(calls) {
@@ -30,7 +30,7 @@
 
 func TestShareOfCallsThatTryTheTarget(t *testing.T) {
 	parts := []Part{{"small", 0.2}, {"large", 0.05}, {"once", 0.02}}
-	moving := Status{State: InProgress, Stage: Moving, Left: 8*time.Second + learnedLater, Full: time.Second, Share: 0.08}
+	moving := Status{State: InProgress, Stage: Moving, Left: 8*time.Second + maxLearnDelay, Full: time.Second, Share: 0.08}
 	for _, c := range []struct {
 		name string
 		plan Plan
@@ -49,11 +49,11 @@
 		{"moving, found bad", planOf(moving).WithBad(), Call{Lasts: time.Minute}, 0},
 		{"moving, ends in time", planOf(moving), Call{Lasts: time.Second}, 0.08},
 		{"moving, ends too late", planOf(moving), Call{Lasts: 9 * time.Second}, 1},
-		{"moving, in the ramp", planOf(moving), Call{Lasts: time.Second / 2, Now: epoch.Add(7*time.Second - ramp/2)}, 0.08 + 0.86/8},
+		{"moving, in the ramp", planOf(moving), Call{Lasts: time.Second / 2, Now: epoch.Add(7*time.Second - rampTime/2)}, 0.08 + 0.86/8},
 		{"moving, tried again in time", planOf(moving), Call{Lasts: time.Second, Attempt: 1, Now: epoch.Add(6800 * time.Millisecond)}, 0},
 		{"moving, tried again too late", planOf(moving), Call{Lasts: 2 * time.Second, Attempt: 1, Now: epoch.Add(6500 * time.Millisecond)}, 1},
-		{"moving, the target's proof", planOf(moving), Call{Lasts: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, risen},
-		{"moving, the target's proof, tried again", planOf(moving), Call{Lasts: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, risen},
+		{"moving, the target's proof", planOf(moving), Call{Lasts: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
+		{"moving, the target's proof, tried again", planOf(moving), Call{Lasts: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
 		{"completed", planOf(Status{State: Completed}), Call{}, 1},
 		{"completed, heard later that it is bad", planOf(Status{State: Completed}).WithBad(), Call{}, 1},
 		{"reverted", planOf(Status{State: Reverted}), Call{}, 0},
@@ -62,7 +62,7 @@
 			if c.call.Now.IsZero() {
 				c.call.Now = epoch
 			}
-			assert.InDelta(t, c.want, shareOf(c.plan, c.call), 0.01)
+			assert.InDelta(t, c.want, targetShare(c.plan, c.call), 0.01)
 		})
 	}
 }
--- a/fleet/relay/rollout/pulse.go
+++ b/fleet/relay/rollout/pulse.go
@@ -3,57 +3,57 @@
 import "time"
 
 const (
-	// pulseLasts is how long a pulse is: nodes learn of a status up to some hundred ms apart
-	// from each other, and an endpoint's load needs as long again to build up.
-	pulseLasts = 1700 * time.Millisecond
-	// pulseFills is how full a pulse makes an endpoint beside the old ones' mean: a quarter
-	// more, as nodes begin and end it apart from each other.
-	pulseFills = 1.25
-	// mostPulse is the most of a route's calls that a pulse takes: the others show what the
-	// old version does at the same time.
-	mostPulse = 0.6
+	// pulseDuration is the length of a pulse: nodes learn of a status up to some hundred ms apart,
+	// and an endpoint's load needs as long again to build up.
+	pulseDuration = 1700 * time.Millisecond
+	// pulseLoad is the load of an endpoint in a pulse relative to the old endpoints' mean: a quarter
+	// more, since nodes start and end the pulse at different times.
+	pulseLoad = 1.25
+	// maxPulseShare is the largest part of a route's calls in a pulse: the others show how the old
+	// version does at the same time.
+	maxPulseShare = 0.6
 )
 
-// Few endpoints can't be filled by a small share of the calls: three of three would be
-// tried at a twelfth of the load that they are to bear. There the share comes in pulses:
-// one endpoint after the other gets as many calls as an old one for a short time, and
-// between pulses the target gets none, so that it gets the share in the mean. A version
-// that breaks under load shows that at a third of what it would get in the move.
+// A small share of the calls can't load a few endpoints: three of three would be sampled at a
+// twelfth of the load that they are to bear. For those the share comes in pulses: for a short time
+// one endpoint after the other receives as many calls as an old one, and between pulses the target
+// receives none, so that its mean is the share. A version that breaks under load shows that at a
+// third of what it would receive in the move.
 
-// pulsed is the share that fills one endpoint, where the share of the calls fills fewer
-// endpoints than are tried at least; else 0.
-func pulsed(share float64, old int) float64 {
+// pulseShareFor returns the share of calls that loads one endpoint like an old one, if the given
+// share loads fewer endpoints than are sampled at least; otherwise 0.
+func pulseShareFor(share float64, old int) float64 {
 	if old == 0 {
 		return 0
 	}
-	fills := pulseFills / float64(old)
-	if share*float64(old) >= leastTried || share >= fills || fills >= 1 {
+	fillShare := pulseLoad / float64(old)
+	if share*float64(old) >= minSampledEndpoints || share >= fillShare || fillShare >= 1 {
 		return 0
 	}
-	return fills
+	return fillShare
 }
 
-// pulse is what a share of calls is at a moment.
-func (p *Plan) pulse(share float64, now time.Time) float64 {
+// pulsedShare returns what a share of calls is at a moment.
+func (p *Plan) pulsedShare(share float64, now time.Time) float64 {
 	if p.period == 0 {
 		return share
 	}
-	if p.since(now)%p.period >= pulseLasts {
+	if p.elapsed(now)%p.period >= pulseDuration {
 		return 0
 	}
-	return min(share*p.rollout.Status.Filled/p.rollout.Status.Share, mostPulse)
+	return min(share*p.rollout.Status.Filled/p.rollout.Status.Share, maxPulseShare)
 }
 
-// tried chooses which of the tried endpoints a pulse fills, one after the other.
-func (p *Plan) tried(endpoints int, now time.Time) (from, to int) {
+// pulseRange selects which of the sampled endpoints a pulse loads, one after the other.
+func (p *Plan) pulseRange(endpoints int, now time.Time) (from, to int) {
 	if p.period == 0 || endpoints == 0 {
 		return 0, endpoints
 	}
-	i := (p.rollout.Status.First + int(p.since(now)/p.period)) % endpoints
+	i := (p.rollout.Status.First + int(p.elapsed(now)/p.period)) % endpoints
 	return i, i + 1
 }
 
-// nextPulse is which endpoint is filled after the present one.
+// nextPulse returns which endpoint is loaded after the current one.
 func nextPulse(r Rollout, now time.Time) int {
 	every := period(r.Status)
 	if every == 0 {
@@ -62,21 +62,21 @@
 	return r.Status.First + int(max(now.Sub(r.Learned), 0)/every) + 1
 }
 
-// since is how long the status has been in force. Where it was found its first pulse is
-// taken for over: nodes that start anew, one after the other, would each begin one, and
-// the target would get many times its share.
-func (p *Plan) since(now time.Time) time.Duration {
+// elapsed returns how long the status has been in force. If the status was found, its first pulse
+// counts as over: otherwise nodes that restart one after the other would each start one, and the
+// target would receive many times its share.
+func (p *Plan) elapsed(now time.Time) time.Duration {
 	passed := max(now.Sub(p.rollout.Learned), 0)
 	if p.rollout.Found {
-		passed += pulseLasts
+		passed += pulseDuration
 	}
 	return passed
 }
 
-// period is the time from one pulse to the next.
+// period returns the time from one pulse to the next.
 func period(s Status) time.Duration {
 	if s.Filled <= s.Share || s.Share <= 0 || s.State != InProgress || s.Stage != Sampling {
 		return 0
 	}
-	return time.Duration(float64(pulseLasts) * s.Filled / s.Share)
+	return time.Duration(float64(pulseDuration) * s.Filled / s.Share)
 }
--- a/fleet/relay/rollout/pulse_test.go
+++ b/fleet/relay/rollout/pulse_test.go
@@ -15,13 +15,13 @@
 	r := Rollout{Order: order("v2", 10), Status: status, Revision: 20, Learned: epoch, Found: true}
 	r.Status.Target, r.Status.Made = "v2", 10
 	found := NewPlan(r)
-	inPulse := Call{Route: "r", Now: epoch.Add(pulseLasts / 2)}
-	assert.InDelta(t, 0.5, shareOf(seen, inPulse), 0.02)
-	assert.Zero(t, shareOf(found, inPulse))
+	inPulse := Call{Route: "r", Now: epoch.Add(pulseDuration / 2)}
+	assert.InDelta(t, 0.5, targetShare(seen, inPulse), 0.02)
+	assert.Zero(t, targetShare(found, inPulse))
 	mean := 0.0
 	const steps = 170 // of 0.1 s: one period
 	for i := range steps {
-		mean += shareOf(found, Call{Route: "r", Now: epoch.Add(time.Duration(i) * 100 * time.Millisecond)}) / steps
+		mean += targetShare(found, Call{Route: "r", Now: epoch.Add(time.Duration(i) * 100 * time.Millisecond)}) / steps
 	}
 	assert.InDelta(t, 0.05, mean, 0.01)
 }
--- a/fleet/relay/rollout/recorder.go
+++ b/fleet/relay/rollout/recorder.go
@@ -7,82 +7,80 @@
 )
 
 const (
-	// slowTimes is from how many times the old version's usual slowness on an answer is
-	// slow: versions that are bad by it are several times slower, and a usual answer is
-	// one in thirty times that slow; what both versions show of it cancels out.
-	slowTimes = 2.8
-	// commonStep and usualStep are how far one answer moves the usual logarithm of slowness,
-	// of the service and of its route: a change to twice the time shows within some 25
-	// answers of any route, also on those that the old version gets no more.
+	// slowFactor is the factor of the old version's baseline slowness from which an answer is slow.
+	// Versions that are bad by slowness are several times slower, and one in thirty healthy answers
+	// is that slow; this base rate cancels out, as both versions show it.
+	slowFactor = 2.8
+	// commonStep and routeStep are how far one answer moves the median logarithm of slowness of the
+	// service and of its route: twice the time shows within some 25 answers of any route, also on
+	// routes that the old version no longer receives.
 	commonStep = 0.03
-	usualStep  = 0.01
-	// mostRoutes bounds the evidence: a service with more is judged by the first ones.
-	mostRoutes = 24
-	// mostUnreached is how many attempts in a row without any answer may still be failed
-	// answers, and unreachedFor how long: after that the endpoint is out of this node's
-	// reach, which a cut does too.
-	mostUnreached = 2
-	unreachedFor  = 1500 * time.Millisecond
-	// referredBaseline is added to both sides of a comparison of times, so that what a packet
-	// or a busy node adds to a short call says little.
-	referredBaseline = time.Millisecond
-	// mostPending bounds the endpoints of which an attempt without answer is kept.
-	mostPending = 256
+	routeStep  = 0.01
+	// maxRoutes bounds the evidence: a service with more is judged by the first ones.
+	maxRoutes = 24
+	// maxUnreached is how many consecutive attempts without an answer still count as failures, and
+	// unreachedWindow how long. Beyond these the endpoint counts as unreachable from this node,
+	// which a network partition causes, too.
+	maxUnreached    = 2
+	unreachedWindow = 1500 * time.Millisecond
+	// referenceSlack is added to both sides of a comparison of times, so that the delay of a packet
+	// or of a busy node has little effect on short calls.
+	referenceSlack = time.Millisecond
+	// maxPending bounds the endpoints for which attempts without an answer are kept.
+	maxPending = 256
 )
 
-// Recorder counts one node's own evidence for an order since it knows of the order. It
-// changes in place, once an answer, and isn't safe for concurrent use.
+// Recorder counts one node's own evidence for an order since it knows of the order. It changes in
+// place, once per answer, and isn't safe for concurrent use.
 type Recorder struct {
-	evidence Evidence
-	common   float64     // median of the logarithm of the old version's slowness, on all routes
-	usual    []slowness  // by route: how far it lies from that
-	compared bool        // an answer of the old version was seen
-	referred []Reference // what others saw of the old version
-	pending  map[uint64][]Sample
+	evidence       Evidence
+	commonSlowness float64         // median logarithm of the old version's slowness on all routes
+	routeSlowness  []routeSlowness // by route: deviation from commonSlowness
+	hasBaseline    bool            // an answer of the old version was observed
+	references     []Reference     // what others observed of the old version
+	pending        map[uint64][]Sample
 }
 
-// NewRecorder returns a recorder for an order that has seen nothing.
+// NewRecorder returns a recorder without evidence for an order.
 func NewRecorder(o Order) *Recorder {
 	return &Recorder{evidence: Evidence{Service: o.Service, Made: o.Made}, pending: map[uint64][]Sample{}}
 }
 
-// Refer tells the recorder what others saw of the old version: where it has seen little of
-// it itself, it holds the target's answers against that.
-func (r *Recorder) Refer(to []Reference) {
-	if len(to) > 0 {
-		r.referred = to[:min(len(to), mostRoutes)]
+// Refer sets what others observed of the old version. Where the recorder has few answers of that
+// version itself, it compares the target's answers with the references.
+func (r *Recorder) Refer(references []Reference) {
+	if len(references) > 0 {
+		r.references = references[:min(len(references), maxRoutes)]
 	}
 }
 
-// Evidence is what the node has seen so far.
+// Evidence returns a copy of what the node has observed so far.
 func (r *Recorder) Evidence() Evidence {
 	return Evidence{Service: r.evidence.Service, Made: r.evidence.Made}.Plus(r.evidence)
 }
 
-// Sent counts a call that is sent: its answer is told later, by samples that say Sent. One
-// to a cold endpoint counts only if it fails: its answer shows neither that the version is
-// slow nor that it is not.
+// Sent counts a call when it is sent; its answer follows in samples that have Sent set. A call to a
+// cold endpoint counts only if it fails: its answer doesn't show whether the version is slow.
 func (r *Recorder) Sent(s Sample) {
 	if i := r.route(s); i >= 0 && s.Service == r.evidence.Service && !s.Cold {
 		r.add(i, s, Count{Answers: 1})
 	}
 }
 
-// Add takes an answer in, and says whether it counts as bad. A call that was counted when
-// it was sent may be told of twice, by its first event and by its end, unless the first
-// counted as bad; another one once. Attempts without any answer count as failed ones once
-// the endpoint answers this node again soon, and not at all where more than a few come in
-// a row.
+// Add records an answer and reports whether it counts as bad. A call that was counted by Sent may be
+// added twice, by its first event and by its end, unless the first counted as bad; any other call
+// once. Attempts without an answer count as failures once the endpoint answers this node again soon,
+// and not at all if more than a few come in a row.
 func (r *Recorder) Add(s Sample) bool {
 	if s.Service != r.evidence.Service {
 		return false
 	}
 	if s.Unreached {
-		r.keep(s)
+		r.hold(s)
 		return true
 	}
 	for _, earlier := range r.pending[s.Endpoint] {
-		if s.Now.Sub(earlier.Now) < unreachedFor {
+		if s.Now.Sub(earlier.Now) < unreachedWindow {
 			r.count(earlier)
 		}
 	}
@@ -90,44 +88,44 @@
 	return r.count(s)
 }
 
-// SlowFrom is from how many times what was expected an answer of a route counts as slow;
-// 0 is not known. Where others' word on the old version is all that is known, it is the
-// time after which an answer is slow.
+// SlowFrom returns the multiple of the expected time from which an answer of a route counts as slow;
+// 0 if unknown. Where only references of others are known, it returns the time after which an answer
+// is slow.
 func (r *Recorder) SlowFrom(route string) (times float64, after time.Duration) {
 	i := slices.IndexFunc(r.evidence.Routes, func(e RouteEvidence) bool { return e.Route == route })
 	known := 0
 	if i >= 0 {
-		known = r.usual[i].answers
+		known = r.routeSlowness[i].answers
 	}
-	switch limit := r.referredLimit(route); {
-	case known < expected && limit > 0:
+	switch limit := r.referenceLimit(route); {
+	case known < priorAnswers && limit > 0:
 		return 0, limit
 	case known > 0:
-		return slowTimes * math.Exp(r.usual[i].usual+r.common), 0
+		return slowFactor * math.Exp(r.routeSlowness[i].median+r.commonSlowness), 0
 	}
 	return 0, 0
 }
 
-// referredLimit is from when on an answer is slow by what others saw of the old version; 0
-// is not known.
-func (r *Recorder) referredLimit(route string) time.Duration {
-	for _, known := range r.referred {
+// referenceLimit returns the time from which an answer is slow by the references of others; 0 if
+// unknown.
+func (r *Recorder) referenceLimit(route string) time.Duration {
+	for _, known := range r.references {
 		if known.Route == route && known.Usual > 0 {
-			return time.Duration(slowTimes*float64(known.Usual+referredBaseline)) - referredBaseline
+			return time.Duration(slowFactor*float64(known.Usual+referenceSlack)) - referenceSlack
 		}
 	}
 	return 0
 }
 
-func (r *Recorder) keep(s Sample) {
-	held, known := r.pending[s.Endpoint]
+func (r *Recorder) hold(s Sample) {
+	pending, known := r.pending[s.Endpoint]
 	switch {
-	case !known && len(r.pending) >= mostPending:
-	case known && len(held) == 0: // out of reach already
-	case len(held) >= mostUnreached:
+	case !known && len(r.pending) >= maxPending:
+	case known && len(pending) == 0: // already unreachable
+	case len(pending) >= maxUnreached:
 		r.pending[s.Endpoint] = nil
 	default:
-		r.pending[s.Endpoint] = append(held, s)
+		r.pending[s.Endpoint] = append(pending, s)
 	}
 }
 
@@ -139,60 +137,61 @@
 	if s.Cold && !s.Failed {
 		return false
 	}
-	var one Count
+	var count Count
 	if !s.Sent || s.Cold {
-		one.Answers = 1
+		count.Answers = 1
 	}
-	if s.Failed || r.slow(i, s) {
-		one.Bad = 1
+	if s.Failed || r.isSlow(i, s) {
+		count.Bad = 1
 	}
-	r.add(i, s, one)
-	return one.Bad > 0
+	r.add(i, s, count)
+	return count.Bad > 0
 }
 
-func (r *Recorder) add(i int, s Sample, one Count) {
+func (r *Recorder) add(i int, s Sample, count Count) {
 	counts := &r.evidence.Routes[i].Old
 	if s.Target {
 		counts = &r.evidence.Routes[i].Target
 	}
 	c := CohortOf(s.Endpoint)
-	counts[c] = counts[c].Plus(one)
-	counts[c].Answers = max(counts[c].Answers, counts[c].Bad) // of a call that was sent before the order was known
+	counts[c] = counts[c].Plus(count)
+	counts[c].Answers = max(counts[c].Answers, counts[c].Bad) // the call was sent before the order was known
 }
 
-// route finds the place of a sample's route, or makes one; -1 where there are too many.
+// route returns the index of a sample's route and adds the route if needed; -1 if there are too
+// many.
 func (r *Recorder) route(s Sample) int {
 	for i := range r.evidence.Routes {
 		if r.evidence.Routes[i].Route == s.Route {
 			return i
 		}
 	}
-	if len(r.usual) == mostRoutes {
+	if len(r.routeSlowness) == maxRoutes {
 		return -1
 	}
 	r.evidence.Routes = append(r.evidence.Routes, RouteEvidence{Route: s.Route, Once: s.Once})
-	r.usual = append(r.usual, slowness{})
-	return len(r.usual) - 1
+	r.routeSlowness = append(r.routeSlowness, routeSlowness{})
+	return len(r.routeSlowness) - 1
 }
 
-// slow is whether an answer took several times what the old version usually takes on
-// the route; where nothing was expected it is not known.
-func (r *Recorder) slow(route int, s Sample) bool {
-	if limit := r.referredLimit(s.Route); s.Target && r.usual[route].answers < expected && limit > 0 {
+// isSlow reports whether an answer took several times the old version's baseline on the route.
+// Without an expectation it returns false.
+func (r *Recorder) isSlow(route int, s Sample) bool {
+	if limit := r.referenceLimit(s.Route); s.Target && r.routeSlowness[route].answers < priorAnswers && limit > 0 {
 		return s.Took >= limit
 	}
-	if s.Slowness <= 0 || s.Target && !r.compared {
-		return false // with nothing to hold it against
+	if s.Slowness <= 0 || s.Target && !r.hasBaseline {
+		return false // no baseline to compare with
 	}
-	teaches := !s.Target && !s.AtLeast
-	if s.AtLeast && r.usual[route].answers == 0 {
+	informs := !s.Target && !s.AtLeast
+	if s.AtLeast && r.routeSlowness[route].answers == 0 {
 		return false
 	}
-	lies := r.usual[route].lies(math.Log(s.Slowness)-r.common, !teaches)
-	if teaches {
-		r.compared = true
-		r.common += max(min(lies, commonStep), -commonStep)
-		r.evidence.Routes[route].UsualMs = r.usual[route].took(r.evidence.Routes[route].UsualMs, s.Took)
+	excess := r.routeSlowness[route].excess(math.Log(s.Slowness)-r.commonSlowness, !informs)
+	if informs {
+		r.hasBaseline = true
+		r.commonSlowness += max(min(excess, commonStep), -commonStep)
+		r.evidence.Routes[route].UsualMs = r.routeSlowness[route].nextMedianMs(r.evidence.Routes[route].UsualMs, s.Took)
 	}
-	return lies > math.Log(slowTimes)
+	return excess > math.Log(slowFactor)
 }
--- a/fleet/relay/rollout/recorder_test.go
+++ b/fleet/relay/rollout/recorder_test.go
@@ -43,7 +43,7 @@
 		{"a failure of a call that was sent before the order was known", []Sample{sample(true, func(s *Sample) { s.Sent, s.Failed = true, true })}, Count{1, 1}},
 		{"no answer, nothing after it", []Sample{lost(0)}, Count{}},
 		{"no answer, another one soon after", []Sample{lost(0), answered(time.Second)}, Count{2, 1}},
-		{"no answer, another one late after", []Sample{lost(0), answered(unreachedFor)}, Count{1, 0}},
+		{"no answer, another one late after", []Sample{lost(0), answered(unreachedWindow)}, Count{1, 0}},
 		{"out of reach", []Sample{lost(0), lost(0), lost(0), lost(0), answered(time.Second)}, Count{1, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 	r.Refer([]Reference{{Route: "r", Usual: usual, Answers: 20}})
 	times, after := r.SlowFrom("r")
 	assert.Zero(t, times)
-	assert.InDelta(t, slowTimes*float64(usual), float64(after), float64(2*referredBaseline))
+	assert.InDelta(t, slowFactor*float64(usual), float64(after), float64(2*referenceSlack))
 }
 
 // What a status tells of the old version is what all nodes saw of it, or what was known
@@ -164,7 +164,7 @@
 		{"two nodes, one knows no times", seen(100, Count{30, 0}).Plus(seen(0, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 40}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.want, referenceTo(c.e, c.before))
+			assert.Equal(t, c.want, updatedReferences(c.e, c.before))
 		})
 	}
 }
@@ -175,16 +175,16 @@
 		r.Add(sample(true, func(s *Sample) { s.Route, s.Endpoint = string(rune(i)), uint64(i) }))
 		r.Add(sample(true, func(s *Sample) { s.Endpoint, s.Unreached = uint64(i), true }))
 	}
-	assert.LessOrEqual(t, len(r.Evidence().Routes), mostRoutes)
-	assert.LessOrEqual(t, len(r.pending), mostPending)
+	assert.LessOrEqual(t, len(r.Evidence().Routes), maxRoutes)
+	assert.LessOrEqual(t, len(r.pending), maxPending)
 }
 
 func TestEvidenceOfARestartedNodeStillCounts(t *testing.T) {
 	g := NewGathered("svc", 10)
-	g.Take("a.1", told(Count{160, 0}, Count{16, 16}))
-	g.Take("a.2", told(Count{160, 0}, Count{16, 0}))
-	g.Take("a.2", told(Count{320, 0}, Count{32, 0}))
-	g.Take("a.2", told(Count{160, 0}, Count{16, 0})) // came late
+	g.Take("a.1", evidenceOf(Count{160, 0}, Count{16, 16}))
+	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0}))
+	g.Take("a.2", evidenceOf(Count{320, 0}, Count{32, 0}))
+	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0})) // came late
 	g.Take("b.1", Evidence{Service: "svc", Made: 9})
 	target, old := g.Sum().counts("")
 	assert.Equal(t, Count{48, 16}, target)
--- a/fleet/relay/rollout/set.go
+++ b/fleet/relay/rollout/set.go
@@ -9,19 +9,19 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Set is an immutable set of rollouts by the name of their object, at a revision of
-// the store.
+// Set is an immutable set of rollouts, keyed by the name of their object, as of a revision of the
+// store.
 type Set struct {
 	revision store.Revision
 	byName   map[string]Rollout
-	used     map[string][]string // by service: versions that this node has sent calls to
+	used     map[string][]string // by service: versions to which this node has sent calls
 }
 
-// Revision is the store's revision up to which the set is known.
+// Revision returns the store's revision up to which the set is complete.
 func (s Set) Revision() store.Revision { return s.revision }
 
-// Of finds the rollout of a service. Of several objects that name it the newest
-// order holds.
+// Of returns the rollout of a service. If several objects name the service, the newest order
+// applies.
 func (s Set) Of(service string) (Rollout, bool) {
 	var found Rollout
 	ok := false
@@ -33,19 +33,19 @@
 	return found, ok
 }
 
-// All lists the rollouts by the name of their object, in order.
+// All returns the rollouts, sorted by the name of their object.
 func (s Set) All() []Rollout {
 	return lo.Map(slices.Sorted(maps.Keys(s.byName)), func(name string, _ int) Rollout { return s.byName[name] })
 }
 
-// Name finds a rollout by the name of its object.
+// Name returns a rollout by the name of its object.
 func (s Set) Name(name string) (Rollout, bool) {
 	r, ok := s.byName[name]
 	return r, ok
 }
 
-// With returns the set with the rollout of an object, which is dropped where what is
-// known of that object is newer.
+// With returns the set with the rollout of an object, unless the set holds a newer revision of that
+// object.
 func (s Set) With(name string, r Rollout) Set {
 	if before, ok := s.byName[name]; ok && before.Revision > r.Revision {
 		return s
@@ -54,7 +54,7 @@
 	return s.At(r.Revision)
 }
 
-// Without returns the set without an object that was taken away.
+// Without returns the set without a deleted object.
 func (s Set) Without(name string) Set {
 	s.byName = lo.OmitByKeys(s.byName, []string{name})
 	return s
@@ -66,8 +66,8 @@
 	return s
 }
 
-// Using returns the set of a node that has sent calls of a service to a version: later
-// endpoints of that version need no wait for the orders to be known.
+// Using returns the set of a node that has sent calls of a service to a version: later endpoints of
+// that version need not wait until the orders are known.
 func (s Set) Using(service, version string) Set {
 	if lo.Contains(s.used[service], version) {
 		return s
@@ -77,5 +77,5 @@
 	return s
 }
 
-// Used is whether the node has sent calls of a service to a version.
+// Used reports whether the node has sent calls of a service to a version.
 func (s Set) Used(service, version string) bool { return lo.Contains(s.used[service], version) }
--- a/fleet/relay/rollout/share.go
+++ b/fleet/relay/rollout/share.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// tolerancePlanned is the part of the tolerance that sampling uses: the rest is for the
-	// draw, for calls that reach the service less often than was planned, and for the move.
-	tolerancePlanned = 0.7
-	// moveReserve is how much of all calls, as time of them, the bound must leave for the
-	// move: a version that breaks under load in the ramp is dropped within this.
-	// It takes some time, and some calls.
+	// plannedTolerancePart is the part of the tolerance that sampling uses: the rest covers sampling
+	// variance, calls that reach the service less often than planned, and the move.
+	plannedTolerancePart = 0.7
+	// moveReserve and moveCalls are the part of the bound that is reserved for the move, as time and
+	// as calls: a version that breaks under load in the ramp is dropped within this.
 	moveReserve = 1500 * time.Millisecond
 	moveCalls   = 15
-	// leastPlanned is the least part of the bound to sample, where an order leaves so little
-	// time that nothing else is left for the move.
-	leastPlanned = 0.5
-	// mostShare bounds the share where the tolerance alone would allow more.
-	mostShare = 0.4
-	// mostPart bounds a route's share against the service's: its calls may come to be more.
-	mostPart = 2.5
-	// onceWeight is how many samples a route gets whose calls may run only once, where
-	// another gets one.
-	onceWeight = 0.5
+	// minSampledPart is the least part of the bound to sample, where an order is so short that
+	// nothing else is left for the move.
+	minSampledPart = 0.5
+	// maxShare bounds the share where the tolerance alone would allow more.
+	maxShare = 0.4
+	// maxRouteFactor bounds a route's share as a multiple of the service's: its calls may become
+	// more frequent.
+	maxRouteFactor = 2.5
+	// onceRouteWeight is how many samples a route gets whose calls may run only once, relative to
+	// other routes.
+	onceRouteWeight = 0.5
 )
 
-// Rates is calls a second by route, and which may run only once.
+// Rates is the calls per second by route.
 type Rates []Rate
 
-// Rate is the calls a second of a route.
+// Rate is the calls per second of a route.
 type Rate struct {
 	Route     string
 	Once      bool
 	PerSecond float64
 }
 
-// rates is how often calls were answered since a moment.
-func rates(e Evidence, since Evidence, passed time.Duration) Rates {
-	if passed <= 0 {
+// rates returns the answered calls per second between two states of the evidence.
+func rates(e Evidence, since Evidence, elapsed time.Duration) Rates {
+	if elapsed <= 0 {
 		return nil
 	}
 	all := make(Rates, 0, len(e.Routes))
 	for _, r := range e.Routes {
-		before := since.Route(r.Route)
-		answers := r.Old.Plus(r.Target).Sum().Answers - before.Old.Plus(before.Target).Sum().Answers
-		all = append(all, Rate{r.Route, r.Once, float64(answers) / passed.Seconds()})
+		earlier := since.Route(r.Route)
+		answers := r.Old.Plus(r.Target).Sum().Answers - earlier.Old.Plus(earlier.Target).Sum().Answers
+		all = append(all, Rate{r.Route, r.Once, float64(answers) / elapsed.Seconds()})
 	}
 	return all
 }
@@ -60,49 +60,48 @@
 	return sum
 }
 
-// share is the part of a service's calls to sample: what the bound leaves beside the
-// move, and what the tolerance allows beyond it over the order's duration, which is much
-// where few calls come.
-func (r Rule) share(perSecond float64, duration time.Duration) float64 {
+// sampledShare returns the share of a service's calls to sample: what the bound leaves beside the
+// move, plus what the tolerance allows over the order's duration, which is much where few calls
+// come.
+func (r Rule) sampledShare(perSecond float64, duration time.Duration) float64 {
 	tolerated := 0.0
 	if calls := perSecond * duration.Seconds(); calls > 0 {
-		tolerated = tolerancePlanned * float64(r.Tolerance) / calls
+		tolerated = plannedTolerancePart * float64(r.Tolerance) / calls
 	}
 	move := (moveReserve.Seconds() + moveCalls/perSecond) / duration.Seconds()
 	planned := min(r.Share+tolerated-move, r.Planned*r.Share+tolerated)
-	return min(max(planned, leastPlanned*r.Share), max(mostShare, r.Planned*r.Share))
+	return min(max(planned, minSampledPart*r.Share), max(maxShare, r.Planned*r.Share))
 }
 
-// first is the part to sample before it is known how many calls come.
-func (r Rule) first(duration time.Duration) float64 {
-	return min(r.share(math.Inf(1), duration), r.Planned*r.Share)
+// initialShare returns the share to sample before the rate of calls is known.
+func (r Rule) initialShare(duration time.Duration) float64 {
+	return min(r.sampledShare(math.Inf(1), duration), r.Planned*r.Share)
 }
 
-// parts divides a share of the service's calls by routes, such that each gets about as
-// many samples as another, however often it is called. Where the share comes in pulses,
-// a pulse is divided so.
-func parts(share, filled float64, rates Rates) []Part {
+// routeShares divides a share of the service's calls among routes, such that each gets about as many
+// samples as another, however often it is called. If the share comes in pulses, it divides a pulse.
+func routeShares(share, filled float64, rates Rates) []Part {
 	if filled == 0 {
-		return divided(share, mostPart*share, rates)
+		return divide(share, maxRouteFactor*share, rates)
 	}
-	return lo.Map(divided(filled, mostPulse, rates), func(p Part, _ int) Part {
+	return lo.Map(divide(filled, maxPulseShare, rates), func(p Part, _ int) Part {
 		return Part{p.Route, p.Share * share / filled}
 	})
 }
 
-// divided gives routes their parts of a share; what is more than the most goes to others.
-func divided(share, most float64, rates Rates) []Part {
+// divide gives routes their parts of a share; what exceeds the maximum of one goes to the others.
+func divide(share, maximum float64, rates Rates) []Part {
 	left := share * rates.sum()
 	chosen := make(map[string]float64, len(rates))
 	open := lo.Filter(rates, func(r Rate, _ int) bool { return r.PerSecond > 0 })
 	for len(open) > 0 {
 		each := left / lo.SumBy(open, Rate.weight)
-		full, rest := lo.FilterReject(open, func(r Rate, _ int) bool { return each*r.weight() > most*r.PerSecond })
-		for _, r := range full {
-			chosen[r.Route] = most
-			left -= most * r.PerSecond
+		capped, rest := lo.FilterReject(open, func(r Rate, _ int) bool { return each*r.weight() > maximum*r.PerSecond })
+		for _, r := range capped {
+			chosen[r.Route] = maximum
+			left -= maximum * r.PerSecond
 		}
-		if len(full) == 0 {
+		if len(capped) == 0 {
 			for _, r := range rest {
 				chosen[r.Route] = each * r.weight() / r.PerSecond
 			}
@@ -117,7 +116,7 @@
 
 func (r Rate) weight() float64 {
 	if r.Once {
-		return onceWeight
+		return onceRouteWeight
 	}
 	return 1
 }
--- a/fleet/relay/rollout/site_test.go
+++ b/fleet/relay/rollout/site_test.go
@@ -15,8 +15,8 @@
 	perSecond float64
 	once      bool
 	first     time.Duration // median time until the first event of a stream; 0 is none
-	usual     time.Duration // median time of a call
-	most      time.Duration // as a node expects it, which one in a hundred exceeds
+	median    time.Duration // median time of a call
+	maximum   time.Duration // as a node expects it, which one in a hundred exceeds
 }
 
 // shows is the median time until a call's slowness shows first.
@@ -24,7 +24,7 @@
 	if r.first > 0 {
 		return r.first
 	}
-	return r.usual
+	return r.median
 }
 
 // modelService is what a roll-out is drawn for.
@@ -91,7 +91,7 @@
 }
 
 // drawn is one roll-out: what is rolled out, where, and what else happens meanwhile.
-type drawn struct {
+type scenario struct {
 	seed     uint64
 	service  modelService
 	tenth    bool
@@ -101,40 +101,40 @@
 	version  fault // of the target: bad where it is one
 	form     string
 
-	illTarget, illOld fault // of one endpoint
-	both              fault // of all endpoints, during bothAt
-	bothAt            span
-	hot               string // a route with three times the calls during hotAt
-	hotAt             span
-	cold              time.Duration // after the order: the target's endpoints say that they are slow
-	empty             bool          // the target's prompts aren't kept yet: its first answers are slower
-	storeSlow         span
-	storeAway         span
-	cut               span // of zone z0
-	restarts          []time.Duration
-	deciderEnds       time.Duration // 0: it does not
-	allEnd            time.Duration
-	troubles          []string
+	unhealthyTarget, unhealthyOld fault // of one endpoint
+	faultOfBoth                   fault // of all endpoints, during bothAt
+	bothDuring                    span
+	hot                           string // a route with three times the calls during hotAt
+	hotDuring                     span
+	cold                          time.Duration // after the order: the target's endpoints say that they are slow
+	empty                         bool          // the target's prompts aren't kept yet: its first answers are slower
+	storeSlow                     span
+	storeUnavailable              span
+	partition                     span // of zone z0
+	restarts                      []time.Duration
+	deciderEnds                   time.Duration // 0: it does not
+	allEnd                        time.Duration
+	troubles                      []string
 }
 
 // bad is whether the version drawn is a bad one.
-func (d drawn) bad() bool { return d.form != "good" }
+func (d scenario) bad() bool { return d.form != "good" }
 
 func within(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
 
-func (d *drawn) moment(r *rand.Rand, least, most float64) time.Duration {
+func (d *scenario) moment(r *rand.Rand, least, most float64) time.Duration {
 	return time.Duration(within(r, least, most) * float64(d.duration))
 }
 
-func (d *drawn) span(r *rand.Rand, least, most time.Duration) span {
+func (d *scenario) span(r *rand.Rand, least, most time.Duration) span {
 	from := d.moment(r, 0, 0.9)
 	return span{from, from + time.Duration(within(r, float64(least), float64(most)))}
 }
 
 // draw draws a roll-out by its seed.
-func draw(seed uint64) drawn {
+func draw(seed uint64) scenario {
 	r := rand.New(rand.NewPCG(seed, 35))
-	d := drawn{seed: seed, service: modelServices[r.IntN(len(modelServices))], tenth: r.IntN(3) == 0, form: "good"}
+	d := scenario{seed: seed, service: modelServices[r.IntN(len(modelServices))], tenth: r.IntN(3) == 0, form: "good"}
 	if d.tenth {
 		d.service.routes = append([]modelRoute(nil), d.service.routes...)
 		for i := range d.service.routes {
@@ -156,8 +156,8 @@
 	return d
 }
 
-func (d *drawn) drawVersion(r *rand.Rand) {
-	f := illness(r)
+func (d *scenario) drawVersion(r *rand.Rand) {
+	f := drawFault(r)
 	d.form = "from the start"
 	switch r.IntN(5) {
 	case 1:
@@ -175,33 +175,35 @@
 
 // illness is how a version or an endpoint is bad: it fails a share of its answers or is
 // several times slower.
-func illness(r *rand.Rand) fault {
+func drawFault(r *rand.Rand) fault {
 	if r.IntN(2) == 0 {
 		return fault{fails: within(r, 0.2, 0.8)}
 	}
 	return fault{slower: within(r, 3, 6)}
 }
 
-func (d *drawn) drawTrouble(r *rand.Rand) {
+func (d *scenario) drawTrouble(r *rand.Rand) {
 	troubles := []struct {
 		name string
 		draw func()
 	}{
-		{"ill endpoint of the target", func() { d.illTarget = illness(r) }},
-		{"ill endpoint of the old version", func() { d.illOld = illness(r) }},
-		{"flapping endpoint of the target", func() { d.illTarget = fault{fails: 1, flaps: 1500 * time.Millisecond} }},
+		{"ill endpoint of the target", func() { d.unhealthyTarget = drawFault(r) }},
+		{"ill endpoint of the old version", func() { d.unhealthyOld = drawFault(r) }},
+		{"flapping endpoint of the target", func() { d.unhealthyTarget = fault{fails: 1, flaps: 1500 * time.Millisecond} }},
 		{"answers lost at both", func() {
-			d.both, d.bothAt = fault{fails: within(r, 0.05, 0.3)}, d.span(r, 3*time.Second, 10*time.Second)
+			d.faultOfBoth, d.bothDuring = fault{fails: within(r, 0.05, 0.3)}, d.span(r, 3*time.Second, 10*time.Second)
+		}},
+		{"both slower", func() {
+			d.faultOfBoth, d.bothDuring = fault{slower: within(r, 1.5, 4)}, d.span(r, 3*time.Second, 10*time.Second)
 		}},
-		{"both slower", func() { d.both, d.bothAt = fault{slower: within(r, 1.5, 4)}, d.span(r, 3*time.Second, 10*time.Second) }},
 		{"hot customer", func() {
-			d.hot, d.hotAt = d.service.routes[r.IntN(len(d.service.routes))].name, d.span(r, 3*time.Second, 15*time.Second)
+			d.hot, d.hotDuring = d.service.routes[r.IntN(len(d.service.routes))].name, d.span(r, 3*time.Second, 15*time.Second)
 		}},
 		{"cold target", func() { d.cold = time.Duration(within(r, 2, 5) * float64(time.Second)) }},
 		{"empty caches", func() { d.empty = true }},
 		{"slow store", func() { d.storeSlow = d.span(r, 3*time.Second, 10*time.Second) }},
-		{"store away", func() { d.storeAway = d.span(r, 2*time.Second, 6*time.Second) }},
-		{"zone cut", func() { d.cut = d.span(r, 3*time.Second, 8*time.Second) }},
+		{"store away", func() { d.storeUnavailable = d.span(r, 2*time.Second, 6*time.Second) }},
+		{"zone cut", func() { d.partition = d.span(r, 3*time.Second, 8*time.Second) }},
 		{"restarts", func() {
 			for range 1 + r.IntN(5) {
 				d.restarts = append(d.restarts, d.moment(r, 0, 1))
@@ -215,7 +217,7 @@
 	d.troubles = append(d.troubles, t.name)
 }
 
-func (d drawn) String() string {
+func (d scenario) String() string {
 	return fmt.Sprintf("seed %d: %s tenth=%v %s over %s, %d nodes, version %+v, %v",
 		d.seed, d.service.name, d.tenth, d.form, d.duration.Round(time.Second/10), d.nodes, d.version, d.troubles)
 }
@@ -233,7 +235,7 @@
 	return n
 }
 
-func modelEngines(d drawn) []engine.Engine {
+func modelEngines(d scenario) []engine.Engine {
 	all := append(endpoints("v1", d.service.old, 5), endpoints("v2", d.targets, 12)...)
 	return engine.NewDirectory(12, all).Of("svc")
 }
--- a/fleet/relay/rollout/slowness.go
+++ b/fleet/relay/rollout/slowness.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// expected is how many answers an expectation counts for.
-const expected = 3
+// priorAnswers is the number of answers for which an expectation counts.
+const priorAnswers = 3
 
-// slowness is what one node knows of how slow a route's answers of the old version
-// usually are, against what was expected of them.
-type slowness struct {
-	usual   float64 // median of its logarithm
-	answers int     // that it is known from
+// routeSlowness is what one node knows of the old version's slowness on a route, relative to the
+// expected times.
+type routeSlowness struct {
+	median  float64 // median of its logarithm
+	answers int     // number of answers behind it
 }
 
-// took is the median of the times that answers took, in ms, after one more. Later ones
-// move it by ever smaller parts.
-func (k *slowness) took(medianMs float64, one time.Duration) float64 {
+// nextMedianMs returns the median time of answers in ms after one more answer. Later answers move it
+// by ever smaller steps.
+func (s *routeSlowness) nextMedianMs(medianMs float64, one time.Duration) float64 {
 	ms := float64(one) / float64(time.Millisecond)
 	switch {
 	case ms <= 0:
@@ -25,25 +25,26 @@
 	case medianMs <= 0:
 		return ms
 	}
-	step := max(usualStep, 1/float64(k.answers+1))
+	step := max(routeStep, 1/float64(s.answers+1))
 	return medianMs * math.Exp(max(min(math.Log(ms/medianMs), step), -step))
 }
 
-// lies is how far the logarithm of an answer's slowness lies above what is usual. A first
-// answer far from what was expected tells what that is, and others move it by ever smaller
-// steps, as if three had been as expected: from expectations that are far too low, a slower start would count many
-// answers of the old version as slow, which hides a target that is bad.
-func (k *slowness) lies(slow float64, target bool) float64 {
-	lies := slow - k.usual
+// excess returns how far the logarithm of an answer's slowness lies above the median, and updates
+// the median unless the answer is the target's. A first answer far from the expectation sets the
+// median, and later ones move it by ever smaller steps, as if three had been as expected. With
+// expectations that are far too low, a slower start would count many answers of the old version as
+// slow, which would hide a bad target.
+func (s *routeSlowness) excess(logSlowness float64, target bool) float64 {
+	excess := logSlowness - s.median
 	switch {
-	case k.answers == 0 && !target && math.Abs(lies) > math.Ln2:
-		k.usual, lies = k.usual+lies, 0
+	case s.answers == 0 && !target && math.Abs(excess) > math.Ln2:
+		s.median, excess = s.median+excess, 0
 	case !target:
-		step := max(usualStep, 1/float64(k.answers+expected))
-		k.usual += max(min(lies, step), -step)
+		step := max(routeStep, 1/float64(s.answers+priorAnswers))
+		s.median += max(min(excess, step), -step)
 	}
 	if !target {
-		k.answers++
+		s.answers++
 	}
-	return lies
+	return excess
 }
--- a/fleet/relay/rollout/split.go
+++ b/fleet/relay/rollout/split.go
@@ -10,22 +10,22 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// leastTried is how many endpoints of the target are tried at least: one that is ill
-// is told from a bad version only beside two others.
-const leastTried = 3
+// minSampledEndpoints is the minimum number of endpoints of the target that are sampled: an
+// unhealthy endpoint can be distinguished from a bad version only beside two others.
+const minSampledEndpoints = 3
 
-// Lists is which endpoints of a service may get work, by version. It is made anew
-// whenever the directory or the set of rollouts changes, not for a call.
+// Lists holds the endpoints of a service that may get work, by version. It is recreated whenever the
+// directory or the set of rollouts changes, not per call.
 type Lists struct {
 	Rollout  Rollout
 	HasOrder bool
 	Old      []engine.Engine // that may get work beside the target
 	Target   []engine.Engine // of the order's version, while it may get work
-	Tried    []engine.Engine // the few of Target that the share goes to while sampling
+	Sampled  []engine.Engine // the few of Target that receive the share while sampling
 	All      []engine.Engine // that may get work
 }
 
-// For lists the endpoints among which an attempt chooses, by the plan.
+// For returns the endpoints among which an attempt chooses, by the plan.
 func (l *Lists) For(p *Plan, c Call) []engine.Engine {
 	switch p.Side(c) {
 	case Any:
@@ -36,73 +36,73 @@
 	if p.state != InProgress || p.rollout.Status.Stage != Sampling {
 		return l.Target
 	}
-	from, to := p.tried(len(l.Tried), c.Now)
-	return l.Tried[from:to]
+	from, to := p.pulseRange(len(l.Sampled), c.Now)
+	return l.Sampled[from:to]
 }
 
-// Split sorts the endpoints of a service by what its order and the order's status let
-// them get.
+// Split groups the endpoints of a service by what its order and the order's status allow them to
+// receive.
 func Split(engines []engine.Engine, s Set, service string) Lists {
 	r, ordered := s.Of(service)
 	if !ordered {
-		return Lists{All: known(engines, s, service)}
+		return Lists{All: withKnownVersions(engines, s, service)}
 	}
 	barred := r.Unproven()
 	target := lo.Filter(engines, func(e engine.Engine, _ int) bool { return e.Version == r.Target })
 	old := lo.Filter(engines, func(e engine.Engine, _ int) bool {
 		return e.Version != r.Target && !lo.Contains(barred, e.Version)
 	})
-	old = known(old, s, service)
+	old = withKnownVersions(old, s, service)
 	l := Lists{Rollout: r, HasOrder: true}
 	switch r.State() {
 	case InProgress:
 		l.Old, l.Target = old, target
-		l.Tried = tried(sound(target, r.Status.Ill), old, r.Status.Share)
+		l.Sampled = sampledEndpoints(withoutUnhealthy(target, r.Status.Ill), old, r.Status.Share)
 	case Completed:
 		l.Target = target
 	case Reverted:
 		l.Old = old
 	case Ordered:
-		l.Old = served(old, target, r)
+		l.Old = servable(old, target, r)
 	}
 	l.All = slices.Concat(l.Old, l.Target)
 	return l
 }
 
-// served is what an order that nothing is written of leaves: all but the target. Where
-// there is nothing else, what is there of the target since before the order is what the
-// service runs on, and it goes on.
-func served(old, target []engine.Engine, r Rollout) []engine.Engine {
+// servable returns the endpoints that may get work under an order without a status: all but the
+// target. If there are no others, endpoints of the target that are older than the order are what the
+// service runs on, and stay in use.
+func servable(old, target []engine.Engine, r Rollout) []engine.Engine {
 	if len(old) > 0 {
 		return old
 	}
 	return lo.Filter(target, func(e engine.Engine, _ int) bool { return e.Seen.Number() < r.Made })
 }
 
-// known drops endpoints that an order may concern which this node hasn't heard of yet:
-// their entry is newer than the orders it knows, and nothing ran on their version here.
-func known(engines []engine.Engine, s Set, service string) []engine.Engine {
-	var settled []string
+// withKnownVersions drops endpoints that may be subject to an order which this node hasn't received
+// yet: their entry is newer than the orders it knows, and nothing ran on their version here.
+func withKnownVersions(engines []engine.Engine, s Set, service string) []engine.Engine {
+	var knownVersions []string
 	for _, e := range engines {
-		if e.Seen <= s.Revision() && !lo.Contains(settled, e.Version) {
-			settled = append(settled, e.Version)
+		if e.Seen <= s.Revision() && !lo.Contains(knownVersions, e.Version) {
+			knownVersions = append(knownVersions, e.Version)
 		}
 	}
 	return lo.Filter(engines, func(e engine.Engine, _ int) bool {
-		return lo.Contains(settled, e.Version) || s.Used(service, e.Version)
+		return lo.Contains(knownVersions, e.Version) || s.Used(service, e.Version)
 	})
 }
 
-// tried chooses endpoints of the target, alike at all nodes, that hold the share of the
-// service's calls as full as the old ones hold the rest. They lie in as many zones, and
-// count in as many cohorts, as can be.
-func tried(target, old []engine.Engine, share float64) []engine.Engine {
+// sampledEndpoints chooses endpoints of the target, the same at all nodes, that bear the share of
+// the service's calls at the load at which the old ones bear the rest. They are spread over as many
+// zones and cohorts as possible.
+func sampledEndpoints(target, old []engine.Engine, share float64) []engine.Engine {
 	ready := lo.Filter(target, func(e engine.Engine, _ int) bool { return !e.Ends() })
-	need := int(math.Ceil(share * float64(slotsOf(old))))
+	need := int(math.Ceil(share * float64(totalSlots(old))))
 	var chosen []engine.Engine
 	slots := 0
-	for _, e := range spread(ready) {
-		if len(chosen) >= leastTried && slots >= need {
+	for _, e := range spreadByZone(ready) {
+		if len(chosen) >= minSampledEndpoints && slots >= need {
 			break
 		}
 		chosen = append(chosen, e)
@@ -111,25 +111,26 @@
 	return chosen
 }
 
-// sound drops endpoints of cohorts that were found ill, if others are left to compare.
-func sound(target []engine.Engine, ill uint32) []engine.Engine {
-	rest := lo.Reject(target, func(e engine.Engine, _ int) bool { return ill&(1<<CohortOf(e.Hash)) != 0 })
-	if len(rest) < leastTried-1 {
+// withoutUnhealthy drops endpoints of cohorts that were found unhealthy, if others are left to
+// compare.
+func withoutUnhealthy(target []engine.Engine, unhealthy uint32) []engine.Engine {
+	healthy := lo.Reject(target, func(e engine.Engine, _ int) bool { return unhealthy&(1<<CohortOf(e.Hash)) != 0 })
+	if len(healthy) < minSampledEndpoints-1 {
 		return target
 	}
-	return rest
+	return healthy
 }
 
-func slotsOf(engines []engine.Engine) int {
+func totalSlots(engines []engine.Engine) int {
 	return lo.SumBy(engines, func(e engine.Engine) int { return max(e.Slots, 1) })
 }
 
-// spread orders endpoints by hash, such that the first of each zone go before the
-// second ones, and among these the first of each cohort.
-func spread(engines []engine.Engine) []engine.Engine {
+// spreadByZone sorts endpoints by hash, such that the first of each zone come before the second
+// ones, and among these the first of each cohort.
+func spreadByZone(engines []engine.Engine) []engine.Engine {
 	type placed struct {
 		engine.Engine
-		zone, cohort int // how many of them go before it
+		zone, cohort int // how many of its zone and of its cohort come before it
 	}
 	sorted := slices.Clone(engines)
 	slices.SortFunc(sorted, func(a, b engine.Engine) int { return cmp.Compare(a.Hash, b.Hash) })
--- a/fleet/relay/rollout/split_test.go
+++ b/fleet/relay/rollout/split_test.go
@@ -142,10 +142,10 @@
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			target := endpoints("v2", c.target, 12)
-			chosen := tried(target, endpoints("v1", c.old, 5), c.share)
+			chosen := sampledEndpoints(target, endpoints("v1", c.old, 5), c.share)
 			assert.Len(t, chosen, c.want)
 			assert.Len(t, lo.UniqBy(chosen, func(e engine.Engine) string { return e.Zone }), min(3, c.want), "zones")
-			assert.Equal(t, chosen, tried(turned(target), endpoints("v1", c.old, 5), c.share), "alike at all nodes")
+			assert.Equal(t, chosen, sampledEndpoints(reversed(target), endpoints("v1", c.old, 5), c.share), "alike at all nodes")
 		})
 	}
 }
@@ -153,10 +153,10 @@
 func TestDrainingEndpointsAreNotTried(t *testing.T) {
 	target := endpoints("v2", 4, 12)
 	target[0].State = engine.Draining
-	assert.NotContains(t, tried(target, endpoints("v1", 4, 5), 0.1), target[0])
+	assert.NotContains(t, sampledEndpoints(target, endpoints("v1", 4, 5), 0.1), target[0])
 }
 
-func turned(engines []engine.Engine) []engine.Engine {
+func reversed(engines []engine.Engine) []engine.Engine {
 	engines = slices.Clone(engines)
 	slices.Reverse(engines)
 	return engines
--- a/fleet/relay/rollout/standing_test.go
+++ b/fleet/relay/rollout/standing_test.go
@@ -11,70 +11,70 @@
 
 // standing is a standstill of processes while calls move. Node 0 decides, and the first node
 // of each zone tells the others' words on.
-type standing struct {
-	who         who
-	into, lasts time.Duration // of the move
-	version     fault         // from shortly before it on; the zero value is a good one
-	over        bool
-	ticked      time.Duration // when the decider looked last
-	hears       time.Duration // until then it hears others first
+type stall struct {
+	scope          stallScope
+	into, duration time.Duration // of the move
+	version        fault         // from shortly before it on; the zero value is a good one
+	over           bool
+	lastTick       time.Duration // when the decider looked last
+	listenUntil    time.Duration // until then it hears others first
 }
 
 // who is whose processes stand still.
-type who string
+type stallScope string
 
 const (
-	theDecider who = "the decider"
-	theOthers  who = "all but the decider"
-	everyone   who = "all, which go on apart"
+	onlyDecider   stallScope = "the decider"
+	allButDecider stallScope = "all but the decider"
+	everyone      stallScope = "all, which go on apart"
 )
 
 const (
-	modelHeldUp   = 500 * time.Millisecond // beyond a round, after which a decider stood still
-	modelHearsFor = 400 * time.Millisecond
-	goOnApart     = 400 * time.Millisecond // between the first process that goes on and the last
-	modelPatience = 2 * step               // of a timer that was due in a standstill
+	modelStallAfter = 500 * time.Millisecond // beyond a round, after which a decider stood still
+	modelListenTime = 400 * time.Millisecond
+	resumeSpread    = 400 * time.Millisecond // between the first process that goes on and the last
+	modelTimerDelay = 2 * step               // of a timer that was due in a standstill
 )
 
 // standStill lets the standstill begin once calls have moved for so long.
-func (p *play) standStill() {
-	s := p.standing
+func (p *play) applyStall() {
+	s := p.stall
 	if s == nil || s.over || p.out.moved == 0 || p.now < p.out.moved+s.into || p.status.State != InProgress {
 		return
 	}
-	s.over, p.out.stood = true, true
+	s.over, p.out.stalled = true, true
 	p.version = s.version
-	p.version.since = p.now - turnsBefore
-	p.out.drawn = p.drawn
+	p.version.since = p.now - badBeforeLoss
+	p.out.scenario = p.scenario
 	for k := range p.nodes {
-		until := p.now + s.lasts
+		until := p.now + s.duration
 		switch {
-		case s.who == theDecider && k > 0, s.who == theOthers && k == 0:
+		case s.scope == onlyDecider && k > 0, s.scope == allButDecider && k == 0:
 			continue
-		case s.who == everyone:
-			until += time.Duration(p.rand.Float64() * float64(goOnApart))
+		case s.scope == everyone:
+			until += time.Duration(p.rand.Float64() * float64(resumeSpread))
 		}
-		p.nodes[k].stands = span{p.now, until}
+		p.nodes[k].stall = span{p.now, until}
 	}
 }
 
-func (p *play) stands(k int) bool { return p.nodes[k].stands.holds(p.now) }
+func (p *play) stalled(k int) bool { return p.nodes[k].stall.holds(p.now) }
 
 // unheard is whether what a node says reaches the decider, by the first one of its zone.
-func (p *play) unheard(k int) bool {
+func (p *play) unreachable(k int) bool {
 	zone := p.nodes[k].zone
-	return p.stands(k) || zone < len(p.nodes) && p.stands(zone)
+	return p.stalled(k) || zone < len(p.nodes) && p.stalled(zone)
 }
 
 // wake has nodes that go on send the calls that lay in their sockets.
-func (p *play) wake() {
+func (p *play) resumeStalled() {
 	for k := range p.nodes {
 		n := &p.nodes[k]
-		if len(n.held) == 0 || p.stands(k) {
+		if len(n.queued) == 0 || p.stalled(k) {
 			continue
 		}
-		held := n.held
-		n.held = nil
+		held := n.queued
+		n.queued = nil
 		for _, send := range held {
 			send()
 		}
@@ -83,37 +83,37 @@
 
 // unread puts off an answer that a node can't read while it stands still: how long it took
 // is not known then.
-func (p *play) unread(i int, a answer) bool {
-	if !p.stands(a.node) {
+func (p *play) postpone(i int, a answer) bool {
+	if !p.stalled(a.node) {
 		return false
 	}
-	wait := p.nodes[a.node].stands.until - p.now
+	wait := p.nodes[a.node].stall.until - p.now
 	if a.timer {
-		wait += modelPatience
+		wait += modelTimerDelay
 	} else {
 		a.sample.Slowness, a.sample.Took = 0, 0
 	}
-	p.put(i, wait, a)
+	p.enqueue(i, wait, a)
 	return true
 }
 
 // hearing is whether the decider hears others first, since it stood still.
-func (p *play) hearing() bool {
-	s := p.standing
+func (p *play) listening() bool {
+	s := p.stall
 	if s == nil {
 		return false
 	}
-	if s.ticked > 0 && p.now-s.ticked-roundEvery*step >= modelHeldUp {
-		s.hears = p.now + modelHearsFor
+	if s.lastTick > 0 && p.now-s.lastTick-roundEvery*step >= modelStallAfter {
+		s.listenUntil = p.now + modelListenTime
 	}
-	s.ticked = p.now
-	return p.now < s.hears
+	s.lastTick = p.now
+	return p.now < s.listenUntil
 }
 
 // wrote tells the decider what the store took, once its process goes on.
-func (p *play) wrote(m Learned) {
-	if p.stands(0) {
-		p.writing = append(p.writing, func() { p.wrote(m) })
+func (p *play) statusWritten(m Learned) {
+	if p.stalled(0) {
+		p.pendingWrites = append(p.pendingWrites, func() { p.statusWritten(m) })
 		return
 	}
 	m.Now = p.time()
@@ -121,37 +121,37 @@
 }
 
 // standsMoving has processes stand still while calls move, at a moment drawn by the seed.
-func standsMoving(w who, version func(*rand.Rand) fault) func(*play) {
+func stallWhileMoving(w stallScope, version func(*rand.Rand) fault) func(*play) {
 	return func(p *play) {
 		r := rand.New(rand.NewPCG(p.seed, 39))
-		p.drawn = drawn{
+		p.scenario = scenario{
 			seed: p.seed, service: p.service, tenth: p.tenth, duration: p.duration, nodes: len(p.nodes), targets: p.targets, form: "good",
 		}
-		p.standing = &standing{
-			who: w, into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)),
-			lasts: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)), version: version(r),
+		p.stall = &stall{
+			scope: w, into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)),
+			duration: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)), version: version(r),
 		}
-		if p.standing.version != (fault{}) {
+		if p.stall.version != (fault{}) {
 			p.form = "later"
 		}
-		p.out.drawn = p.drawn
+		p.out.scenario = p.scenario
 	}
 }
 
 // TestABadVersionIsNotCompletedWhereNodesStandStillWhileCallsMove guards against time that
 // counts as a target's proof though nobody saw answers meanwhile.
 func TestABadVersionIsNotCompletedWhereNodesStandStillWhileCallsMove(t *testing.T) {
-	for _, w := range []who{theDecider, theOthers, everyone} {
+	for _, w := range []stallScope{onlyDecider, allButDecider, everyone} {
 		t.Run(string(w), func(t *testing.T) {
-			stood := lo.Filter(playAll(rollouts(), sheetRule, standsMoving(w, illness)), func(o outcome, _ int) bool { return o.stood })
-			a := accountOf(stood, sheetRule)
+			stood := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(w, drawFault)), func(o outcome, _ int) bool { return o.stalled })
+			a := summarize(stood, modelRule)
 			t.Log(a)
 			for _, o := range stood {
 				if o.state != Reverted {
 					t.Log(o)
 				}
 			}
-			assert.LessOrEqual(t, float64(a.bad-a.reverted), most(0.01, a.bad), "bad ones that were not reverted")
+			assert.LessOrEqual(t, float64(a.bad-a.reverted), allowed(0.01, a.bad), "bad ones that were not reverted")
 		})
 	}
 }
@@ -160,8 +160,8 @@
 // what comes too late, and against answers that lay unread and count as slow.
 func TestAGoodVersionIsCompletedWhereNodesStandStillWhileCallsMove(t *testing.T) {
 	sound := func(*rand.Rand) fault { return fault{} }
-	stood := lo.Filter(playAll(rollouts(), sheetRule, standsMoving(everyone, sound)), func(o outcome, _ int) bool { return o.stood })
-	a := accountOf(stood, sheetRule)
+	stood := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(everyone, sound)), func(o outcome, _ int) bool { return o.stalled })
+	a := summarize(stood, modelRule)
 	t.Log(a)
-	assert.LessOrEqual(t, float64(a.good-a.completed), most(0.02, a.good), "good ones that were not completed in time")
+	assert.LessOrEqual(t, float64(a.good-a.completed), allowed(0.02, a.good), "good ones that were not completed in time")
 }
--- a/fleet/relay/rollout/text.go
+++ b/fleet/relay/rollout/text.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// String names a state, for logs.
+// String returns the name of the state, for logs.
 func (s State) String() string {
 	switch s {
 	case InProgress:
@@ -21,7 +21,7 @@
 	return "ordered"
 }
 
-// String names a stage, for logs.
+// String returns the name of the stage, for logs.
 func (s Stage) String() string {
 	if s == Moving {
 		return "moving"
@@ -29,18 +29,18 @@
 	return "sampling"
 }
 
-// Equal is whether two statuses say the same.
+// Equal reports whether two statuses are equal.
 func (s Status) Equal(o Status) bool {
 	same := s.State == o.State && s.Target == o.Target && s.Made == o.Made && s.Stage == o.Stage && s.Share == o.Share
 	same = same && s.Used == o.Used && s.Left == o.Left && s.Filled == o.Filled && s.Full == o.Full && s.First == o.First && s.Ill == o.Ill && s.Writes == o.Writes
 	return same && slices.Equal(s.Parts, o.Parts) && slices.Equal(s.Barred, o.Barred) && slices.Equal(s.Usual, o.Usual)
 }
 
-// Names lists the objects that the set knows, in order.
+// Names returns the sorted names of the objects in the set.
 func (s Set) Names() []string { return slices.Sorted(maps.Keys(s.byName)) }
 
-// MarshalJSON writes counts as pairs of numbers up to the last that is not nothing: they
-// are told several times a second.
+// MarshalJSON encodes counts as pairs of numbers up to the last pair that is not zero, to keep them
+// short: they are sent several times per second.
 func (c Counts) MarshalJSON() ([]byte, error) {
 	var flat []int
 	for i, one := range c {
@@ -52,7 +52,7 @@
 	return json.Marshal(flat)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote; a negative count can't be.
+// UnmarshalJSON decodes the form of MarshalJSON and rejects negative counts.
 func (c *Counts) UnmarshalJSON(data []byte) error {
 	var flat []int
 	if err := json.Unmarshal(data, &flat); err != nil {
--- a/fleet/relay/rollout/writes_test.go
+++ b/fleet/relay/rollout/writes_test.go
@@ -11,7 +11,7 @@
 )
 
 // told makes evidence of so many answers of both versions, spread over cohorts.
-func told(old, target Count) Evidence {
+func evidenceOf(old, target Count) Evidence {
 	r := RouteEvidence{Route: "r"}
 	for c := range Cohorts {
 		r.Old[c] = Count{old.Answers / Cohorts, old.Bad / Cohorts}
@@ -20,7 +20,7 @@
 	return Evidence{Service: "svc", Made: 10, Routes: []RouteEvidence{r}}
 }
 
-func learned(s Status, revision store.Revision, age time.Duration) Learned {
+func statusLearned(s Status, revision store.Revision, age time.Duration) Learned {
 	r := Rollout{Order: order("v2", 10), Status: s, Revision: revision, Learned: epoch.Add(-age)}
 	return Learned{r, epoch}
 }
@@ -35,12 +35,12 @@
 	return d, all
 }
 
-func sampling(used time.Duration) Status {
+func samplingStatus(used time.Duration) Status {
 	return Status{State: InProgress, Target: "v2", Made: 10, Share: 0.08, Used: used, Writes: 1}
 }
 
-func moving(left time.Duration) Status {
-	return Status{State: InProgress, Stage: Moving, Target: "v2", Made: 10, Share: 0.08, Used: 20 * time.Second, Left: left, Full: leastProof, Writes: 3}
+func movingStatus(left time.Duration) Status {
+	return Status{State: InProgress, Stage: Moving, Target: "v2", Made: 10, Share: 0.08, Used: 20 * time.Second, Left: left, Full: minFullLoad, Writes: 3}
 }
 
 func TestWhatADeciderWrites(t *testing.T) {
@@ -51,11 +51,11 @@
 		return changed
 	}
 	watchedWell := []Message{
-		Told{told(Count{}, Count{}), epoch.Add(-10 * time.Second)},
-		Told{told(Count{6400, 0}, Count{640, 0}), epoch},
+		Told{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)},
+		Told{evidenceOf(Count{6400, 0}, Count{640, 0}), epoch},
 	}
-	bad := Told{told(Count{6400, 0}, Count{640, 320}), epoch}
-	alone := learned(Status{}, 20, 0)
+	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	alone := statusLearned(Status{}, 20, 0)
 	alone.Rollout.Made = 10
 	for _, c := range []struct {
 		name     string
@@ -64,45 +64,45 @@
 		stage    Stage   // of the last one
 	}{
 		{"no order", []Message{tick}, nil, 0},
-		{"it does not decide", []Message{learned(Status{}, 20, 0), with(func(t *Tick) { t.Decides = false })}, nil, 0},
-		{"the target has endpoints", []Message{learned(Status{}, 20, 0), tick}, []State{InProgress}, Sampling},
-		{"the target has none yet", []Message{learned(Status{}, 20, 0), with(func(t *Tick) { t.Target = 0 })}, nil, 0},
-		{"the target is cold", []Message{learned(Status{}, 20, 0), with(func(t *Tick) { t.Cold = 6 })}, nil, 0},
-		{"the target is cold for long", []Message{learned(Status{}, 20, 10*time.Second), with(func(t *Tick) { t.Cold = 6 })}, []State{InProgress}, Sampling},
-		{"the target has none by the end", []Message{learned(Status{}, 20, 31*time.Second), with(func(t *Tick) { t.Target = 0 })}, []State{Reverted}, 0},
-		{"the store was away until the end", []Message{learned(Status{}, 20, 31*time.Second), tick}, []State{Reverted}, 0},
+		{"it does not decide", []Message{statusLearned(Status{}, 20, 0), with(func(t *Tick) { t.Decides = false })}, nil, 0},
+		{"the target has endpoints", []Message{statusLearned(Status{}, 20, 0), tick}, []State{InProgress}, Sampling},
+		{"the target has none yet", []Message{statusLearned(Status{}, 20, 0), with(func(t *Tick) { t.Target = 0 })}, nil, 0},
+		{"the target is cold", []Message{statusLearned(Status{}, 20, 0), with(func(t *Tick) { t.Cold = 6 })}, nil, 0},
+		{"the target is cold for long", []Message{statusLearned(Status{}, 20, 10*time.Second), with(func(t *Tick) { t.Cold = 6 })}, []State{InProgress}, Sampling},
+		{"the target has none by the end", []Message{statusLearned(Status{}, 20, 31*time.Second), with(func(t *Tick) { t.Target = 0 })}, []State{Reverted}, 0},
+		{"the store was away until the end", []Message{statusLearned(Status{}, 20, 31*time.Second), tick}, []State{Reverted}, 0},
 		{"no old endpoint is seen for a moment", []Message{alone, with(func(t *Tick) { t.Old = 0 })}, nil, 0},
-		{"the target is the only one already", []Message{alone, with(func(t *Tick) { t.Old, t.Now = 0, epoch.Add(-onlyFor) }), with(func(t *Tick) { t.Old = 0 })}, []State{Completed}, 0},
-		{"no endpoints at all by the end", []Message{learned(Status{}, 20, 31*time.Second), with(func(t *Tick) { t.Old, t.Target = 0, 0 })}, []State{Reverted}, 0},
-		{"another order's status", []Message{learned(Status{State: Completed, Target: "v1", Made: 5}, 20, 0), tick}, []State{InProgress}, Sampling},
-		{"the same version again", []Message{learned(Status{State: Reverted, Target: "v2", Made: 5}, 20, 0), tick}, []State{InProgress}, Sampling},
-		{"it ended well", []Message{learned(Status{State: Completed, Target: "v2", Made: 10}, 20, 0), tick}, nil, 0},
-		{"it ended badly", []Message{learned(Status{State: Reverted, Target: "v2", Made: 10}, 20, 0), tick, bad}, nil, 0},
-		{"calls were counted", append([]Message{learned(sampling(0), 20, 5*time.Second)}, append(watchedWell, tick)...), []State{InProgress}, Sampling},
-		{"time to move", append([]Message{learned(sampling(20*time.Second), 20, 8*time.Second)}, append(watchedWell, tick)...), []State{InProgress}, Moving},
-		{"time to move, nothing seen", []Message{learned(sampling(20*time.Second), 20, 8*time.Second), Told{told(Count{6400, 0}, Count{}), epoch}, tick}, nil, 0},
-		{"nothing seen by the end", []Message{learned(sampling(20*time.Second), 20, 11*time.Second), Told{told(Count{6400, 0}, Count{}), epoch}, tick}, []State{Reverted}, 0},
-		{"nobody calls the service", []Message{learned(sampling(20*time.Second), 20, 8*time.Second), Told{told(Count{}, Count{}), epoch.Add(-10 * time.Second)}, Told{told(Count{}, Count{}), epoch}, tick}, []State{InProgress}, Moving},
-		{"calls run at old endpoints", []Message{learned(moving(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.OldInFlight = 1 })}, nil, 0},
-		{"nothing runs there for a moment", []Message{learned(moving(3*time.Second), 20, 4*time.Second), tick}, nil, 0},
-		{"nothing runs there", []Message{learned(moving(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Now = epoch.Add(-settled) }), tick}, []State{Completed}, 0},
-		{"nothing runs there too early", []Message{learned(moving(5*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Now = epoch.Add(-settled) }), tick}, nil, 0},
-		{"a long stream or a silent node at the end", []Message{learned(moving(3*time.Second), 20, 9*time.Second), with(func(t *Tick) { t.OldInFlight = 1 })}, []State{Completed}, 0},
-		{"the target is gone while moving", []Message{learned(moving(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Target = 0 })}, nil, 0},
-		{"the target is gone by the end", []Message{learned(moving(3*time.Second), 20, 11*time.Second), with(func(t *Tick) { t.Target = 0 })}, []State{Reverted}, 0},
-		{"bad while sampling", []Message{learned(sampling(0), 20, time.Second), tick, bad}, []State{Reverted}, 0},
-		{"bad while moving", []Message{learned(moving(3*time.Second), 20, time.Second), tick, bad}, []State{Reverted}, 0},
-		{"heard that it is bad", []Message{learned(sampling(0), 20, time.Second), tick, Heard{Target: "v2", Made: 10, Now: epoch}}, []State{Reverted}, 0},
-		{"heard that another order's is", []Message{learned(sampling(0), 20, time.Second), tick, Heard{Target: "v2", Made: 9, Now: epoch}}, nil, 0},
-		{"evidence of another order", []Message{learned(sampling(0), 20, time.Second), tick, Told{Evidence{Service: "svc", Made: 9, Routes: bad.Evidence.Routes}, epoch}}, nil, 0},
-		{"taken away halfway", []Message{learned(sampling(0), 20, time.Second), Gone{}, tick, bad}, nil, 0},
-		{"a write waits for its answer", []Message{learned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(time.Second) })}, []State{InProgress}, 0},
-		{"a write without an answer", []Message{learned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(writeWaits) })}, []State{InProgress, InProgress}, 0},
-		{"a refused write", []Message{learned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedWaits) })}, []State{InProgress, InProgress}, 0},
-		{"a refused write, too soon", []Message{learned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedWaits / 2) })}, []State{InProgress}, 0},
+		{"the target is the only one already", []Message{alone, with(func(t *Tick) { t.Old, t.Now = 0, epoch.Add(-minWithoutOld) }), with(func(t *Tick) { t.Old = 0 })}, []State{Completed}, 0},
+		{"no endpoints at all by the end", []Message{statusLearned(Status{}, 20, 31*time.Second), with(func(t *Tick) { t.Old, t.Target = 0, 0 })}, []State{Reverted}, 0},
+		{"another order's status", []Message{statusLearned(Status{State: Completed, Target: "v1", Made: 5}, 20, 0), tick}, []State{InProgress}, Sampling},
+		{"the same version again", []Message{statusLearned(Status{State: Reverted, Target: "v2", Made: 5}, 20, 0), tick}, []State{InProgress}, Sampling},
+		{"it ended well", []Message{statusLearned(Status{State: Completed, Target: "v2", Made: 10}, 20, 0), tick}, nil, 0},
+		{"it ended badly", []Message{statusLearned(Status{State: Reverted, Target: "v2", Made: 10}, 20, 0), tick, bad}, nil, 0},
+		{"calls were counted", append([]Message{statusLearned(samplingStatus(0), 20, 5*time.Second)}, append(watchedWell, tick)...), []State{InProgress}, Sampling},
+		{"time to move", append([]Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second)}, append(watchedWell, tick)...), []State{InProgress}, Moving},
+		{"time to move, nothing seen", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), Told{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, nil, 0},
+		{"nothing seen by the end", []Message{statusLearned(samplingStatus(20*time.Second), 20, 11*time.Second), Told{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, []State{Reverted}, 0},
+		{"nobody calls the service", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), Told{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)}, Told{evidenceOf(Count{}, Count{}), epoch}, tick}, []State{InProgress}, Moving},
+		{"calls run at old endpoints", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.OldInFlight = 1 })}, nil, 0},
+		{"nothing runs there for a moment", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), tick}, nil, 0},
+		{"nothing runs there", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Now = epoch.Add(-settleTime) }), tick}, []State{Completed}, 0},
+		{"nothing runs there too early", []Message{statusLearned(movingStatus(5*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Now = epoch.Add(-settleTime) }), tick}, nil, 0},
+		{"a long stream or a silent node at the end", []Message{statusLearned(movingStatus(3*time.Second), 20, 9*time.Second), with(func(t *Tick) { t.OldInFlight = 1 })}, []State{Completed}, 0},
+		{"the target is gone while moving", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Target = 0 })}, nil, 0},
+		{"the target is gone by the end", []Message{statusLearned(movingStatus(3*time.Second), 20, 11*time.Second), with(func(t *Tick) { t.Target = 0 })}, []State{Reverted}, 0},
+		{"bad while sampling", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, bad}, []State{Reverted}, 0},
+		{"bad while moving", []Message{statusLearned(movingStatus(3*time.Second), 20, time.Second), tick, bad}, []State{Reverted}, 0},
+		{"heard that it is bad", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Heard{Target: "v2", Made: 10, Now: epoch}}, []State{Reverted}, 0},
+		{"heard that another order's is", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Heard{Target: "v2", Made: 9, Now: epoch}}, nil, 0},
+		{"evidence of another order", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Told{Evidence{Service: "svc", Made: 9, Routes: bad.Evidence.Routes}, epoch}}, nil, 0},
+		{"taken away halfway", []Message{statusLearned(samplingStatus(0), 20, time.Second), Gone{}, tick, bad}, nil, 0},
+		{"a write waits for its answer", []Message{statusLearned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(time.Second) })}, []State{InProgress}, 0},
+		{"a write without an answer", []Message{statusLearned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(writeTimeout) })}, []State{InProgress, InProgress}, 0},
+		{"a refused write", []Message{statusLearned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay) })}, []State{InProgress, InProgress}, 0},
+		{"a refused write, too soon", []Message{statusLearned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay / 2) })}, []State{InProgress}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, effects := NewDecider(sheetRule).after(c.messages...)
+			_, effects := NewDecider(modelRule).after(c.messages...)
 			writes := lo.FilterMap(effects, func(e Effect, _ int) (Write, bool) { w, ok := e.(Write); return w, ok })
 			assert.Equal(t, c.want, lo.Ternary(len(writes) > 0, lo.Map(writes, func(w Write, _ int) State { return w.Status.State }), nil))
 			if len(writes) > 0 {
@@ -118,28 +118,28 @@
 
 func TestOrdersThatMakeNoSenseAreNeverWritten(t *testing.T) {
 	for _, o := range []Order{{}, {Service: "svc"}, {Service: "svc", Target: "v2"}, {Service: "svc", Target: "v2", Duration: -1}} {
-		_, effects := NewDecider(sheetRule).after(Learned{Rollout{Order: o, Learned: epoch}, epoch}, Tick{Now: epoch, Old: 3, Target: 3, Decides: true})
+		_, effects := NewDecider(modelRule).after(Learned{Rollout{Order: o, Learned: epoch}, epoch}, Tick{Now: epoch, Old: 3, Target: 3, Decides: true})
 		assert.Empty(t, effects, o)
 	}
 }
 
 func TestWhoTakesOverGoesOnFromTheStatus(t *testing.T) {
-	d, _ := NewDecider(sheetRule).after(learned(sampling(20*time.Second), 20, 3*time.Second))
+	d, _ := NewDecider(modelRule).after(statusLearned(samplingStatus(20*time.Second), 20, 3*time.Second))
 	assert.Equal(t, 23*time.Second, d.used(epoch), "used when written, and since it was learned")
-	d, _ = d.after(learned(sampling(20*time.Second), 21, 0))
+	d, _ = d.after(statusLearned(samplingStatus(20*time.Second), 21, 0))
 	assert.Equal(t, 23*time.Second, d.used(epoch), "never less than is known")
 
-	found := learned(sampling(10*time.Second), 20, 0)
+	found := statusLearned(samplingStatus(10*time.Second), 20, 0)
 	found.Rollout.Found = true
-	d, _ = NewDecider(sheetRule).after(found)
+	d, _ = NewDecider(modelRule).after(found)
 	assert.Greater(t, d.used(epoch), 10*time.Second, "some time has passed while no node ran")
 }
 
 func TestAnotherOrderBeginsAnew(t *testing.T) {
-	bad := Told{told(Count{6400, 0}, Count{640, 320}), epoch}
-	d, effects := NewDecider(sheetRule).after(learned(sampling(0), 20, time.Second), Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true}, bad)
+	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	d, effects := NewDecider(modelRule).after(statusLearned(samplingStatus(0), 20, time.Second), Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true}, bad)
 	assert.Len(t, effects, 2)
-	next := learned(Status{State: Reverted, Target: "v2", Made: 10}, 30, 0)
+	next := statusLearned(Status{State: Reverted, Target: "v2", Made: 10}, 30, 0)
 	next.Rollout.Made, next.Rollout.Target = 25, "v3"
 	_, effects = d.after(next, bad, Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true})
 	assert.Len(t, effects, 1)
@@ -150,16 +150,16 @@
 }
 
 func TestTwoServicesAreDecidedApart(t *testing.T) {
-	other := learned(sampling(0), 20, time.Second)
+	other := statusLearned(samplingStatus(0), 20, time.Second)
 	other.Rollout.Service = "other"
 	tick := Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true}
-	_, effects := NewDecider(sheetRule).after(other, tick, Told{told(Count{6400, 0}, Count{640, 320}), epoch})
+	_, effects := NewDecider(modelRule).after(other, tick, Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch})
 	assert.Empty(t, effects, "evidence of one says nothing of the other")
 }
 
 func TestABadTargetIsToldOnceAndByEveryWhoJudges(t *testing.T) {
-	bad := Told{told(Count{6400, 0}, Count{640, 320}), epoch}
-	_, effects := NewDecider(sheetRule).after(learned(sampling(0), 20, time.Second), bad, bad)
+	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	_, effects := NewDecider(modelRule).after(statusLearned(samplingStatus(0), 20, time.Second), bad, bad)
 	assert.Len(t, effects, 1)
 	assert.IsType(t, Warn{}, effects[0])
 	assert.Contains(t, effects[0].(Warn).Why, `target 320 bad of 640`)
