--- a/fleet/relay/rollout/decider_test.go
+++ b/fleet/relay/rollout/decider_test.go
@@ -10,9 +10,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// A decider that starts anew in the midst of an order, late as far as it knows, moves no
-// calls to a target of which it has seen nothing.
-func TestADeciderThatStartsAnewWatchesFirst(t *testing.T) {
+// Guards against a restarted decider that moves calls to a target of which it has observed nothing,
+// because the order is late as far as it knows.
+func TestRestartedDeciderObservesBeforeMoving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.03, Used: 200 * time.Millisecond, Writes: 1}
 	found := rollout.Rollout{Order: rollout.Order{Service: "s", Target: "v2", Duration: 8 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now, Found: true}
@@ -23,17 +23,17 @@
 		var effects []rollout.Effect
 		d, effects = d.Handle(rollout.Tick{Now: at, Old: 10, Target: 10, OldInFlight: 5, Decides: true})
 		assert.Empty(t, effects)
-		seen := rollout.RouteEvidence{Route: "r"}
-		seen.Old[0] = rollout.Count{Answers: 20 * (i + 1)}
-		seen.Target[0] = rollout.Count{Answers: i}
-		d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at})
+		route := rollout.RouteEvidence{Route: "r"}
+		route.Old[0] = rollout.Count{Answers: 20 * (i + 1)}
+		route.Target[0] = rollout.Count{Answers: i}
+		d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 		assert.Empty(t, effects)
 	}
 }
 
-// A decider that found calls moving, with all who had watched before it lost, completes
-// the move only by what it has seen of the target, held against the old version.
-func TestNothingKnownIsNoWordForATarget(t *testing.T) {
+// Guards against completing a found move, whose earlier observers are lost, without evidence of the
+// target compared with the old version.
+func TestFoundMoveCompletesOnlyOnEvidence(t *testing.T) {
 	known := []rollout.Reference{{Route: "r", Usual: 50 * time.Millisecond, Answers: 100, Bad: 1}}
 	for _, c := range []struct {
 		name   string
@@ -41,7 +41,7 @@
 		target rollout.Count // in each fifth of a second
 		want   rollout.State
 	}{
-		{"sound", known, rollout.Count{Answers: 12}, rollout.Completed},
+		{"healthy", known, rollout.Count{Answers: 12}, rollout.Completed},
 		{"nothing is known of the old version", nil, rollout.Count{Answers: 12}, rollout.Reverted},
 		{"no answers of the target", known, rollout.Count{}, rollout.Reverted},
 		{"bad", known, rollout.Count{Answers: 12, Bad: 6}, rollout.Reverted},
@@ -59,20 +59,21 @@
 			decided := rollout.Status{State: rollout.InProgress}
 			for i := 0; decided.State == rollout.InProgress && i < 60; i++ {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
-				seen := rollout.RouteEvidence{Route: "r"}
+				route := rollout.RouteEvidence{Route: "r"}
 				for cohort := range 3 {
-					seen.Target[cohort] = rollout.Count{Answers: c.target.Answers * i / 3, Bad: c.target.Bad * i / 3}
+					route.Target[cohort] = rollout.Count{Answers: c.target.Answers * i / 3, Bad: c.target.Bad * i / 3}
 				}
-				d = asked(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at}, &decided)
-				d = asked(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
+				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
+				d = handle(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
 			}
 			assert.Equal(t, c.want, decided.State)
 		})
 	}
 }
 
-// While one cohort is suspect, and nothing has cleared it, a move waits, and is taken back
-// at its end; once others have answered well it is one ill endpoint, and the move goes on.
+// Guards against completing a move while one cohort is suspected and nothing has cleared it: the
+// move waits and is reverted at its end. Once others have answered well, the cohort counts as one
+// unhealthy endpoint and the move continues.
 func TestAMoveIsNotCompletedWhileOneCohortIsSuspect(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -95,21 +96,21 @@
 			decided := rollout.Status{State: rollout.InProgress}
 			for i := 0; decided.State == rollout.InProgress && i < 25; i++ {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
-				seen := rollout.RouteEvidence{Route: "r"}
-				seen.Old[0] = rollout.Count{Answers: 400}
-				seen.Target[1] = rollout.Count{Answers: 10, Bad: 10}
-				seen.Target[2] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
-				seen.Target[3] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
-				d = asked(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at}, &decided)
-				d = asked(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
+				route := rollout.RouteEvidence{Route: "r"}
+				route.Old[0] = rollout.Count{Answers: 400}
+				route.Target[1] = rollout.Count{Answers: 10, Bad: 10}
+				route.Target[2] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
+				route.Target[3] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
+				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
+				d = handle(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
 			}
 			assert.Equal(t, c.want, decided.State)
 		})
 	}
 }
 
-// asked hands a message to a decider and notes the status that it asks for.
-func asked(t *testing.T, d rollout.Decider, m rollout.Message, status *rollout.Status) rollout.Decider {
+// handle passes a message to a decider and stores the status that it asks for.
+func handle(t *testing.T, d rollout.Decider, m rollout.Message, status *rollout.Status) rollout.Decider {
 	t.Helper()
 	next, effects := d.Handle(m)
 	for _, e := range effects {
@@ -121,22 +122,22 @@
 	return next
 }
 
-// Calls move to a target of which little was seen only where so few come that the bounds
-// hold whatever it shows.
-func TestCallsDoNotMoveToATargetThatWasHardlySeen(t *testing.T) {
+// Guards against moving calls to a target of which little was observed, except where so few calls
+// come that the bounds hold whatever it shows.
+func TestNoMoveOnFewAnswersOfTheTarget(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		perSecond int
-		target    int  // answers in the end
-		unseen    bool // another route gets as many calls, and shows nothing of the target
-		late      int  // fifths of a second after which this node has begun to count
-		moves     bool
+		name       string
+		perSecond  int
+		target     int  // answers at the end
+		unobserved bool // another route gets as many calls, without answers of the target
+		late       int  // fifths of a second after which this node started to count
+		moves      bool
 	}{
 		{"many calls, few answers", 80, 3, false, 0, false},
-		{"many calls, answers enough", 80, 20, false, 0, true},
+		{"many calls, enough answers", 80, 20, false, 0, true},
 		{"many calls, answers on one of two routes", 80, 20, true, 0, false},
 		{"few calls", 5, 1, false, 0, true},
-		{"few calls, as far as one knows who has just begun", 5, 1, false, 15, false},
+		{"few calls, as far as a new decider knows", 5, 1, false, 15, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -148,15 +149,15 @@
 			moved := false
 			for i := c.late; i < 27; i++ { // beyond the order's end
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
-				seen := rollout.RouteEvidence{Route: "r"}
-				seen.Old[0], seen.Target[1] = rollout.Count{Answers: c.perSecond * i / 5}, rollout.Count{Answers: min(c.target, i)}
-				routes := []rollout.RouteEvidence{seen}
-				if c.unseen {
-					routes = append(routes, rollout.RouteEvidence{Route: "q", Old: seen.Old})
+				route := rollout.RouteEvidence{Route: "r"}
+				route.Old[0], route.Target[1] = rollout.Count{Answers: c.perSecond * i / 5}, rollout.Count{Answers: min(c.target, i)}
+				routes := []rollout.RouteEvidence{route}
+				if c.unobserved {
+					routes = append(routes, rollout.RouteEvidence{Route: "q", Old: route.Old})
 				}
 				var decided rollout.Status
-				d = asked(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: routes}, Now: at}, &decided)
-				d = asked(t, d, rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5, Decides: true}, &decided)
+				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: routes}, Now: at}, &decided)
+				d = handle(t, d, rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5, Decides: true}, &decided)
 				moved = moved || decided.Stage == rollout.Moving
 			}
 			assert.Equal(t, c.moves, moved)
@@ -164,9 +165,9 @@
 	}
 }
 
-// A target whose endpoints all count in one cohort, as one endpoint alone does, is found
-// bad by that cohort; where there are others, they are heard first.
-func TestATargetInOneCohortIsJudgedByIt(t *testing.T) {
+// A target whose endpoints all fall into one cohort, like a single endpoint, is found bad by that
+// cohort alone. Where there are others, their answers are awaited.
+func TestSingleCohortMakesTheVerdict(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		cohorts int
@@ -183,11 +184,11 @@
 			for i := range 5 {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
 				d, _ = d.Handle(rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: c.cohorts, OldInFlight: 5})
-				seen := rollout.RouteEvidence{Route: "r"}
-				seen.Old[0] = rollout.Count{Answers: 40 * (i + 1), Bad: i}
-				seen.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
+				route := rollout.RouteEvidence{Route: "r"}
+				route.Old[0] = rollout.Count{Answers: 40 * (i + 1), Bad: i}
+				route.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
 				var effects []rollout.Effect
-				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at})
+				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				found = found || len(effects) > 0
 			}
 			assert.Equal(t, c.bad, found)
@@ -195,9 +196,9 @@
 	}
 }
 
-// While calls move, a target of which one cohort alone answers is judged by it: the others
-// are down, or cold, and all calls go to the one.
-func TestAMoveToTheOneEndpointThatAnswersIsJudgedByIt(t *testing.T) {
+// While calls move, a target of which only one cohort answers is judged by it: the others are down
+// or cold, and all calls go to that one.
+func TestOnlyAnsweringCohortMakesTheVerdictInAMove(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		stage  rollout.Stage
@@ -206,7 +207,7 @@
 	}{
 		{"moving, it alone answers", rollout.Moving, 0, true},
 		{"moving, another one answers well", rollout.Moving, 6, false},
-		{"sampling, one after the other is tried", rollout.Sampling, 0, false},
+		{"sampling, one cohort after the other", rollout.Sampling, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -222,13 +223,13 @@
 			for i := range 12 {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
 				d, _ = d.Handle(rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5})
-				seen := rollout.RouteEvidence{Route: "r"}
-				seen.Old[0] = rollout.Count{Answers: 40 * (i + 1), Bad: i}
-				seen.Target[1] = rollout.Count{Answers: 3} // before the move
-				seen.Target[1].Answers += c.others * i
-				seen.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
+				route := rollout.RouteEvidence{Route: "r"}
+				route.Old[0] = rollout.Count{Answers: 40 * (i + 1), Bad: i}
+				route.Target[1] = rollout.Count{Answers: 3} // before the move
+				route.Target[1].Answers += c.others * i
+				route.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
 				var effects []rollout.Effect
-				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at})
+				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				found = found || len(effects) > 0
 			}
 			assert.Equal(t, c.bad, found)
@@ -236,19 +237,20 @@
 	}
 }
 
-// Where a target is tried in pulses no node begins one by a status that it found. If all
-// did, it is written anew, or nothing would be seen of the target until the end.
-func TestPulsesBeginAgainOnceAllNodesHaveStartedAnew(t *testing.T) {
+// Guards against pulses that never resume: no node starts a pulse from a status that it found, so if
+// all nodes have restarted the status must be written again, or nothing would be observed of the
+// target until the end.
+func TestPulsesRestartAfterAllNodesRestart(t *testing.T) {
 	cases := []struct {
 		name   string
 		filled float64
 		found  bool
-		target int // answers of it
+		target int // answers of the target
 		want   bool
 	}{
-		{"all started anew", 0.5, true, 0, true},
-		{"somebody saw it written", 0.5, false, 0, false},
-		{"others have seen answers", 0.5, true, 200, false},
+		{"all restarted", 0.5, true, 0, true},
+		{"a node observed the write", 0.5, false, 0, false},
+		{"others have observed answers", 0.5, true, 200, false},
 		{"no pulses", 0, true, 0, false},
 	}
 	for _, c := range cases {
@@ -265,9 +267,9 @@
 			var effects []rollout.Effect
 			for i := range 12 {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
-				seen := rollout.RouteEvidence{Route: "r"}
-				seen.Old[0], seen.Target[3] = rollout.Count{Answers: 30 * (i + 1)}, rollout.Count{Answers: c.target}
-				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at})
+				route := rollout.RouteEvidence{Route: "r"}
+				route.Old[0], route.Target[3] = rollout.Count{Answers: 30 * (i + 1)}, rollout.Count{Answers: c.target}
+				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				var more []rollout.Effect
 				d, more = d.Handle(rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5, Decides: true})
 				effects = append(effects, more...)
--- a/fleet/relay/rollout/drawn_test.go
+++ b/fleet/relay/rollout/drawn_test.go
@@ -16,13 +16,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// modelDelegates is how many delegates watch the store: the order, and each write, wakes all.
+// modelDelegates is the number of delegates that watch the store: the order and each write wake all
+// of them.
 const modelDelegates = 6
 
-// sheetRule is the bounds of the sheet that has roll-outs.
+// modelRule is the operator's bounds in all plays.
 var modelRule = Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second}
 
-// rollouts is how many are drawn; LYNXSHED_MODEL_STEPS asks for more than CI plays.
+// rollouts returns how many rollouts are drawn; LYNXSHED_MODEL_STEPS selects more than CI plays.
 func rollouts() int {
 	if n, err := strconv.Atoi(os.Getenv("LYNXSHED_MODEL_STEPS")); err == nil {
 		return n
@@ -30,7 +31,7 @@
 	return 120
 }
 
-// playAll plays roll-outs drawn by the seeds 1 to n, a few at once.
+// playAll plays the rollouts drawn by the seeds 1 to n, several concurrently.
 func playAll(n int, rule Rule, vary func(*play)) []outcome {
 	all := make([]outcome, n)
 	seeds := make(chan int)
@@ -50,7 +51,7 @@
 	return all
 }
 
-// account counts what roll-outs came to.
+// summary counts the results of rollouts.
 type summary struct {
 	good, completed, bad, reverted, exposed, sent, late int
 	dropped                                             []time.Duration
@@ -59,10 +60,11 @@
 
 func (o outcome) completedInTime() bool { return o.state == Completed && o.endedAt <= o.duration }
 
-// mostStoreCalls is from how many calls to the store on a roll-out costs too many.
+// maxStoreCalls is the number of calls to the store from which on a rollout costs too many.
 const maxStoreCalls = 60
 
-// storeCalls are the order's and each written status's: one, and one of each delegate.
+// storeCalls returns the calls to the store: for the order and each written status one, and one of
+// each delegate.
 func (o outcome) storeCalls() int { return (o.stored+1)*(modelDelegates+1) + o.writes - o.stored }
 
 func summarize(all []outcome, rule Rule) summary {
@@ -118,40 +120,40 @@
 		assert.Less(t, o.storeCalls(), maxStoreCalls, "calls to the store: %s", o)
 	}
 	assert.Zero(t, a.exposed, "bad versions over the share")
-	assert.Zero(t, a.late, "bad versions that got calls too late")
+	assert.Zero(t, a.late, "bad versions that received calls too late")
 	assert.LessOrEqual(t, float64(a.bad-a.reverted), allowed(0.01, a.bad), "bad ones that were not reverted")
 	assert.LessOrEqual(t, float64(a.good-a.completed), allowed(0.02, a.good), "good ones that were not completed in time")
 }
 
-// TestDrawnSeedsOnceAtFault plays roll-outs that an earlier decision got wrong.
-func TestDrawnSeedsOnceAtFault(t *testing.T) {
+// TestSeedsOfFormerFaults replays the rollouts that earlier versions of the decider got wrong.
+func TestSeedsOfFormerFaults(t *testing.T) {
 	for _, c := range []struct {
 		seed uint64
 		what string
 	}{
-		{84, "pulses came back to the ill endpoint before the next one"},
-		{96, "a cut's attempts without answer, and answers lost at both, were the target's"},
-		{181, "one cohort alone made a verdict"},
-		{318, "a version that turned bad was hidden by an ill endpoint until the next pulse"},
-		{325, "failures came in before answers when the move began"},
-		{592, "a pulse that went on too soon cleared the others"},
+		{84, "pulses returned to the unhealthy endpoint before the next one"},
+		{96, "attempts without answer in a partition, and answers lost at both versions, counted against the target"},
+		{181, "one cohort alone made the verdict"},
+		{318, "a version that turned bad was hidden by an unhealthy endpoint until the next pulse"},
+		{325, "failures arrived before answers when the move started"},
+		{592, "a pulse that advanced too early cleared the other endpoints"},
 		{620, "other endpoints were cleared by what they had answered before"},
-		{799, "a status found at a start moved all calls at once"},
-		{948, "a move went on unwatched after all nodes were lost"},
-		{1088, "a route with few calls got too few samples"},
-		{1125, "a route without calls to old endpoints kept its usual slowness"},
-		{2041, "who began to gather anew counted what it lacked as good answers taken back"},
-		{2649, "answers lost at both hid the target's own for too long"},
-		{159, "a version that breaks under load was moved to in doubt"},
-		{327, "streams that were late counted as good until their first event"},
+		{799, "a status found by a restarted node moved all calls at once"},
+		{948, "a move continued unobserved after all nodes were lost"},
+		{1088, "a route with few calls received too few samples"},
+		{1125, "a route without calls to old endpoints kept its old slowness baseline"},
+		{2041, "a node that started to gather counted missing answers as good ones withdrawn"},
+		{2649, "answers lost at both versions hid the target's failures for too long"},
+		{159, "a version that breaks under load received the move while in doubt"},
+		{327, "late streams counted as good until their first event"},
 		{3292, "the same"},
-		{5967, "little was sampled after the store was away"},
+		{5967, "little was sampled after the store was unavailable"},
 		{7249, "calls moved to a version in doubt"},
-		{693, "each try of a refused write is a call to the store"},
+		{693, "each retry of a refused write is a call to the store"},
 		{1000, "the same"},
 		{1911, "the same"},
-		{7900, "the same, and no time was left for a store that was away"},
-		{8967, "each try of a refused write is a call to the store"},
+		{7900, "the same, and no time was left for an unavailable store"},
+		{8967, "each retry of a refused write is a call to the store"},
 	} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
 			o := newPlay(draw(c.seed), modelRule, nil).run()
@@ -167,8 +169,8 @@
 	}
 }
 
-// most is how many of so many may go wrong at a rate. Few plays differ from the rate by
-// chance, and get three standard errors; a thousand get none.
+// allowed returns how many of a number of plays may go wrong at a rate. Small numbers get three
+// standard errors more, since they deviate by chance; 1000 and more get none.
 func allowed(rate float64, of int) float64 {
 	expected := rate * float64(of)
 	if of >= 1000 {
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -93,7 +93,7 @@
 
 // Max returns the elementwise maximum with earlier evidence, so that no count falls: a node that has
 // just started to gather may not have received the counts of an incarnation that others knew.
-func (e Evidence) Max(earlier Evidence) Evidence { return e.merged(earlier, Counts.max) }
+func (e Evidence) Max(earlier Evidence) Evidence { return e.merged(earlier, Counts.elementwiseMax) }
 
 // Plus adds what others observed of the same order.
 func (e Evidence) Plus(o Evidence) Evidence { return e.merged(o, Counts.Plus) }
@@ -148,7 +148,7 @@
 	return e
 }
 
-func (c Counts) max(earlier Counts) Counts {
+func (c Counts) elementwiseMax(earlier Counts) Counts {
 	for i := range c {
 		c[i] = Count{max(c[i].Answers, earlier[i].Answers), max(c[i].Bad, earlier[i].Bad)}
 	}
--- a/fleet/relay/rollout/judge_test.go
+++ b/fleet/relay/rollout/judge_test.go
@@ -9,15 +9,15 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// More calls of the old version may turn out late at once than it got of late: what the
-// target shows after that still counts.
-func TestLateAnswersOfTheOldVersionLeaveTheTargetJudged(t *testing.T) {
+// Guards against a judge that stops judging the target once more calls of the old version turn out
+// late at once than it received recently.
+func TestTargetIsJudgedAfterLateAnswersOfTheOldVersion(t *testing.T) {
 	const every = 200 * time.Millisecond
 	cases := []struct {
 		name   string
 		pause  time.Duration // without answers, before the late ones
-		late   int           // bad answers of the old version at once, to calls of before
-		target int           // bad answers of ten that the target gives after that
+		late   int           // bad answers of the old version at once, to earlier calls
+		target int           // bad answers of ten that the target gives afterwards
 		want   rollout.Verdict
 	}{
 		{"none, good target", every, 0, 0, rollout.Undecided},
@@ -31,14 +31,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			judge := rollout.NewJudge(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second}.OrDefaults(), 12*time.Second)
-			seen := rollout.RouteEvidence{Route: "r"}
+			route := rollout.RouteEvidence{Route: "r"}
 			look := func(passed time.Duration, old, target rollout.Count) {
 				now = now.Add(passed)
 				for cohort := range 4 {
-					seen.Old[cohort] = seen.Old[cohort].Plus(old)
-					seen.Target[cohort] = seen.Target[cohort].Plus(target)
+					route.Old[cohort] = route.Old[cohort].Plus(old)
+					route.Target[cohort] = route.Target[cohort].Plus(target)
 				}
-				judge = judge.With(rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, now)
+				judge = judge.With(rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, now)
 			}
 			for range 10 {
 				look(every, rollout.Count{Answers: 10}, rollout.Count{Answers: 1})
--- a/fleet/relay/rollout/lost_test.go
+++ b/fleet/relay/rollout/loss_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// losing has all nodes end while calls move, at a moment drawn by the seed.
+// loseAllNodes has all nodes end while calls move, at a moment drawn by the seed.
 func loseAllNodes(version func(*rand.Rand) fault) func(*play) {
 	return func(p *play) {
 		r := rand.New(rand.NewPCG(p.seed, 37))
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestABadVersionIsNotCompletedWhereAllNodesEndWhileCallsMove guards against nodes that
-// take what a bad version shows for usual, as none is left that knew the old one.
+// TestABadVersionIsNotCompletedWhereAllNodesEndWhileCallsMove guards against nodes that take the
+// answers of a bad version for the baseline, as no node is left that knew the old one.
 func TestABadVersionIsNotCompletedWhereAllNodesEndWhileCallsMove(t *testing.T) {
 	all := playAll(rollouts(), modelRule, loseAllNodes(drawFault))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
@@ -39,7 +39,8 @@
 	assert.LessOrEqual(t, float64(a.bad-a.reverted), allowed(0.01, a.bad), "bad ones that were not reverted")
 }
 
-// TestAGoodVersionWhereAllNodesEndWhileCallsMove tells what becomes of sound versions.
+// TestAGoodVersionWhereAllNodesEndWhileCallsMove guards against reverting every healthy version
+// after a loss of all nodes.
 func TestAGoodVersionWhereAllNodesEndWhileCallsMove(t *testing.T) {
 	all := playAll(rollouts(), modelRule, loseAllNodes(func(*rand.Rand) fault { return fault{} }))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
@@ -48,15 +49,15 @@
 	assert.Positive(t, a.completed, "a loss is no reason to revert whatever was ordered")
 }
 
-// underLoad is how a version is bad at endpoints that are about as full as old ones.
+// underLoad draws a fault that shows only at endpoints with about the load of old ones.
 func underLoad(r *rand.Rand) fault {
 	f := drawFault(r)
 	f.load = within(r, 0.5, 0.9)
 	return f
 }
 
-// TestABadVersionGetsNoMoreThanItsShareWhereAllNodesEndWhileCallsMove guards against nodes
-// that send all calls to a version because they found a move under way.
+// TestABadVersionGetsNoMoreThanItsShareWhereAllNodesEndWhileCallsMove guards against nodes that send
+// all calls to a version because they found a move in progress.
 func TestABadVersionGetsNoMoreThanItsShareWhereAllNodesEndWhileCallsMove(t *testing.T) {
 	fromStart := func(p *play) {
 		loseAllNodes(func(*rand.Rand) fault { return fault{} })(p)
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestAVersionThatIsBadUnderLoadIsNotCompletedWhereAllNodesEndWhileCallsMove guards against
-// a decider that starts in the move and completes before slow or few answers show the load.
+// TestAVersionThatIsBadUnderLoadIsNotCompletedWhereAllNodesEndWhileCallsMove guards against a
+// decider that starts during the move and completes it before slow or few answers show the effect of
+// load.
 func TestAVersionThatIsBadUnderLoadIsNotCompletedWhereAllNodesEndWhileCallsMove(t *testing.T) {
 	all := playAll(rollouts(), modelRule, loseAllNodes(underLoad))
 	lost := lo.Filter(all, func(o outcome, _ int) bool { return o.lost })
--- a/fleet/relay/rollout/model_answers_test.go
+++ b/fleet/relay/rollout/model_answers_test.go
@@ -7,16 +7,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// answer is one that is on its way.
+// answer is an answer in transit.
 type answer struct {
 	node           int
 	incarnation    int
 	sample         Sample
 	old            bool
-	first          bool  // it is the first event, and the end comes later
+	first          bool  // the first event, with the end to follow
 	fromBadVersion bool  // the version made it bad
-	reported       *bool // as bad already, when it was late
-	timer          bool  // it is the node's own, and not an answer
+	reported       *bool // already reported as bad, when it was late
+	timer          bool  // a timer of the node instead of an answer
 }
 
 func (p *play) send(i, k int, route *modelRoute, e *engine.Engine) {
@@ -68,11 +68,11 @@
 	p.schedule(i, route, a, slow)
 }
 
-// lateMargin is how much longer than the least that is slow a node waits before it tells
-// that a call is late.
+// lateMargin is the factor beyond the slow limit after which a node reports a call as late.
 const lateMargin = 1.1
 
-// late lets a node tell of a call that takes as long as a slow one before its answer comes.
+// reportLate makes the node report a call as slow once it has taken that long, before its answer
+// arrives.
 func (p *play) reportLate(i int, route *modelRoute, a answer, slow float64) {
 	shows := route.shows()
 	times, after := p.nodes[a.node].recorder.SlowFrom(route.name)
@@ -86,8 +86,7 @@
 	p.enqueue(i, after, a)
 }
 
-// schedule lets a call's first event and its end come; its slowness shows by the first
-// one that there is.
+// schedule enqueues a call's first event and its end. Its slowness is known from the first of them.
 func (p *play) schedule(i int, route *modelRoute, a answer, slow float64) {
 	ends := min(time.Duration(slow*float64(route.median)), 12*time.Second)
 	a.reported = new(bool)
--- a/fleet/relay/rollout/model_decider_test.go
+++ b/fleet/relay/rollout/model_decider_test.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 )
 
-// round lets nodes tell what they have seen, and the decider tick.
+// round delivers the nodes' evidence to the decider and ticks it.
 func (p *play) round() {
 	if p.stalled(0) {
 		return
@@ -21,20 +21,20 @@
 	}
 	p.inFlightHistory = append(p.inFlightHistory, p.inFlight)
 	sum, at := p.gathered.Sum(), p.time()
-	told := p.evidenceQueue
+	queued := p.evidenceQueue
 	p.evidenceQueue = []func(){func() { p.handle(Told{sum, at}) }}
-	for _, tell := range told {
-		tell()
+	for _, handle := range queued {
+		handle()
 	}
 	if p.windows != nil && p.windows.bad(sum, p.now) {
 		p.handle(Heard{Target: "v2", Made: made, Why: "by windows", Now: at})
 		p.warn()
 	}
-	most := time.Duration(0)
+	maximum := time.Duration(0)
 	for _, r := range p.service.routes {
-		most = max(most, r.maximum)
+		maximum = max(maximum, r.maximum)
 	}
-	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.inFlightHistory[max(len(p.inFlightHistory)-2, 0)], Lasts: most, Decides: !p.listening()})
+	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.inFlightHistory[max(len(p.inFlightHistory)-2, 0)], Lasts: maximum, Decides: !p.listening()})
 }
 
 func (p *play) handle(m Message) {
@@ -55,13 +55,13 @@
 
 func (p *play) warn() {
 	for i := range p.nodes {
-		if n := &p.nodes[i]; n.warnAt == 0 {
-			n.warnAt = p.now + time.Duration(p.rand.Float64()*float64(maxSendDelay))
+		if n := &p.nodes[i]; n.badAt == 0 {
+			n.badAt = p.now + time.Duration(p.rand.Float64()*float64(maxSendDelay))
 		}
 	}
 }
 
-// write lets the store take a status after the time that it needs.
+// write stores a status after a drawn delay, or refuses it.
 func (p *play) write(w Write) {
 	p.out.writes++
 	takes := 20*time.Millisecond + time.Duration(p.rand.Float64()*float64(80*time.Millisecond))
--- a/fleet/relay/rollout/model_test.go
+++ b/fleet/relay/rollout/model_test.go
@@ -13,43 +13,42 @@
 
 const (
 	step           = 50 * time.Millisecond
-	roundEvery     = 5 // steps between two rounds in which nodes tell and the decider ticks
+	roundEvery     = 5 // steps between two rounds, in which nodes report and the decider ticks
 	contact        = 4 * time.Second
 	modelZones     = 3
 	made           = 10
 	maxSendDelay   = 300 * time.Millisecond // from a node to the delegates, and back
 	maxStatusDelay = 600 * time.Millisecond // from a write to the last node's view of it
-	loadRetention  = 0.9                    // of what an endpoint got a step before: its load builds up in half a second
+	loadRetention  = 0.9                    // per step, of an endpoint's load: it builds up in half a second
 	fewEndpoints   = 6
-	playedAfter    = 3 * time.Second // played after the deadline, for ends that come late
+	playedAfter    = 3 * time.Second // played after the deadline, for late ends
 )
 
-// outcome is what a roll-out came to.
+// outcome is the result of a rollout.
 type outcome struct {
 	scenario
 	state       State
-	endedAt     time.Duration // when the state that lasts was written
+	endedAt     time.Duration // when the final state was written
 	calls       int           // that reached the service until the deadline
-	exposed     int           // of them to the target from nodes in touch
-	sent        int           // of them to the target from any node, also one that has just started
+	exposed     int           // of them sent to the target by connected nodes
+	sent        int           // of them sent to the target by any node, including just restarted ones
 	badAnswers  int
 	afterBad    int           // calls to the target later than the rollback after the 50th bad answer
 	dropped     time.Duration // from the 50th bad answer to the last call to the target
 	moved       time.Duration // when the move began
-	interrupted int           // that ran at old endpoints when they stopped
-	writes      int           // asked for
+	interrupted int           // calls that ran at old endpoints when these stopped
+	writes      int           // requested
 	stored      int
 	why         string
 	lost        bool // all nodes ended while calls moved
-	stalled     bool // nodes stood still while calls moved
+	stalled     bool // nodes stalled while calls moved
 }
 
 func (o outcome) overExposed(rule Rule) bool {
 	return float64(o.exposed) > rule.Share*float64(o.calls)+float64(rule.Tolerance)
 }
 
-// overSent is overExposed with no node left out: callers get what nodes send that have just
-// started, too.
+// overSent is overExposed for all nodes: callers also get answers to what restarted nodes send.
 func (o outcome) overSent(rule Rule) bool {
 	return float64(o.sent) > rule.Share*float64(o.calls)+float64(rule.Tolerance)
 }
@@ -59,7 +58,7 @@
 		o.state, o.endedAt.Round(step), o.moved.Round(step), o.exposed, o.sent, o.calls, o.badAnswers, o.afterBad, o.dropped.Round(step), o.interrupted, o.writes, o.why)
 }
 
-// seen is a status that a node comes to know.
+// statusUpdate is a status on its way to a node.
 type statusUpdate struct {
 	at     time.Duration
 	status Status
@@ -70,18 +69,18 @@
 type modelNode struct {
 	zone           int
 	incarnation    int
-	upAt           time.Duration // it takes no calls before
-	reachableSince time.Duration // since when it has been whole
+	upAt           time.Duration // it accepts no calls before
+	reachableSince time.Duration // since when it is connected and running
 	plan           Plan
 	lists          *Lists
 	updates        []statusUpdate
-	warnAt         time.Duration // when it hears that the target is bad; 0: not
+	badAt          time.Duration // when it learns that the target is bad; 0 if never
 	recorder       *Recorder
-	stall          span     // in which its process stands still
+	stall          span     // while its process doesn't run
 	queued         []func() // calls that wait in its sockets meanwhile
 }
 
-// play is one roll-out as it goes.
+// play is the state of one simulated rollout.
 type play struct {
 	scenario
 	rule            Rule
@@ -89,37 +88,37 @@
 	now             time.Duration
 	nodes           []modelNode
 	engines         []engine.Engine
-	unhealthy       [2]uint64 // hash of an ill endpoint of the old version and of the target
+	unhealthy       [2]uint64 // hash of an unhealthy endpoint of the old version and of the target
 	lists           map[store.Revision]*Lists
 	decider         Decider
 	gathered        *Gathered
-	evidenceQueue   []func() // to the decider, by the next rounds
+	evidenceQueue   []func() // for the decider, in the next rounds
 	status          Status
 	revision        store.Revision
 	pendingWrites   []func()
 	ends            [][]answer         // by step modulo its length
 	inFlight        int                // at old endpoints
-	inFlightHistory []int              // of the last rounds
-	recentLoad      map[uint64]float64 // calls a second of late, by endpoint of the target
+	inFlightHistory []int              // in the last rounds
+	recentLoad      map[uint64]float64 // recent calls per second, by endpoint of the target
 	callsByEndpoint map[uint64]int
 	fiftieth        time.Duration
 	out             outcome
 	test            evidenceTest
 	cohorts         int      // of the target's endpoints
-	windows         *windows // judge in place of the decider
-	early           bool     // the move begins as soon as rates are known
-	loss            *loss    // nil: none that depends on how far the order has come
-	stall           *stall   // nil: none
+	windows         *windows // replaces the judge
+	early           bool     // the move starts as soon as rates are known
+	loss            *loss    // nil if there is none during the move
+	stall           *stall   // nil if there is none
 }
 
-// loss is the end of all nodes while calls move; the version turns bad shortly before.
+// loss is the end of all nodes while calls move. The version turns bad shortly before.
 type loss struct {
-	into    time.Duration // the move
+	into    time.Duration // after the start of the move
 	version fault         // from then on; the zero value is a good one
 	over    bool
 }
 
-// turnsBefore is how long before the loss a version turns bad: nobody has judged it by then.
+// badBeforeLoss is how long before the loss a version turns bad: too short to be judged.
 const badBeforeLoss = 300 * time.Millisecond
 
 func (p *play) applyLoss() {
@@ -152,8 +151,8 @@
 		p.nodes[i].recorder = NewRecorder(p.order())
 		p.learn(i, statusUpdate{rev: made})
 	}
-	tried := p.listsOf(Status{State: InProgress, Target: "v2", Share: 0.08}, 0).Sampled
-	p.unhealthy[1] = tried[p.rand.IntN(min(3, len(tried)))].Hash
+	sampled := p.listsOf(Status{State: InProgress, Target: "v2", Share: 0.08}, 0).Sampled
+	p.unhealthy[1] = sampled[p.rand.IntN(min(3, len(sampled)))].Hash
 	if vary != nil {
 		vary(p)
 	}
@@ -165,8 +164,8 @@
 
 func (p *play) time() time.Time { return epoch.Add(p.now) }
 
-// newDecider lets another node decide. If it has followed the order, it knows how old
-// the status is.
+// newDecider replaces the decider by that of another node. If that node followed the order, it knows
+// the age of the status.
 func (p *play) newDecider(found bool) {
 	p.decider = NewDecider(p.rule)
 	p.gathered = NewGathered("svc", made)
@@ -203,7 +202,7 @@
 	n.lists = p.listsOf(s.status, s.rev)
 }
 
-// run plays a roll-out to its end.
+// run plays the rollout to its end.
 func (p *play) run() outcome {
 	for i := 0; p.now < p.duration+playedAfter; i++ {
 		p.now = time.Duration(i) * step
@@ -224,7 +223,7 @@
 
 func (p *play) partitioned(zone int) bool { return zone == 0 && p.partition.holds(p.now) }
 
-// happen restarts nodes, and marks those that are cut off.
+// applyTroubles restarts, stalls and disconnects nodes as drawn.
 func (p *play) applyTroubles() {
 	during := span{p.now, p.now + step}
 	for _, at := range p.restarts {
@@ -234,7 +233,7 @@
 	}
 	if p.deciderEnds > 0 && during.holds(p.deciderEnds) {
 		p.restart(0)
-		if p.rand.IntN(2) == 0 { // the next one has not judged until now
+		if p.rand.IntN(2) == 0 { // the next decider has judged nothing so far
 			p.newDecider(false)
 		}
 		p.decider.writeAskedAt = time.Time{}
@@ -252,7 +251,7 @@
 	}
 }
 
-// endAll starts all nodes anew at once: what they knew is lost.
+// endAll restarts all nodes at once: they lose their state.
 func (p *play) endAll() {
 	for i := range p.nodes {
 		p.restart(i)
@@ -268,7 +267,7 @@
 	p.learn(i, statusUpdate{status: p.status, rev: p.revision, found: true})
 }
 
-// arrive lets nodes learn what has reached them.
+// deliver applies the statuses and writes that are due.
 func (p *play) deliver() {
 	for i := range p.nodes {
 		n := &p.nodes[i]
@@ -279,7 +278,7 @@
 			p.learn(i, n.updates[0])
 			n.updates = n.updates[1:]
 		}
-		if n.warnAt > 0 && n.warnAt <= p.now {
+		if n.badAt > 0 && n.badAt <= p.now {
 			n.plan = n.plan.WithBad()
 		}
 	}
@@ -292,7 +291,7 @@
 
 func (p *play) inTouch(n *modelNode) bool { return p.now-n.reachableSince >= contact }
 
-// call sends what comes in this step.
+// arrivals sends the calls that arrive in this step.
 func (p *play) arrivals(i int) {
 	for h := range p.recentLoad {
 		p.recentLoad[h] *= loadRetention
@@ -310,7 +309,7 @@
 }
 
 func (p *play) newCall(i int, route *modelRoute) {
-	// A quarter of the nodes gets half of the calls.
+	// A quarter of the nodes receives half of the calls.
 	k := p.rand.IntN(len(p.nodes))
 	if p.rand.IntN(3) == 0 {
 		k = p.rand.IntN(1 + len(p.nodes)/4)
@@ -329,7 +328,7 @@
 	p.dispatch(i, k, route)
 }
 
-// place sends a call that a node has got.
+// dispatch sends a call that a node has received.
 func (p *play) dispatch(i, k int, route *modelRoute) {
 	n := &p.nodes[k]
 	c := Call{Hash: p.rand.Uint64(), Route: route.name, Once: route.once, Lasts: route.maximum, Now: p.time()}
@@ -345,7 +344,8 @@
 	}
 }
 
-// choose prefers endpoints of the node's zone, as routing does, and in a cut takes no others.
+// choose prefers endpoints of the node's zone, as routing does. During a partition it takes only
+// reachable ones.
 func (p *play) choose(from []engine.Engine, n *modelNode) *engine.Engine {
 	if p.now-p.partition.from > 500*time.Millisecond && p.partition.holds(p.now) {
 		if reached := lo.Filter(from, func(e engine.Engine, _ int) bool { return !p.separated(n, &e) }); len(reached) > 0 {
@@ -364,7 +364,7 @@
 
 func zoneOf(e *engine.Engine) int { return int(e.Zone[1] - '0') }
 
-// apart is whether a cut lies between a node and an endpoint.
+// separated reports whether a partition lies between a node and an endpoint.
 func (p *play) separated(n *modelNode, e *engine.Engine) bool {
 	return p.partitioned(n.zone) != p.partitioned(zoneOf(e))
 }
@@ -387,16 +387,16 @@
 	}
 }
 
-// load is how full an endpoint of the target is beside the old ones' usual. Where there
-// are many, it is the mean of those in use: single ones get too few calls to tell.
+// load returns the load of an endpoint of the target relative to the typical load of old ones. With
+// many endpoints it is the mean of those in use, since single ones get too few calls.
 func (p *play) load(e *engine.Engine) float64 {
-	usual := p.service.perSecond() / float64(p.service.old)
+	typical := p.service.perSecond() / float64(p.service.old)
 	if p.targets <= fewEndpoints {
-		return p.recentLoad[e.Hash] / usual
+		return p.recentLoad[e.Hash] / typical
 	}
 	used := p.targets
 	if p.status.State == InProgress && p.status.Stage == Sampling {
 		used = len(p.listsOf(p.status, p.revision).Sampled)
 	}
-	return lo.Sum(lo.Values(p.recentLoad)) / float64(used) / usual
+	return lo.Sum(lo.Values(p.recentLoad)) / float64(used) / typical
 }
--- a/fleet/relay/rollout/move.go
+++ b/fleet/relay/rollout/move.go
@@ -170,7 +170,7 @@
 
 // comparable reports whether enough is known of both versions to say that the target is no worse.
 // After a loss of the nodes that observed it, lack of evidence against it is not enough.
-func (d Decider) comparable() bool {
+func (d Decider) versionsComparable() bool {
 	if d.rollout.uncertainty() == 0 {
 		return true
 	}
@@ -195,9 +195,9 @@
 	switch {
 	case t.Target == 0:
 		return d.revertIfExpired(t, "the target has no endpoints by the end")
-	case !over && !drained, !d.comparable() && used-d.rollout.uncertainty()/2 < d.rollout.Duration-d.writeTime():
+	case !over && !drained, !d.versionsComparable() && used-d.rollout.uncertainty()/2 < d.rollout.Duration-d.writeTime():
 		return d, nil
-	case !d.comparable():
+	case !d.versionsComparable():
 		return d.write(Status{State: Reverted}, "too little is known of both versions by the end", t.Now)
 	case d.judge.Exceeds(doubtPart) || d.judge.HasSuspicion():
 		return d.resolveDoubt(t, over)
--- a/fleet/relay/rollout/pace_takeover_test.go
+++ b/fleet/relay/rollout/pace_takeover_test.go
@@ -9,23 +9,23 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// What others saw before a decider began is not taken for calls that usually come: the order
-// would wait for these until its time is over.
-func TestADeciderThatTakesOverWaitsForNoMoreThanItsProof(t *testing.T) {
+// Guards against a new decider that takes the evidence from before its start for the typical rate of
+// calls, and waits for such a rate until the order's time is over.
+func TestNewDeciderWaitsOnlyForFullLoad(t *testing.T) {
 	const every = 200 * time.Millisecond
 	for _, c := range []struct {
-		name   string
-		before int           // answers that others have seen when it begins
-		heard  time.Duration // after it began
-		stood  span          // nobody sees more than a quarter
-		least  time.Duration
-		latest time.Duration
+		name          string
+		before        int           // answers that others observed before it started
+		receivedAfter time.Duration // after its start
+		stall         span          // only a quarter of the answers is observed
+		least         time.Duration
+		latest        time.Duration
 	}{
-		{"nothing was seen before", 0, 0, span{}, 2 * time.Second, 3500 * time.Millisecond},
-		{"it hears others at once", 8000, 0, span{}, 2 * time.Second, 3500 * time.Millisecond},
-		{"it hears others a little later", 8000, 200 * time.Millisecond, span{}, 2 * time.Second, 3500 * time.Millisecond},
-		{"it hears another zone last", 8000, 800 * time.Millisecond, span{}, 2 * time.Second, 3500 * time.Millisecond},
-		{"the others stand still later", 8000, 200 * time.Millisecond, span{1200 * time.Millisecond, 3200 * time.Millisecond}, 4300 * time.Millisecond, 6 * time.Second},
+		{"nothing was observed before", 0, 0, span{}, 2 * time.Second, 3500 * time.Millisecond},
+		{"it receives others at once", 8000, 0, span{}, 2 * time.Second, 3500 * time.Millisecond},
+		{"it receives others a little later", 8000, 200 * time.Millisecond, span{}, 2 * time.Second, 3500 * time.Millisecond},
+		{"it receives another zone last", 8000, 800 * time.Millisecond, span{}, 2 * time.Second, 3500 * time.Millisecond},
+		{"the others stall later", 8000, 200 * time.Millisecond, span{1200 * time.Millisecond, 3200 * time.Millisecond}, 4300 * time.Millisecond, 6 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -33,17 +33,17 @@
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
 			status := rollout.Status{State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 20 * time.Second, Left: 2 * time.Second, Full: 1300 * time.Millisecond, Writes: 3}
 			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, Learned: now}})
-			seen := 0
+			total := 0
 			for at := time.Duration(0); at < 10*time.Second; at += every {
 				answers := 80
-				if at >= c.stood.from && at < c.stood.until {
+				if at >= c.stall.from && at < c.stall.until {
 					answers /= 4
 				}
-				seen += answers
+				total += answers
 				all := rollout.RouteEvidence{Route: "r", UsualMs: 25}
 				for cohort := range 8 {
-					all.Target[cohort] = rollout.Count{Answers: seen / 8}
-					if at >= c.heard {
+					all.Target[cohort] = rollout.Count{Answers: total / 8}
+					if at >= c.receivedAfter {
 						all.Old[cohort] = rollout.Count{Answers: c.before / 8}
 					}
 				}
@@ -64,12 +64,13 @@
 	}
 }
 
-// A store that takes long gets the last status early enough, also where nodes stay silent.
+// Guards against a last status that a slow store takes only after the deadline, also where nodes
+// stay silent.
 func TestASlowStoreGetsTheLastStatusInTime(t *testing.T) {
 	const every = 200 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		takes time.Duration // a write
+		takes time.Duration // of a write
 	}{
 		{"fast", 100 * time.Millisecond},
 		{"slow", 1500 * time.Millisecond},
@@ -80,24 +81,24 @@
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
 			r := rollout.Rollout{Order: order, Revision: 8, Learned: now}
 			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: r})
-			var learns time.Time
-			seen, began := 0, now
+			var learnedAt time.Time
+			total, began := 0, now
 			for at := time.Duration(0); at < 20*time.Second; at += every {
 				now = began.Add(at)
-				if !learns.IsZero() && !now.Before(learns) {
-					r.Learned, learns = now.Add(-c.takes), time.Time{}
+				if !learnedAt.IsZero() && !now.Before(learnedAt) {
+					r.Learned, learnedAt = now.Add(-c.takes), time.Time{}
 					r.Revision++
 					d, _ = d.Handle(rollout.Learned{Now: now, Rollout: r})
 				}
 				moving := r.Status.Stage == rollout.Moving
 				if moving {
-					seen += 20 // the others are silent for good
+					total += 20 // the others stay silent
 				} else {
-					seen += 80
+					total += 80
 				}
 				all := rollout.RouteEvidence{Route: "r", UsualMs: 25}
 				for cohort := range 8 {
-					all.Target[cohort].Answers, all.Old[cohort].Answers = seen/80, (seen-seen/10)/8
+					all.Target[cohort].Answers, all.Old[cohort].Answers = total/80, (total-total/10)/8
 				}
 				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{all}}, Now: now})
 				var effects []rollout.Effect
@@ -112,7 +113,7 @@
 						assert.LessOrEqual(t, at+c.takes, order.Duration)
 						return
 					}
-					r.Status, learns = w.Status, now.Add(c.takes)
+					r.Status, learnedAt = w.Status, now.Add(c.takes)
 				}
 			}
 			assert.Fail(t, "nothing was decided")
--- a/fleet/relay/rollout/pace_test.go
+++ b/fleet/relay/rollout/pace_test.go
@@ -9,24 +9,24 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// Time in which nobody saw answers is no proof of the target, whoever stood still; but an
-// order does not wait for nodes that stay silent until its time is over.
-func TestTimeInWhichNobodySawAnswersIsNoProof(t *testing.T) {
+// Guards against counting time without observed answers as full load, whichever node stalled, and
+// against waiting for silent nodes until the order's time is over.
+func TestTimeWithoutAnswersProvesNothing(t *testing.T) {
 	const every = 200 * time.Millisecond
 	for _, c := range []struct {
 		name          string
-		silent        span // since the move began
-		looks         bool // the decider itself went on, and heard of a quarter of the answers
-		badAfter      bool // what others saw meanwhile is bad
+		silent        span // since the start of the move
+		deciderRuns   bool // the decider keeps running, and receives a quarter of the answers
+		badAfter      bool // what others observed meanwhile is bad
 		least, latest time.Duration
 		want          rollout.State
 	}{
-		{"nobody stands still", span{}, true, false, 2 * time.Second, 3 * time.Second, rollout.Completed},
-		{"the decider stood still", span{time.Second, 3 * time.Second}, false, false, 4300 * time.Millisecond, 5500 * time.Millisecond, rollout.Completed},
-		{"the others stood still", span{time.Second, 3 * time.Second}, true, false, 4300 * time.Millisecond, 5500 * time.Millisecond, rollout.Completed},
+		{"nothing stalls", span{}, true, false, 2 * time.Second, 3 * time.Second, rollout.Completed},
+		{"the decider stalls", span{time.Second, 3 * time.Second}, false, false, 4300 * time.Millisecond, 5500 * time.Millisecond, rollout.Completed},
+		{"the others stall", span{time.Second, 3 * time.Second}, true, false, 4300 * time.Millisecond, 5500 * time.Millisecond, rollout.Completed},
 		{"the others stay silent", span{time.Second, time.Minute}, true, false, 4300 * time.Millisecond, 7500 * time.Millisecond, rollout.Completed},
-		{"the decider stood still, and the target is bad", span{time.Second, 3 * time.Second}, false, true, 3 * time.Second, 5 * time.Second, rollout.Reverted},
-		{"the others stood still, and the target is bad", span{time.Second, 3 * time.Second}, true, true, 3 * time.Second, 5 * time.Second, rollout.Reverted},
+		{"the decider stalls, and the target is bad", span{time.Second, 3 * time.Second}, false, true, 3 * time.Second, 5 * time.Second, rollout.Reverted},
+		{"the others stall, and the target is bad", span{time.Second, 3 * time.Second}, true, true, 3 * time.Second, 5 * time.Second, rollout.Reverted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -35,7 +35,7 @@
 			status := rollout.Status{State: rollout.InProgress, Stage: rollout.Sampling, Target: "v2", Made: 7, Share: 0.05, Used: 6 * time.Second, Writes: 2}
 			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, Learned: now}})
 			var old, target rollout.Count
-			tell := func(at time.Time, moving, bad bool, answers int) []rollout.Effect {
+			report := func(at time.Time, moving, bad bool, answers int) []rollout.Effect {
 				old.Answers += answers
 				if moving {
 					old.Answers -= answers
@@ -47,33 +47,33 @@
 					old.Answers -= answers / 10
 					target.Answers += answers / 10
 				}
-				seen := rollout.RouteEvidence{Route: "r", UsualMs: 25}
+				route := rollout.RouteEvidence{Route: "r", UsualMs: 25}
 				for cohort := range 8 {
-					seen.Old[cohort] = rollout.Count{Answers: old.Answers / 8}
-					seen.Target[cohort] = rollout.Count{Answers: target.Answers / 8, Bad: target.Bad / 8}
+					route.Old[cohort] = rollout.Count{Answers: old.Answers / 8}
+					route.Target[cohort] = rollout.Count{Answers: target.Answers / 8, Bad: target.Bad / 8}
 				}
-				var told, ticked []rollout.Effect
-				d, told = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{seen}}, Now: at})
+				var effects, ticked []rollout.Effect
+				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				d, ticked = d.Handle(rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 8, Decides: true})
-				return append(told, ticked...)
+				return append(effects, ticked...)
 			}
 			for range 20 {
 				now = now.Add(every)
-				tell(now, false, false, 160)
+				report(now, false, false, 160)
 			}
 			moved := now
 			status.Stage, status.Used, status.Left, status.Full, status.Writes = rollout.Moving, 10*time.Second, 2*time.Second, 1300*time.Millisecond, 3
 			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 10, Learned: now}})
 			for at := every; at < 9*time.Second; at += every {
 				silent := at >= c.silent.from && at < c.silent.until
-				if silent && !c.looks {
+				if silent && !c.deciderRuns {
 					continue
 				}
 				answers := 160
 				if silent {
 					answers /= 4
 				}
-				for _, e := range tell(moved.Add(at), true, c.badAfter && at >= c.silent.until, answers) {
+				for _, e := range report(moved.Add(at), true, c.badAfter && at >= c.silent.until, answers) {
 					if w, ok := e.(rollout.Write); ok {
 						assert.Equal(t, c.want, w.Status.State)
 						assert.GreaterOrEqual(t, at, c.least)
--- a/fleet/relay/rollout/plan_bench_test.go
+++ b/fleet/relay/rollout/plan_bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkSide is the cost of a call's decision with 1,000 endpoints of two versions.
+// BenchmarkSide measures the choice of endpoints for a call, with 1,000 endpoints of two versions.
 func BenchmarkSide(b *testing.B) {
 	engines := append(endpoints("v1", 500, 5), endpoints("v2", 500, 12)...)
 	parts := []Part{{"a", 0.1}, {"b", 0.05}, {"c", 0.02}}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestADecisionAllocatesNothing(t *testing.T) {
+func TestDecisionDoesNotAllocate(t *testing.T) {
 	p := planOf(Status{State: InProgress, Share: 0.08, Parts: []Part{{"a", 0.1}}})
 	l := Split(endpoints("v2", 9, 5), Set{}.At(30).With("a", p.rollout), "svc")
 	allocations := testing.AllocsPerRun(1000, func() { l.For(&p, Call{Hash: 7, Route: "a", Now: epoch}) })
--- a/fleet/relay/rollout/plan_test.go
+++ b/fleet/relay/rollout/plan_test.go
@@ -15,7 +15,7 @@
 	return NewPlan(Rollout{Order: order("v2", 10), Status: s, Revision: 20, Learned: epoch})
 }
 
-// shareOf counts what part of calls goes to the target.
+// targetShare returns the share of calls that go to the target.
 func targetShare(p Plan, c Call) float64 {
 	const calls = 20_000
 	target := 0
@@ -28,7 +28,7 @@
 	return float64(target) / calls
 }
 
-func TestShareOfCallsThatTryTheTarget(t *testing.T) {
+func TestShareOfCallsToTheTarget(t *testing.T) {
 	parts := []Part{{"small", 0.2}, {"large", 0.05}, {"once", 0.02}}
 	moving := Status{State: InProgress, Stage: Moving, Left: 8*time.Second + maxLearnDelay, Full: time.Second, Share: 0.08}
 	for _, c := range []struct {
@@ -40,22 +40,22 @@
 		{"nothing is written", NewPlan(Rollout{Order: order("v2", 10)}), Call{}, 0},
 		{"sampling", planOf(Status{State: InProgress, Share: 0.08}), Call{}, 0.08},
 		{"sampling, must run once", planOf(Status{State: InProgress, Share: 0.08}), Call{Once: true}, 0},
-		{"sampling, tried again", planOf(Status{State: InProgress, Share: 0.08}), Call{Attempt: 1}, 0},
+		{"sampling, retry", planOf(Status{State: InProgress, Share: 0.08}), Call{Attempt: 1}, 0},
 		{"sampling, small route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "small"}, 0.2},
 		{"sampling, large route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "large"}, 0.05},
 		{"sampling, must run once, parts", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "once", Once: true}, 0.02},
-		{"sampling, route that came later", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "new"}, 0.08},
+		{"sampling, later route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "new"}, 0.08},
 		{"found bad", planOf(Status{State: InProgress, Share: 0.08}).WithBad(), Call{}, 0},
 		{"moving, found bad", planOf(moving).WithBad(), Call{Lasts: time.Minute}, 0},
 		{"moving, ends in time", planOf(moving), Call{Lasts: time.Second}, 0.08},
 		{"moving, ends too late", planOf(moving), Call{Lasts: 9 * time.Second}, 1},
 		{"moving, in the ramp", planOf(moving), Call{Lasts: time.Second / 2, Now: epoch.Add(7*time.Second - rampTime/2)}, 0.08 + 0.86/8},
-		{"moving, tried again in time", planOf(moving), Call{Lasts: time.Second, Attempt: 1, Now: epoch.Add(6800 * time.Millisecond)}, 0},
-		{"moving, tried again too late", planOf(moving), Call{Lasts: 2 * time.Second, Attempt: 1, Now: epoch.Add(6500 * time.Millisecond)}, 1},
-		{"moving, the target's proof", planOf(moving), Call{Lasts: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
-		{"moving, the target's proof, tried again", planOf(moving), Call{Lasts: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
+		{"moving, retry in time", planOf(moving), Call{Lasts: time.Second, Attempt: 1, Now: epoch.Add(6800 * time.Millisecond)}, 0},
+		{"moving, retry too late", planOf(moving), Call{Lasts: 2 * time.Second, Attempt: 1, Now: epoch.Add(6500 * time.Millisecond)}, 1},
+		{"moving, full load", planOf(moving), Call{Lasts: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
+		{"moving, full load, retry", planOf(moving), Call{Lasts: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
 		{"completed", planOf(Status{State: Completed}), Call{}, 1},
-		{"completed, heard later that it is bad", planOf(Status{State: Completed}).WithBad(), Call{}, 1},
+		{"completed, found bad later", planOf(Status{State: Completed}).WithBad(), Call{}, 1},
 		{"reverted", planOf(Status{State: Reverted}), Call{}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,19 +67,19 @@
 	}
 }
 
-func TestNoOrderIsNoSide(t *testing.T) {
+func TestPlanWithoutOrderSelectsAny(t *testing.T) {
 	var p Plan
 	assert.Equal(t, Any, p.Side(Call{Now: epoch}))
 }
 
-func TestAStatusOfUnknownAgeLetsNoCallBeginAtOldEndpoints(t *testing.T) {
+func TestFoundMoveSendsNoCallToOldEndpoints(t *testing.T) {
 	r := Rollout{Order: order("v2", 10), Learned: epoch, Found: true,
 		Status: Status{State: InProgress, Stage: Moving, Left: time.Minute, Target: "v2", Made: 10}}
 	p := NewPlan(r)
 	assert.Equal(t, New, p.Side(Call{Now: epoch, Lasts: time.Millisecond}))
 }
 
-func TestACallHasOneDrawAtEveryNode(t *testing.T) {
+func TestCallIsSampledAlikeAtEveryNode(t *testing.T) {
 	a, b := planOf(Status{State: InProgress, Share: 0.5}), planOf(Status{State: InProgress, Share: 0.5})
 	for i := range uint64(1000) {
 		c := Call{Hash: xxhash.Sum64([]byte{byte(i), byte(i >> 8)}), Now: epoch}
--- a/fleet/relay/rollout/pulse_test.go
+++ b/fleet/relay/rollout/pulse_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Nodes that start anew one after the other get the target its share in the mean and no
-// more: a node that found the status begins no pulse by that.
-func TestANodeThatStartsAnewBeginsNoPulse(t *testing.T) {
+// Guards against nodes that each start a pulse when they find a status: restarted one after the
+// other, they would send the target more than its mean share.
+func TestRestartedNodeStartsNoPulse(t *testing.T) {
 	status := Status{State: InProgress, Share: 0.05, Filled: 0.5}
-	seen := planOf(status)
+	learned := planOf(status)
 	r := Rollout{Order: order("v2", 10), Status: status, Revision: 20, Learned: epoch, Found: true}
 	r.Status.Target, r.Status.Made = "v2", 10
 	found := NewPlan(r)
 	inPulse := Call{Route: "r", Now: epoch.Add(pulseDuration / 2)}
-	assert.InDelta(t, 0.5, targetShare(seen, inPulse), 0.02)
+	assert.InDelta(t, 0.5, targetShare(learned, inPulse), 0.02)
 	assert.Zero(t, targetShare(found, inPulse))
 	mean := 0.0
 	const steps = 170 // of 0.1 s: one period
--- a/fleet/relay/rollout/recorder_test.go
+++ b/fleet/relay/rollout/recorder_test.go
@@ -17,7 +17,7 @@
 	return s
 }
 
-func TestWhatARecorderCounts(t *testing.T) {
+func TestRecorderCounts(t *testing.T) {
 	failed := func(s *Sample) { s.Failed = true }
 	lost := func(at time.Duration) Sample {
 		return sample(true, func(s *Sample) { s.Failed, s.Unreached, s.Now = true, true, epoch.Add(at) })
@@ -35,7 +35,7 @@
 		{"a slow one", []Sample{sample(false, nil), sample(true, func(s *Sample) { s.Slowness = 4 })}, Count{1, 1}},
 		{"a slow one with nothing to compare", []Sample{sample(true, func(s *Sample) { s.Slowness = 4 })}, Count{1, 0}},
 		{"a slow one of a cold endpoint", []Sample{sample(false, nil), sample(true, func(s *Sample) { s.Slowness, s.Cold = 4, true })}, Count{0, 0}},
-		{"one as usual of a cold endpoint", []Sample{sample(false, nil), sample(true, func(s *Sample) { s.Cold = true })}, Count{0, 0}},
+		{"a typical one of a cold endpoint", []Sample{sample(false, nil), sample(true, func(s *Sample) { s.Cold = true })}, Count{0, 0}},
 		{"a failed one of a cold endpoint", []Sample{sample(true, func(s *Sample) { s.Failed, s.Cold = true, true })}, Count{1, 1}},
 		{"slowness that isn't known", []Sample{sample(true, func(s *Sample) { s.Slowness = 0 })}, Count{1, 0}},
 		{"another service", []Sample{sample(true, func(s *Sample) { s.Service = "other" })}, Count{}},
@@ -43,8 +43,8 @@
 		{"a failure of a call that was sent before the order was known", []Sample{sample(true, func(s *Sample) { s.Sent, s.Failed = true, true })}, Count{1, 1}},
 		{"no answer, nothing after it", []Sample{lost(0)}, Count{}},
 		{"no answer, another one soon after", []Sample{lost(0), answered(time.Second)}, Count{2, 1}},
-		{"no answer, another one late after", []Sample{lost(0), answered(unreachedWindow)}, Count{1, 0}},
-		{"out of reach", []Sample{lost(0), lost(0), lost(0), lost(0), answered(time.Second)}, Count{1, 0}},
+		{"no answer, another one much later", []Sample{lost(0), answered(unreachedWindow)}, Count{1, 0}},
+		{"unreachable", []Sample{lost(0), lost(0), lost(0), lost(0), answered(time.Second)}, Count{1, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewRecorder(order("v2", 10))
@@ -56,20 +56,20 @@
 	}
 }
 
-func TestACallCountsWhenItIsSent(t *testing.T) {
+func TestCallCountsWhenSent(t *testing.T) {
 	r := NewRecorder(order("v2", 10))
 	counted := func() Count { return r.Evidence().Route("r").Target.Sum() }
-	told := sample(true, func(s *Sample) { s.Sent = true })
-	r.Sent(told)
-	r.Sent(told)
+	sent := sample(true, func(s *Sample) { s.Sent = true })
+	r.Sent(sent)
+	r.Sent(sent)
 	assert.Equal(t, Count{2, 0}, counted())
-	assert.False(t, r.Add(told), "its first event came in time")
-	told.Failed = true
-	assert.True(t, r.Add(told), "its end did not")
+	assert.False(t, r.Add(sent), "its first event came in time")
+	sent.Failed = true
+	assert.True(t, r.Add(sent), "its end did not")
 	assert.Equal(t, Count{2, 1}, counted())
 }
 
-func TestSlownessIsHeldAgainstTheOldVersionsOwn(t *testing.T) {
+func TestSlownessIsComparedWithOldVersion(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		old  float64 // slowness of the old version
@@ -101,9 +101,9 @@
 	}
 }
 
-// A node that started while calls moved holds the target's answers against what others saw
-// of the old version, until it has seen that itself.
-func TestAnswersAreHeldAgainstWhatOthersSaw(t *testing.T) {
+// A node that started while calls moved compares the target's answers with what others observed of
+// the old version, until it has observed that itself.
+func TestAnswersAreComparedWithReferences(t *testing.T) {
 	const usual = 100 * time.Millisecond
 	target := func(took time.Duration) Sample {
 		return sample(true, func(s *Sample) { s.Took = took })
@@ -115,7 +115,7 @@
 		samples  []Sample
 		want     Count
 	}{
-		{"as usual", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(usual)}, Count{1, 0}},
+		{"typical", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(usual)}, Count{1, 0}},
 		{"five times slower", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 1}},
 		{"nothing is known of the route", []Reference{{Route: "other", Usual: usual, Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 0}},
 		{"no times are known", []Reference{{Route: "r", Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 0}},
@@ -138,10 +138,10 @@
 	assert.InDelta(t, slowFactor*float64(usual), float64(after), float64(2*referenceSlack))
 }
 
-// What a status tells of the old version is what all nodes saw of it, or what was known
-// before where that is more.
-func TestWhatIsToldOfTheOldVersion(t *testing.T) {
-	seen := func(usualMs float64, old Count) Evidence {
+// A status holds what all nodes observed of the old version, or the earlier reference if that is
+// based on more answers.
+func TestUpdatedReferences(t *testing.T) {
+	observed := func(usualMs float64, old Count) Evidence {
 		r := RouteEvidence{Route: "r", UsualMs: usualMs}
 		r.Old[2] = old
 		return Evidence{Service: "svc", Made: 10, Routes: []RouteEvidence{r}}
@@ -154,14 +154,14 @@
 		want   []Reference
 	}{
 		{"nothing", Evidence{}, nil, nil},
-		{"nothing anew", Evidence{}, before, before},
-		{"nothing of the old version", seen(0, Count{}), before, before},
-		{"the first", seen(100.4, Count{30, 3}), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 30, Bad: 3}}},
-		{"more than before", seen(100, Count{60, 3}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 60, Bad: 3}}},
-		{"less than before", seen(300, Count{20, 20}), before, before},
-		{"many", seen(100, Count{4000, 400}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 200, Bad: 20}}},
-		{"two nodes", seen(100, Count{30, 0}).Plus(seen(200, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 125 * time.Millisecond, Answers: 40}}},
-		{"two nodes, one knows no times", seen(100, Count{30, 0}).Plus(seen(0, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 40}}},
+		{"nothing new", Evidence{}, before, before},
+		{"nothing of the old version", observed(0, Count{}), before, before},
+		{"the first", observed(100.4, Count{30, 3}), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 30, Bad: 3}}},
+		{"more than before", observed(100, Count{60, 3}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 60, Bad: 3}}},
+		{"less than before", observed(300, Count{20, 20}), before, before},
+		{"many", observed(100, Count{4000, 400}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 200, Bad: 20}}},
+		{"two nodes", observed(100, Count{30, 0}).Plus(observed(200, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 125 * time.Millisecond, Answers: 40}}},
+		{"two nodes, one knows no times", observed(100, Count{30, 0}).Plus(observed(0, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 40}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, updatedReferences(c.e, c.before))
@@ -184,7 +184,7 @@
 	g.Take("a.1", evidenceOf(Count{160, 0}, Count{16, 16}))
 	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0}))
 	g.Take("a.2", evidenceOf(Count{320, 0}, Count{32, 0}))
-	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0})) // came late
+	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0})) // arrives late
 	g.Take("b.1", Evidence{Service: "svc", Made: 9})
 	target, old := g.Sum().counts("")
 	assert.Equal(t, Count{48, 16}, target)
--- a/fleet/relay/rollout/site_test.go
+++ b/fleet/relay/rollout/scenario_test.go
@@ -9,17 +9,17 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// modelRoute is one kind of calls of a drawn service.
+// modelRoute is one kind of calls of a simulated service.
 type modelRoute struct {
 	name      string
 	perSecond float64
 	once      bool
-	first     time.Duration // median time until the first event of a stream; 0 is none
+	first     time.Duration // median time until the first event of a stream; 0 if there is none
 	median    time.Duration // median time of a call
-	maximum   time.Duration // as a node expects it, which one in a hundred exceeds
+	maximum   time.Duration // as a node expects it; one in a hundred calls exceeds it
 }
 
-// shows is the median time until a call's slowness shows first.
+// shows returns the median time until a call's slowness is known.
 func (r modelRoute) shows() time.Duration {
 	if r.first > 0 {
 		return r.first
@@ -27,7 +27,7 @@
 	return r.median
 }
 
-// modelService is what a roll-out is drawn for.
+// modelService is a simulated service.
 type modelService struct {
 	name   string
 	old    int
@@ -63,19 +63,19 @@
 	return sum
 }
 
-// span is a stretch of a roll-out, from its order on.
+// span is a period of a rollout, relative to its order.
 type span struct{ from, until time.Duration }
 
 func (s span) holds(at time.Duration) bool { return at >= s.from && at < s.until }
 
-// fault is how a version, or one endpoint of it, is bad.
+// fault describes how a version, or one endpoint of it, is bad.
 type fault struct {
 	fails  float64 // share of answers
-	slower float64 // times; 0 is as usual
-	route  string  // "" is all
+	slower float64 // factor of the typical time; 0 if not slower
+	route  string  // "" selects all routes
 	since  time.Duration
-	load   float64       // only at endpoints that are at least so full as old ones usually are
-	flaps  time.Duration // bad and good by turns of so long; 0 is always
+	load   float64       // minimum load relative to that of old endpoints
+	flaps  time.Duration // alternately bad and good for this long; 0 if always bad
 }
 
 func (f fault) shows(route string, at time.Duration, load float64) bool {
@@ -90,7 +90,7 @@
 	return at >= f.since && load >= f.load
 }
 
-// drawn is one roll-out: what is rolled out, where, and what else happens meanwhile.
+// scenario is one drawn rollout: the version, the service and the troubles.
 type scenario struct {
 	seed     uint64
 	service  modelService
@@ -98,26 +98,26 @@
 	duration time.Duration
 	nodes    int
 	targets  int
-	version  fault // of the target: bad where it is one
+	version  fault // of the target; the zero value is a good version
 	form     string
 
 	unhealthyTarget, unhealthyOld fault // of one endpoint
-	faultOfBoth                   fault // of all endpoints, during bothAt
+	faultOfBoth                   fault // of all endpoints, during bothDuring
 	bothDuring                    span
-	hot                           string // a route with three times the calls during hotAt
+	hot                           string // a route with three times the calls during hotDuring
 	hotDuring                     span
-	cold                          time.Duration // after the order: the target's endpoints say that they are slow
-	empty                         bool          // the target's prompts aren't kept yet: its first answers are slower
+	cold                          time.Duration // after the order: the target's endpoints signal a cold start
+	empty                         bool          // prompt caches of the target: its first answers are slower
 	storeSlow                     span
 	storeUnavailable              span
 	partition                     span // of zone z0
 	restarts                      []time.Duration
-	deciderEnds                   time.Duration // 0: it does not
+	deciderEnds                   time.Duration // 0 if it does not end
 	allEnd                        time.Duration
 	troubles                      []string
 }
 
-// bad is whether the version drawn is a bad one.
+// bad reports whether the drawn version is bad.
 func (d scenario) bad() bool { return d.form != "good" }
 
 func within(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
@@ -131,7 +131,7 @@
 	return span{from, from + time.Duration(within(r, float64(least), float64(most)))}
 }
 
-// draw draws a roll-out by its seed.
+// draw draws a rollout by its seed.
 func draw(seed uint64) scenario {
 	r := rand.New(rand.NewPCG(seed, 35))
 	d := scenario{seed: seed, service: modelServices[r.IntN(len(modelServices))], tenth: r.IntN(3) == 0, form: "good"}
@@ -173,7 +173,7 @@
 	d.version = f
 }
 
-// illness is how a version or an endpoint is bad: it fails a share of its answers or is
+// drawFault draws the fault of a version or an endpoint: it fails a share of its answers or is
 // several times slower.
 func drawFault(r *rand.Rand) fault {
 	if r.IntN(2) == 0 {
@@ -187,8 +187,8 @@
 		name string
 		draw func()
 	}{
-		{"ill endpoint of the target", func() { d.unhealthyTarget = drawFault(r) }},
-		{"ill endpoint of the old version", func() { d.unhealthyOld = drawFault(r) }},
+		{"unhealthy endpoint of the target", func() { d.unhealthyTarget = drawFault(r) }},
+		{"unhealthy endpoint of the old version", func() { d.unhealthyOld = drawFault(r) }},
 		{"flapping endpoint of the target", func() { d.unhealthyTarget = fault{fails: 1, flaps: 1500 * time.Millisecond} }},
 		{"answers lost at both", func() {
 			d.faultOfBoth, d.bothDuring = fault{fails: within(r, 0.05, 0.3)}, d.span(r, 3*time.Second, 10*time.Second)
@@ -202,8 +202,8 @@
 		{"cold target", func() { d.cold = time.Duration(within(r, 2, 5) * float64(time.Second)) }},
 		{"empty caches", func() { d.empty = true }},
 		{"slow store", func() { d.storeSlow = d.span(r, 3*time.Second, 10*time.Second) }},
-		{"store away", func() { d.storeUnavailable = d.span(r, 2*time.Second, 6*time.Second) }},
-		{"zone cut", func() { d.partition = d.span(r, 3*time.Second, 8*time.Second) }},
+		{"store unavailable", func() { d.storeUnavailable = d.span(r, 2*time.Second, 6*time.Second) }},
+		{"zone partitioned", func() { d.partition = d.span(r, 3*time.Second, 8*time.Second) }},
 		{"restarts", func() {
 			for range 1 + r.IntN(5) {
 				d.restarts = append(d.restarts, d.moment(r, 0, 1))
@@ -222,7 +222,7 @@
 		d.seed, d.service.name, d.tenth, d.form, d.duration.Round(time.Second/10), d.nodes, d.version, d.troubles)
 }
 
-// poisson draws how many calls come where so many are expected.
+// poisson draws a number of calls with the given mean.
 func poisson(r *rand.Rand, expected float64) int {
 	if expected > 30 {
 		return max(int(math.Round(expected+math.Sqrt(expected)*r.NormFloat64())), 0)
--- a/fleet/relay/rollout/split_test.go
+++ b/fleet/relay/rollout/split_test.go
@@ -12,15 +12,15 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// endpoints makes endpoints of a version, whose entries have a revision.
-func endpoints(version string, n int, seen store.Revision) []engine.Engine {
+// endpoints returns endpoints of a version whose entries have the given revision.
+func endpoints(version string, n int, revision store.Revision) []engine.Engine {
 	made := lo.Times(n, func(i int) engine.Engine {
 		return engine.Engine{
 			ID: fmt.Sprintf("%s-%d", version, i), Service: "svc", Zone: fmt.Sprintf("z%d", i%3),
-			Version: version, Seen: seen, Slots: 16,
+			Version: version, Seen: revision, Slots: 16,
 		}
 	})
-	return engine.NewDirectory(seen, made).Of("svc")
+	return engine.NewDirectory(revision, made).Of("svc")
 }
 
 func versions(engines []engine.Engine) []string {
@@ -31,7 +31,7 @@
 	return Order{Service: "svc", Target: target, Duration: 30e9, Made: made}
 }
 
-func TestStatusAloneSaysWhichVersionsGetWork(t *testing.T) {
+func TestStatusSelectsVersionsThatGetWork(t *testing.T) {
 	both := append(endpoints("v1", 6, 5), endpoints("v2", 6, 12)...)
 	three := append(both, endpoints("v3", 3, 13)...)
 	for _, c := range []struct {
@@ -48,7 +48,7 @@
 		{"moving", both, Status{State: InProgress, Stage: Moving, Target: "v2", Made: 10}, 10, "v2", []string{"v1"}, []string{"v2"}},
 		{"completed", both, Status{State: Completed, Target: "v2", Made: 10}, 10, "v2", nil, []string{"v2"}},
 		{"reverted", both, Status{State: Reverted, Target: "v2", Made: 10}, 10, "v2", []string{"v1"}, nil},
-		{"status of no known making", both, Status{State: InProgress, Target: "v2"}, 10, "v2", []string{"v1"}, []string{"v2"}},
+		{"status without the order's revision", both, Status{State: InProgress, Target: "v2"}, 10, "v2", []string{"v1"}, []string{"v2"}},
 		{"same version again after completed", endpoints("v2", 3, 12), Status{State: Completed, Target: "v2", Made: 10}, 20, "v2", []string{"v2"}, nil},
 		{"same version again after reverted", both, Status{State: Reverted, Target: "v2", Made: 10}, 20, "v2", []string{"v1"}, nil},
 		{"another version after reverted", three, Status{State: Reverted, Target: "v2", Made: 10}, 20, "v3", []string{"v1"}, nil},
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestAnEndpointWaitsUntilOrdersThatMayConcernItAreKnown(t *testing.T) {
+func TestEndpointWaitsUntilOrdersAreKnown(t *testing.T) {
 	old, fresh := endpoints("v1", 3, 5), endpoints("v2", 3, 12)
 	both := append(old, fresh...)
 	for _, c := range []struct {
@@ -94,12 +94,12 @@
 	}
 }
 
-func TestAnEndpointThatStartsAgainOnAUsedVersionServesAtOnce(t *testing.T) {
+func TestRestartedEndpointOfUsedVersionServesAtOnce(t *testing.T) {
 	engines := append(endpoints("v1", 3, 5), engine.Engine{ID: "again", Service: "svc", Version: "v1", Seen: 99})
 	assert.Len(t, Split(engines, Set{}.At(8), "svc").All, 4)
 }
 
-func TestOrdersThatMakeNoSenseChangeNothing(t *testing.T) {
+func TestInvalidOrdersChangeNothing(t *testing.T) {
 	for _, o := range []Order{
 		{Service: "", Target: "v2", Duration: 1, Made: 10},
 		{Service: "svc", Target: "", Duration: 1, Made: 10},
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestTwoServicesAreRolledOutApart(t *testing.T) {
+func TestServicesAreRolledOutIndependently(t *testing.T) {
 	first, second := order("v2", 10), order("v9", 11)
 	second.Service = "other"
 	set := Set{}.
@@ -123,10 +123,10 @@
 	both := append(endpoints("v1", 3, 5), endpoints("v2", 3, 12)...)
 	assert.Equal(t, []string{"v1"}, versions(Split(both, set, "svc").All))
 	set = set.Without("svc")
-	assert.Equal(t, []string{"v1", "v2"}, versions(Split(both, set, "svc").All), "taken away: all that are there")
+	assert.Equal(t, []string{"v1", "v2"}, versions(Split(both, set, "svc").All), "order deleted: all endpoints")
 }
 
-func TestTriedEndpointsAreAsFullAsOldOnes(t *testing.T) {
+func TestSampledEndpointsBearTheSameLoad(t *testing.T) {
 	for _, c := range []struct {
 		old, target int
 		share       float64
@@ -145,12 +145,12 @@
 			chosen := sampledEndpoints(target, endpoints("v1", c.old, 5), c.share)
 			assert.Len(t, chosen, c.want)
 			assert.Len(t, lo.UniqBy(chosen, func(e engine.Engine) string { return e.Zone }), min(3, c.want), "zones")
-			assert.Equal(t, chosen, sampledEndpoints(reversed(target), endpoints("v1", c.old, 5), c.share), "alike at all nodes")
+			assert.Equal(t, chosen, sampledEndpoints(reversed(target), endpoints("v1", c.old, 5), c.share), "the same at all nodes")
 		})
 	}
 }
 
-func TestDrainingEndpointsAreNotTried(t *testing.T) {
+func TestDrainingEndpointsAreNotSampled(t *testing.T) {
 	target := endpoints("v2", 4, 12)
 	target[0].State = engine.Draining
 	assert.NotContains(t, sampledEndpoints(target, endpoints("v1", 4, 5), 0.1), target[0])
--- a/fleet/relay/rollout/standing_test.go
+++ b/fleet/relay/rollout/stall_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// standing is a standstill of processes while calls move. Node 0 decides, and the first node
-// of each zone tells the others' words on.
+// stall is a stall of processes while calls move. Node 0 decides, and the first node of each zone
+// relays the others' reports.
 type stall struct {
 	scope          stallScope
-	into, duration time.Duration // of the move
-	version        fault         // from shortly before it on; the zero value is a good one
+	into, duration time.Duration // start relative to the move, and length
+	version        fault         // from shortly before it on; the zero value is a good version
 	over           bool
-	lastTick       time.Duration // when the decider looked last
-	listenUntil    time.Duration // until then it hears others first
+	lastTick       time.Duration // the decider's last tick
+	listenUntil    time.Duration // the decider only receives until then
 }
 
-// who is whose processes stand still.
+// stallScope selects the processes that stall.
 type stallScope string
 
 const (
@@ -30,13 +30,13 @@
 )
 
 const (
-	modelStallAfter = 500 * time.Millisecond // beyond a round, after which a decider stood still
+	modelStallAfter = 500 * time.Millisecond // beyond a round, from which a gap counts as a stall
 	modelListenTime = 400 * time.Millisecond
-	resumeSpread    = 400 * time.Millisecond // between the first process that goes on and the last
-	modelTimerDelay = 2 * step               // of a timer that was due in a standstill
+	resumeSpread    = 400 * time.Millisecond // between the first process that resumes and the last
+	modelTimerDelay = 2 * step               // of a timer that was due during a stall
 )
 
-// standStill lets the standstill begin once calls have moved for so long.
+// applyStall starts the stall once calls have moved for the drawn time.
 func (p *play) applyStall() {
 	s := p.stall
 	if s == nil || s.over || p.out.moved == 0 || p.now < p.out.moved+s.into || p.status.State != InProgress {
@@ -60,29 +60,30 @@
 
 func (p *play) stalled(k int) bool { return p.nodes[k].stall.holds(p.now) }
 
-// unheard is whether what a node says reaches the decider, by the first one of its zone.
+// unreachable reports whether a node's reports can't reach the decider through the first node of its
+// zone.
 func (p *play) unreachable(k int) bool {
 	zone := p.nodes[k].zone
 	return p.stalled(k) || zone < len(p.nodes) && p.stalled(zone)
 }
 
-// wake has nodes that go on send the calls that lay in their sockets.
+// resumeStalled makes resumed nodes send the calls that waited in their sockets.
 func (p *play) resumeStalled() {
 	for k := range p.nodes {
 		n := &p.nodes[k]
 		if len(n.queued) == 0 || p.stalled(k) {
 			continue
 		}
-		held := n.queued
+		queued := n.queued
 		n.queued = nil
-		for _, send := range held {
+		for _, send := range queued {
 			send()
 		}
 	}
 }
 
-// unread puts off an answer that a node can't read while it stands still: how long it took
-// is not known then.
+// postpone delays an answer that a stalled node can't read. How long the answer took is then
+// unknown.
 func (p *play) postpone(i int, a answer) bool {
 	if !p.stalled(a.node) {
 		return false
@@ -97,7 +98,7 @@
 	return true
 }
 
-// hearing is whether the decider hears others first, since it stood still.
+// listening reports whether the decider still receives reports after a stall before it decides.
 func (p *play) listening() bool {
 	s := p.stall
 	if s == nil {
@@ -110,7 +111,7 @@
 	return p.now < s.listenUntil
 }
 
-// wrote tells the decider what the store took, once its process goes on.
+// statusWritten passes a stored status to the decider once its process runs.
 func (p *play) statusWritten(m Learned) {
 	if p.stalled(0) {
 		p.pendingWrites = append(p.pendingWrites, func() { p.statusWritten(m) })
@@ -120,15 +121,15 @@
 	p.handle(m)
 }
 
-// standsMoving has processes stand still while calls move, at a moment drawn by the seed.
-func stallWhileMoving(w stallScope, version func(*rand.Rand) fault) func(*play) {
+// stallWhileMoving stalls processes while calls move, at a moment drawn by the seed.
+func stallWhileMoving(scope stallScope, version func(*rand.Rand) fault) func(*play) {
 	return func(p *play) {
 		r := rand.New(rand.NewPCG(p.seed, 39))
 		p.scenario = scenario{
 			seed: p.seed, service: p.service, tenth: p.tenth, duration: p.duration, nodes: len(p.nodes), targets: p.targets, form: "good",
 		}
 		p.stall = &stall{
-			scope: w, into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)),
+			scope: scope, into: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)),
 			duration: time.Duration(within(r, 0.3, 2.5) * float64(time.Second)), version: version(r),
 		}
 		if p.stall.version != (fault{}) {
@@ -138,15 +139,15 @@
 	}
 }
 
-// TestABadVersionIsNotCompletedWhereNodesStandStillWhileCallsMove guards against time that
-// counts as a target's proof though nobody saw answers meanwhile.
+// TestABadVersionIsNotCompletedWhereNodesStandStillWhileCallsMove guards against counting time as
+// full load of the target though no answers were observed meanwhile.
 func TestABadVersionIsNotCompletedWhereNodesStandStillWhileCallsMove(t *testing.T) {
 	for _, w := range []stallScope{onlyDecider, allButDecider, everyone} {
 		t.Run(string(w), func(t *testing.T) {
-			stood := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(w, drawFault)), func(o outcome, _ int) bool { return o.stalled })
-			a := summarize(stood, modelRule)
+			stalled := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(w, drawFault)), func(o outcome, _ int) bool { return o.stalled })
+			a := summarize(stalled, modelRule)
 			t.Log(a)
-			for _, o := range stood {
+			for _, o := range stalled {
 				if o.state != Reverted {
 					t.Log(o)
 				}
@@ -156,12 +157,12 @@
 	}
 }
 
-// TestAGoodVersionIsCompletedWhereNodesStandStillWhileCallsMove guards against waiting for
-// what comes too late, and against answers that lay unread and count as slow.
-func TestAGoodVersionIsCompletedWhereNodesStandStillWhileCallsMove(t *testing.T) {
-	sound := func(*rand.Rand) fault { return fault{} }
-	stood := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(everyone, sound)), func(o outcome, _ int) bool { return o.stalled })
-	a := summarize(stood, modelRule)
+// TestGoodVersionIsCompletedWhereNodesStall guards against waiting too long for missing answers, and
+// against counting answers as slow that waited unread.
+func TestGoodVersionIsCompletedWhereNodesStall(t *testing.T) {
+	healthy := func(*rand.Rand) fault { return fault{} }
+	stalled := lo.Filter(playAll(rollouts(), modelRule, stallWhileMoving(everyone, healthy)), func(o outcome, _ int) bool { return o.stalled })
+	a := summarize(stalled, modelRule)
 	t.Log(a)
 	assert.LessOrEqual(t, float64(a.good-a.completed), allowed(0.02, a.good), "good ones that were not completed in time")
 }
--- a/fleet/relay/rollout/text_test.go
+++ b/fleet/relay/rollout/text_test.go
@@ -11,7 +11,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-func TestCountsAreToldAsFewNumbers(t *testing.T) {
+func TestCountsAreEncodedCompactly(t *testing.T) {
 	cases := []struct {
 		name   string
 		counts rollout.Counts
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestStatusesThatSayTheSameAreEqual(t *testing.T) {
+func TestStatusEqual(t *testing.T) {
 	full := rollout.Status{
 		State: rollout.InProgress, Target: "v2", Made: 7, Stage: rollout.Moving, Share: 0.1, Used: time.Second, Left: time.Second, Filled: 0.1, Full: time.Second, First: 3, Ill: 4,
 		Parts: []rollout.Part{{Route: "r", Share: 0.2}}, Barred: []string{"v3"}, Writes: 2,
--- a/fleet/relay/rollout/variants_test.go
+++ b/fleet/relay/rollout/variants_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// kept is the test in which an ill endpoint counts like any other.
+// allCohorts is a test in which an unhealthy endpoint counts like any other.
 var allCohorts = evidenceTest{increment, func(s scores) float64 { return s.all }}
 
-// bets is a test by betting against a version that is no worse: half of what is held is
-// staked on each answer.
+// betting is a test by betting against a version that is no worse: each answer stakes half of the
+// capital.
 var betting = evidenceTest{func(c Count, expect float64) float64 {
 	const stake = 0.5
 	return float64(c.Bad)*math.Log(1+stake*(1-expect)/expect) + float64(c.Answers-c.Bad)*math.Log(1-stake)
 }, scores.score}
 
-// never is a test that finds nothing.
+// neverBad is a test that finds nothing.
 var neverBad = evidenceTest{func(Count, float64) float64 { return 0 }, scores.score}
 
-// windows judges each stretch of time alone: by the difference of two shares on a route,
-// in standard errors, without the worst cohorts.
+// windows judges each time window on its own: by the difference of the two shares on a route in
+// standard errors, without the worst cohorts.
 type windows struct {
 	start    time.Duration
 	observed Evidence
@@ -30,7 +30,7 @@
 
 const (
 	windowLength     = 3 * time.Second
-	windowDeviations = 4.5 // few good roll-outs of a hundred windows exceed it
+	windowDeviations = 4.5 // few good rollouts of a hundred windows exceed it
 )
 
 func (w *windows) bad(e Evidence, now time.Duration) bool {
@@ -64,20 +64,20 @@
 	return target.bad/target.answers-old.bad/old.answers > windowDeviations*deviation
 }
 
-// TestDrawnVariants plays the same roll-outs with one condition changed, and with other
-// tests, so that it shows what each is for.
+// TestDrawnVariants plays the same rollouts with one condition changed or with other tests, to show
+// the effect of each.
 func TestDrawnVariants(t *testing.T) {
 	n := max(rollouts()/3, 30)
-	held := summarize(playAll(n, modelRule, nil), modelRule)
-	t.Log("as it is:", held)
+	unchanged := summarize(playAll(n, modelRule, nil), modelRule)
+	t.Log("as it is:", unchanged)
 	for _, c := range []struct {
 		name  string
 		vary  func(*play)
 		found func(summary) bool
 	}{
-		{"the worst cohort is kept", func(p *play) { p.test = allCohorts }, func(a summary) bool { return a.completed < held.completed }},
-		{"the move begins at once", func(p *play) { p.early = true }, func(a summary) bool { return a.exposed > held.exposed }},
-		{"nobody judges", func(p *play) { p.test = neverBad }, func(a summary) bool { return a.reverted < held.reverted }},
+		{"the worst cohort is kept", func(p *play) { p.test = allCohorts }, func(a summary) bool { return a.completed < unchanged.completed }},
+		{"the move begins at once", func(p *play) { p.early = true }, func(a summary) bool { return a.exposed > unchanged.exposed }},
+		{"nobody judges", func(p *play) { p.test = neverBad }, func(a summary) bool { return a.reverted < unchanged.reverted }},
 		{"by bets", func(p *play) { p.test = betting }, nil},
 		{"by windows", func(p *play) { p.test, p.windows = neverBad, &windows{} }, nil},
 	} {
@@ -88,7 +88,7 @@
 			a := summarize(playAll(n, modelRule, c.vary), modelRule)
 			t.Log(a)
 			if c.found != nil {
-				assert.True(t, c.found(a), "the variant is found out")
+				assert.True(t, c.found(a), "the variant is detected")
 			}
 		})
 	}
