--- a/fleet/relay/rollout/decider_test.go
+++ b/fleet/relay/rollout/decider_test.go
@@ -36,10 +36,10 @@
 func TestFoundMoveCompletesOnlyOnEvidence(t *testing.T) {
 	known := []rollout.Reference{{Route: "r", Usual: 50 * time.Millisecond, Answers: 100, Bad: 1}}
 	for _, c := range []struct {
-		name   string
-		usual  []rollout.Reference
-		target rollout.Count // in each fifth of a second
-		want   rollout.State
+		name       string
+		references []rollout.Reference
+		target     rollout.Count // in each fifth of a second
+		want       rollout.State
 	}{
 		{"healthy", known, rollout.Count{Answers: 12}, rollout.Completed},
 		{"nothing is known of the old version", nil, rollout.Count{Answers: 12}, rollout.Reverted},
@@ -50,7 +50,7 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{
 				State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 6 * time.Second,
-				Left: 2 * time.Second, Full: 1300 * time.Millisecond, Writes: 3, Usual: c.usual,
+				Left: 2 * time.Second, Full: 1300 * time.Millisecond, Writes: 3, Usual: c.references,
 			}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
 			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
--- a/fleet/relay/rollout/drawn_test.go
+++ b/fleet/relay/rollout/drawn_test.go
@@ -55,7 +55,7 @@
 type summary struct {
 	good, completed, bad, reverted, exposed, sent, late int
 	dropped                                             []time.Duration
-	writes, cut                                         int
+	writes, interrupted                                 int
 }
 
 func (o outcome) completedInTime() bool { return o.state == Completed && o.endedAt <= o.duration }
@@ -74,7 +74,7 @@
 		if !o.bad() {
 			a.good++
 			a.completed += lo.Ternary(o.completedInTime(), 1, 0)
-			a.cut += o.interrupted
+			a.interrupted += o.interrupted
 			continue
 		}
 		a.bad++
@@ -96,9 +96,11 @@
 		p99 = a.dropped[len(a.dropped)*99/100]
 	}
 	return fmt.Sprintf("good %d, completed in time %d; bad %d, reverted %d, over the share %d (%d with nodes just started), over the time %d; from the 50th bad answer p99 %s, most %s; writes at most %d, calls cut %d",
-		a.good, a.completed, a.bad, a.reverted, a.exposed, a.sent, a.late, p99, lo.LastOr(a.dropped, 0), a.writes, a.cut)
+		a.good, a.completed, a.bad, a.reverted, a.exposed, a.sent, a.late, p99, lo.LastOr(a.dropped, 0), a.writes, a.interrupted)
 }
 
+// TestDrawn guards against bad versions that exceed their share or are not reverted in time, and
+// against good ones that are not completed in time, under drawn troubles.
 func TestDrawn(t *testing.T) {
 	all := playAll(rollouts(), modelRule, nil)
 	a := summarize(all, modelRule)
--- a/fleet/relay/rollout/judge.go
+++ b/fleet/relay/rollout/judge.go
@@ -73,11 +73,11 @@
 
 // WithSingleCohort sets whether all endpoints of the target fall into one cohort. If so, that cohort
 // alone makes a verdict, since no other cohort can clear it or be cleared.
-func (j Judge) WithSingleCohort(lone bool) Judge {
-	j.service.lone = lone
+func (j Judge) WithSingleCohort(single bool) Judge {
+	j.service.singleCohort = single
 	j.routes = slices.Clone(j.routes)
 	for i := range j.routes {
-		j.routes[i].scores.lone = lone
+		j.routes[i].scores.singleCohort = single
 	}
 	return j
 }
@@ -164,7 +164,7 @@
 	i := slices.IndexFunc(j.routes, func(r routeJudge) bool { return r.route == route })
 	if i < 0 {
 		fresh := routeJudge{route: route, scores: newScores()}
-		fresh.scores.lone = j.service.lone
+		fresh.scores.singleCohort = j.service.singleCohort
 		if known, ok := lo.Find(j.references, func(r Reference) bool { return r.Route == route }); ok {
 			observed := known.decayingCounts()
 			fresh.baseline = baseline{long: observed, short: observed, now: observed}
--- a/fleet/relay/rollout/message.go
+++ b/fleet/relay/rollout/message.go
@@ -64,7 +64,7 @@
 	Why      string // for the log
 }
 
-// Warn requests that all nodes are told at once that the target of an order is bad.
+// Warn requests an immediate announcement to all nodes that the target of an order is bad.
 type Warn struct {
 	Service string
 	Target  string
--- a/fleet/relay/rollout/pace_takeover_test.go
+++ b/fleet/relay/rollout/pace_takeover_test.go
@@ -18,7 +18,7 @@
 		before        int           // answers that others observed before it started
 		receivedAfter time.Duration // after its start
 		stall         span          // only a quarter of the answers is observed
-		least         time.Duration
+		earliest      time.Duration
 		latest        time.Duration
 	}{
 		{"nothing was observed before", 0, 0, span{}, 2 * time.Second, 3500 * time.Millisecond},
@@ -53,7 +53,7 @@
 				for _, e := range effects {
 					if w, ok := e.(rollout.Write); ok {
 						assert.Equal(t, rollout.Completed, w.Status.State)
-						assert.GreaterOrEqual(t, at, c.least)
+						assert.GreaterOrEqual(t, at, c.earliest)
 						assert.LessOrEqual(t, at, c.latest)
 						return
 					}
--- a/fleet/relay/rollout/pace_test.go
+++ b/fleet/relay/rollout/pace_test.go
@@ -14,12 +14,12 @@
 func TestTimeWithoutAnswersProvesNothing(t *testing.T) {
 	const every = 200 * time.Millisecond
 	for _, c := range []struct {
-		name          string
-		silent        span // since the start of the move
-		deciderRuns   bool // the decider keeps running, and receives a quarter of the answers
-		badAfter      bool // what others observed meanwhile is bad
-		least, latest time.Duration
-		want          rollout.State
+		name             string
+		silent           span // since the start of the move
+		deciderRuns      bool // the decider keeps running, and receives a quarter of the answers
+		badAfter         bool // what others observed meanwhile is bad
+		earliest, latest time.Duration
+		want             rollout.State
 	}{
 		{"nothing stalls", span{}, true, false, 2 * time.Second, 3 * time.Second, rollout.Completed},
 		{"the decider stalls", span{time.Second, 3 * time.Second}, false, false, 4300 * time.Millisecond, 5500 * time.Millisecond, rollout.Completed},
@@ -76,7 +76,7 @@
 				for _, e := range report(moved.Add(at), true, c.badAfter && at >= c.silent.until, answers) {
 					if w, ok := e.(rollout.Write); ok {
 						assert.Equal(t, c.want, w.Status.State)
-						assert.GreaterOrEqual(t, at, c.least)
+						assert.GreaterOrEqual(t, at, c.earliest)
 						assert.LessOrEqual(t, at, c.latest)
 						return
 					}
--- a/fleet/relay/rollout/recorder_test.go
+++ b/fleet/relay/rollout/recorder_test.go
@@ -71,11 +71,11 @@
 
 func TestSlownessIsComparedWithOldVersion(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		old  float64 // slowness of the old version
-		new  float64
-		most float64 // share of bad answers of the target
-		less float64
+		name   string
+		old    float64 // slowness of the old version
+		new    float64
+		atMost float64 // share of bad answers of the target
+		above  float64
 	}{
 		{"both alike", 1, 1, 0.02, -1},
 		{"both three times slower", 3, 3, 0.02, -1},
@@ -95,8 +95,8 @@
 			}
 			sum := r.Evidence().Route("r").Target.Sum()
 			share := float64(sum.Bad) / float64(sum.Answers)
-			assert.LessOrEqual(t, share, c.most)
-			assert.Greater(t, share, c.less)
+			assert.LessOrEqual(t, share, c.atMost)
+			assert.Greater(t, share, c.above)
 		})
 	}
 }
@@ -104,23 +104,23 @@
 // A node that started while calls moved compares the target's answers with what others observed of
 // the old version, until it has observed that itself.
 func TestAnswersAreComparedWithReferences(t *testing.T) {
-	const usual = 100 * time.Millisecond
+	const typical = 100 * time.Millisecond
 	target := func(took time.Duration) Sample {
 		return sample(true, func(s *Sample) { s.Took = took })
 	}
-	old := sample(false, func(s *Sample) { s.Took = 5 * usual })
+	old := sample(false, func(s *Sample) { s.Took = 5 * typical })
 	for _, c := range []struct {
 		name     string
 		referred []Reference
 		samples  []Sample
 		want     Count
 	}{
-		{"typical", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(usual)}, Count{1, 0}},
-		{"five times slower", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 1}},
-		{"nothing is known of the route", []Reference{{Route: "other", Usual: usual, Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 0}},
-		{"no times are known", []Reference{{Route: "r", Answers: 20}}, []Sample{target(5 * usual)}, Count{1, 0}},
-		{"how long it took is not known", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{target(0)}, Count{1, 0}},
-		{"the old version is as slow by now", []Reference{{Route: "r", Usual: usual, Answers: 20}}, []Sample{old, old, old, target(5 * usual)}, Count{1, 0}},
+		{"typical", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(typical)}, Count{1, 0}},
+		{"five times slower", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 1}},
+		{"nothing is known of the route", []Reference{{Route: "other", Usual: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 0}},
+		{"no times are known", []Reference{{Route: "r", Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 0}},
+		{"how long it took is not known", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(0)}, Count{1, 0}},
+		{"the old version is as slow by now", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{old, old, old, target(5 * typical)}, Count{1, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewRecorder(order("v2", 10))
@@ -132,10 +132,10 @@
 		})
 	}
 	r := NewRecorder(order("v2", 10))
-	r.Refer([]Reference{{Route: "r", Usual: usual, Answers: 20}})
+	r.Refer([]Reference{{Route: "r", Usual: typical, Answers: 20}})
 	times, after := r.SlowFrom("r")
 	assert.Zero(t, times)
-	assert.InDelta(t, slowFactor*float64(usual), float64(after), float64(2*referenceSlack))
+	assert.InDelta(t, slowFactor*float64(typical), float64(after), float64(2*referenceSlack))
 }
 
 // A status holds what all nodes observed of the old version, or the earlier reference if that is
--- a/fleet/relay/rollout/scenario_test.go
+++ b/fleet/relay/rollout/scenario_test.go
@@ -107,7 +107,7 @@
 	hot                           string // a route with three times the calls during hotDuring
 	hotDuring                     span
 	cold                          time.Duration // after the order: the target's endpoints signal a cold start
-	empty                         bool          // prompt caches of the target: its first answers are slower
+	empty                         bool          // the target's prompt caches: its first answers are slower
 	storeSlow                     span
 	storeUnavailable              span
 	partition                     span // of zone z0
@@ -120,15 +120,15 @@
 // bad reports whether the drawn version is bad.
 func (d scenario) bad() bool { return d.form != "good" }
 
-func within(r *rand.Rand, least, most float64) float64 { return least + (most-least)*r.Float64() }
+func within(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
 
-func (d *scenario) moment(r *rand.Rand, least, most float64) time.Duration {
-	return time.Duration(within(r, least, most) * float64(d.duration))
+func (d *scenario) moment(r *rand.Rand, low, high float64) time.Duration {
+	return time.Duration(within(r, low, high) * float64(d.duration))
 }
 
-func (d *scenario) span(r *rand.Rand, least, most time.Duration) span {
+func (d *scenario) span(r *rand.Rand, low, high time.Duration) span {
 	from := d.moment(r, 0, 0.9)
-	return span{from, from + time.Duration(within(r, float64(least), float64(most)))}
+	return span{from, from + time.Duration(within(r, float64(low), float64(high)))}
 }
 
 // draw draws a rollout by its seed.
@@ -227,8 +227,8 @@
 	if expected > 30 {
 		return max(int(math.Round(expected+math.Sqrt(expected)*r.NormFloat64())), 0)
 	}
-	n, p, least := 0, r.Float64(), math.Exp(-expected)
-	for p > least {
+	n, p, limit := 0, r.Float64(), math.Exp(-expected)
+	for p > limit {
 		n++
 		p *= r.Float64()
 	}
--- a/fleet/relay/rollout/scores.go
+++ b/fleet/relay/rollout/scores.go
@@ -17,10 +17,10 @@
 // scores holds the evidence against a target as logarithms: with all its cohorts, and without each
 // one of them.
 type scores struct {
-	all      float64
-	without  [Cohorts]float64
-	answered [Cohorts]bool // cohorts that answered
-	lone     bool          // no other cohort will answer
+	all          float64
+	without      [Cohorts]float64
+	answered     [Cohorts]bool // cohorts that answered
+	singleCohort bool          // no other cohort will answer
 
 	// One cohort is suspected while all together make a verdict and the others alone do not. It
 	// counts as an unhealthy endpoint once the others have answered well since then.
@@ -94,7 +94,7 @@
 // One cohort alone makes no verdict.
 func (s scores) score() float64 {
 	worst, cohorts := s.worst()
-	if s.lone {
+	if s.singleCohort {
 		return s.all
 	}
 	if cohorts < 2 {
--- a/fleet/relay/rollout/variants_test.go
+++ b/fleet/relay/rollout/variants_test.go
@@ -69,7 +69,7 @@
 func TestDrawnVariants(t *testing.T) {
 	n := max(rollouts()/3, 30)
 	unchanged := summarize(playAll(n, modelRule, nil), modelRule)
-	t.Log("as it is:", unchanged)
+	t.Log("unchanged:", unchanged)
 	for _, c := range []struct {
 		name  string
 		vary  func(*play)
@@ -83,7 +83,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.found == nil && n < 100 {
-				t.Skip("few plays tell little of one test beside another")
+				t.Skip("too few plays to compare tests")
 			}
 			a := summarize(playAll(n, modelRule, c.vary), modelRule)
 			t.Log(a)
