--- a/fleet/relay/forward/answer.go
+++ b/fleet/relay/forward/answer.go
@@ -20,23 +20,23 @@
 	return err == nil && kind == eventStream
 }
 
-// whole passes an answer on once all of it is here, so that it is never half.
-func (j *job) whole(ctx context.Context, t *choice.Placement, o answered) (*refusal, bool) {
-	defer drop(o.resp)
+// passWhole passes an answer on once all of it has arrived, so that a caller never gets part of one.
+func (j *job) passWhole(ctx context.Context, t *choice.Placement, o answered) (*refusal, bool) {
+	defer closeBody(o.resp)
 	body, err := io.ReadAll(o.resp.Body)
 	if err != nil {
-		j.close(t, resultOf(ctx, choice.Bad), took{})
-		j.note = at("body", t, err).Error()
-		j.cut(ctx, t, quarantine.Begun)
+		j.close(t, resultOf(ctx, choice.Bad), timing{})
+		j.note = wrapStep("body", t, err).Error()
+		j.recordInterrupted(ctx, t, quarantine.Begun)
 		if j.mayRunAgain(ctx) {
 			return nil, true
 		}
 		return j.afterFailure(ctx), false
 	}
-	j.close(t, resultOfStatus(o.resp.StatusCode), j.took(o.sent))
+	j.close(t, resultOfStatus(o.resp.StatusCode), j.timing(o.sent))
 	if o.resp.StatusCode < http.StatusBadRequest {
 		j.used = j.reserved
-		j.served()
+		j.recordServed()
 	}
 	j.Wire.Answer(j.w.Header(), o.resp)
 	j.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -46,12 +46,12 @@
 	return nil, false
 }
 
-// took is how long a plain answer took since the attempt began, where that says something.
-func (j *job) took(sent time.Time) took {
-	if !j.awake.still() {
-		return took{}
+// timing returns how long a plain answer took since the attempt began, or zero if the VM was suspended.
+func (j *job) timing(sent time.Time) timing {
+	if !j.stalls.noSuspension() {
+		return timing{}
 	}
-	return took{whole: clock.Since(sent), sent: sent}
+	return timing{whole: clock.Since(sent), sent: sent}
 }
 
 func resultOfStatus(status int) choice.Result {
--- a/fleet/relay/forward/handed_test.go
+++ b/fleet/relay/forward/closed_connection_test.go
@@ -13,10 +13,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/forward"
 )
 
-// A kept connection may be closed between the moment at which it is handed to a call and the
-// call's first byte, with those that rest beside one that fell silent. Not a byte of such a call
-// was sent: it goes elsewhere, also if it may run only once, and runs once.
-func TestACallWhoseConnectionWasClosedBeforeItsFirstByteGoesElsewhere(t *testing.T) {
+// A kept-alive connection may be closed, as idle beside a silent one, after it is handed to a call
+// and before the call's first byte. The call was not sent, so it goes to another endpoint even if it
+// may run only once, and runs once.
+func TestConnectionClosedBeforeFirstByteIsReplaced(t *testing.T) {
 	cases := []struct {
 		name string
 		path string
@@ -27,26 +27,26 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, good("answer"), good("answer"))
-			for range 4 { // until connections to both endpoints are kept
+			for range 4 { // until there are idle connections to both endpoints
 				assert.Equal(t, http.StatusOK, f.do(t, f.request(t, "POST", c.path, "body")).status)
 			}
-			before := len(f.seen())
-			struck := 0
+			before := len(f.received())
+			connects := 0
 			trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-				if struck++; struck == 1 {
+				if connects++; connects == 1 {
 					_ = info.Conn.Close()
 				}
 			}}
 			r := f.request(t, "POST", c.path, "body")
 			w := f.serve(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
 			assert.Equal(t, http.StatusOK, w.Code)
-			assert.Equal(t, 2, struck, "a second connection")
-			assert.Len(t, f.seen(), before+1, "it runs once")
+			assert.Equal(t, 2, connects, "a second connection")
+			assert.Len(t, f.received(), before+1, "it runs once")
 		})
 	}
 }
 
-// serve hands a call to the handler without a caller's connection.
+// serve passes a call to the handler without a network connection to the caller.
 func (f *fleet) serve(r *http.Request) *httptest.ResponseRecorder {
 	r.RequestURI = r.URL.RequestURI()
 	w := httptest.NewRecorder()
@@ -54,28 +54,27 @@
 	return w
 }
 
-// The transport keeps the connection of an answer without a body before the call that got
-// it has gone on: another call may have the connection when the first one's time ends. The
-// first one ran, so that it is not refused as one that never was sent; the second one was
-// never sent, so that it goes elsewhere.
+// After an answer without a body the transport makes the connection idle before the call has
+// continued: a second call may hold it when the first one times out. The first call ran and must not
+// be refused as never sent. The second was never sent and goes to another connection.
 func TestACallThatRanIsNotTakenForNeverSent(t *testing.T) {
 	f := newFleet(t, 1000, status(http.StatusNoContent, false))
 	assert.Equal(t, http.StatusNoContent, f.serve(f.request(t, "POST", "/once/", "warm")).Code)
 
-	kept, taken, firstEnded := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	kept, acquired, firstEnded := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	first := f.request(t, "POST", "/once/", "first", "Call", "first", "Deadline", "300")
 	first = first.WithContext(httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{PutIdleConn: func(error) {
 		close(kept)
 		<-firstEnded
 	}}))
 	second := f.request(t, "POST", "/once/", "second", "Call", "second")
-	struck := false
+	connects := false
 	second = second.WithContext(httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		if struck {
+		if connects {
 			return
 		}
-		struck = true
-		close(taken)
+		connects = true
+		close(acquired)
 		<-firstEnded
 	}}))
 	secondCode := make(chan int, 1)
@@ -86,13 +85,13 @@
 	w := f.serve(first)
 	close(firstEnded)
 	select {
-	case <-taken:
+	case <-acquired:
 	case <-time.After(time.Second):
 		t.Fatal("the second call never had the connection")
 	}
 	<-secondCode
 	ran := 0
-	for _, r := range f.seen() {
+	for _, r := range f.received() {
 		if r.body == "first" {
 			ran++
 		}
@@ -101,7 +100,7 @@
 	assert.Equal(t, http.StatusGatewayTimeout, w.Code, "it ran: %s", w.Body)
 }
 
-// repeats is a transport that writes a call to one connection and takes another one.
+// repeats is a transport that writes a call to one connection and then to another.
 type repeats struct{ of *forward.Transport }
 
 func (r repeats) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -123,7 +122,7 @@
 	return nil, nil
 }
 
-// A call that the transport was about to send twice may have run.
+// A call that the transport was about to send twice may have run, so it is not refused as not run.
 func TestACallThatTheTransportWouldSendTwiceCountsAsSent(t *testing.T) {
 	f := newFleet(t, 1000, good("answer"), good("answer"))
 	f.handler.Transport.RegisterProtocol("http", repeats{f.handler.Transport})
--- a/fleet/relay/forward/dropping_test.go
+++ b/fleet/relay/forward/drop_idle_race_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Connections that rest beside a silent one are closed, and never one that a call has been
-// handed meanwhile.
-func TestConnectionsThatRestAreClosedAndNoneThatACallUses(t *testing.T) {
+// Dropping the idle connections to an address must not close one that a call has just taken: calls
+// and drops race here.
+func TestDropIdleNeverClosesAConnectionInUse(t *testing.T) {
 	var ran sync.Map
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -30,7 +30,7 @@
 	transport := NewTransport()
 	defer transport.CloseIdleConnections()
 	address := server.Listener.Addr().String()
-	var cut, clean atomic.Int64
+	var interrupted, unsent atomic.Int64
 	var n atomic.Int64
 	stop := make(chan struct{})
 	var work sync.WaitGroup
@@ -43,21 +43,21 @@
 				default:
 				}
 				id := time.Now().String() + string(rune(n.Add(1)))
-				var used *hold
+				var used *connUse
 				ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
-					GotConn:     func(i httptrace.GotConnInfo) { used = use(i.Conn) },
+					GotConn:     func(i httptrace.GotConnInfo) { used = startUse(i.Conn) },
 					PutIdleConn: func(err error) { used.release() },
 				})
 				req := (&http.Request{Method: "POST", URL: &url.URL{Scheme: "http", Host: address}, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Body: onceBody{bytes.NewReader([]byte(id))}, ContentLength: int64(len(id))}).WithContext(ctx)
 				resp, err := transport.RoundTrip(req)
 				if err != nil {
-					if used.bar() {
-						clean.Add(1)
+					if used.block() {
+						unsent.Add(1)
 						continue
 					}
 					time.Sleep(2 * time.Millisecond)
 					if _, ok := ran.Load(id); ok {
-						cut.Add(1)
+						interrupted.Add(1)
 					}
 					continue
 				}
@@ -72,6 +72,6 @@
 	}
 	close(stop)
 	work.Wait()
-	t.Logf("calls %d, dropped %d, not sent %d", n.Load(), dropped, clean.Load())
-	assert.Zero(t, cut.Load(), "calls that ran, and whose connection was closed under them")
+	t.Logf("calls %d, dropped %d, not sent %d", n.Load(), dropped, unsent.Load())
+	assert.Zero(t, interrupted.Load(), "calls that ran and whose connection was closed")
 }
--- a/fleet/relay/forward/dropped_test.go
+++ b/fleet/relay/forward/dropped_connection_test.go
@@ -9,9 +9,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// The transport may hand a connection out in the moment in which it is dropped as at rest:
-// not a byte of the call was sent, and it goes elsewhere, also where it may run once only.
-func TestACallOnAConnectionThatWasDroppedIsSentElsewhere(t *testing.T) {
+// The transport may hand out a connection at the moment in which it is dropped as idle. Not a byte
+// of the call was sent, so it goes to another endpoint even if it may run only once.
+func TestCallOnDroppedConnectionIsSentElsewhere(t *testing.T) {
 	const calls = 20
 	f := movingFleet(t, inProgress(rollout.Status{Stage: rollout.Moving}), false, good("old"), good("one"), good("two"))
 	dropped := 0
@@ -28,5 +28,5 @@
 		assert.Equal(t, 200, got.status, got.body)
 	}
 	assert.Positive(t, dropped)
-	assert.Len(t, f.seen(), calls, "each ran once")
+	assert.Len(t, f.received(), calls, "each must run once")
 }
--- a/fleet/relay/forward/extra_test.go
+++ b/fleet/relay/forward/extra_answer_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answersTwice answers each call of a connection whole, and then once more after
-// a while: at the latest when the next call is due.
+// answersTwice answers each call completely and sends the answer again after a pause, when the next
+// call may already use the connection.
 func answersTwice(pause time.Duration) script {
 	return func(_ *fleet, w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Call")
@@ -28,9 +28,9 @@
 	}
 }
 
-// An answer too many belongs to no call: every caller gets its own answer or
-// learns that there is none.
-func TestAnAnswerTooManyReachesNobody(t *testing.T) {
+// An endpoint that answers a call twice must not have the second answer passed to the next call on
+// the connection: every caller gets its own answer or an error.
+func TestExtraAnswerReachesNoCaller(t *testing.T) {
 	for _, pause := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
 		f := newFleet(t, 1000, answersTwice(pause))
 		for i := range 30 {
--- a/fleet/relay/forward/forward_test.go
+++ b/fleet/relay/forward/forward_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCallIsPassedOnToTheLetter(t *testing.T) {
+func TestCallIsForwardedUnchanged(t *testing.T) {
 	f := newFleet(t, 1000, good("answer"))
 	got := f.do(t, f.request(t, "POST", "/once/a%2Fb//c?x=%20&y", "the body", "Deadline", "5000"))
 	require.NoError(t, got.err)
 	assert.Equal(t, 200, got.status)
 	assert.Equal(t, "answer", got.body)
 	assert.Equal(t, "seal", got.header.Get("Seal"))
-	runs := f.seen()
+	runs := f.received()
 	require.Len(t, runs, 1)
 	assert.Equal(t, "POST", runs[0].method)
 	assert.Equal(t, "/once/a%2Fb//c?x=%20&y", runs[0].uri)
@@ -51,7 +51,7 @@
 			got := f.do(t, f.request(t, "POST", c.path, c.body, c.header...))
 			require.NoError(t, got.err)
 			assert.Equal(t, c.status, got.status)
-			assert.Empty(t, f.seen())
+			assert.Empty(t, f.received())
 			if c.status == 503 {
 				assert.NotEmpty(t, got.header.Get("Retry-After"))
 			}
@@ -69,7 +69,7 @@
 		name   string
 		method string
 		path   string
-		first  script // of every endpoint that comes first
+		first  script // of the endpoint that gets the first attempt
 		others script
 		status int
 		runs   int
@@ -91,7 +91,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			first := func(f *fleet, w http.ResponseWriter, r *http.Request) {
-				if len(f.seen()) == 1 {
+				if len(f.received()) == 1 {
 					c.first(f, w, r)
 					return
 				}
@@ -101,14 +101,14 @@
 			got := f.do(t, f.request(t, c.method, c.path, "b"))
 			require.NoError(t, got.err)
 			assert.Equal(t, c.status, got.status)
-			assert.Len(t, f.seen(), c.runs)
+			assert.Len(t, f.received(), c.runs)
 		})
 	}
 }
 
-// A kept connection that dies under a call is the transport's cue to send it
-// again by itself; the relay must not let it.
-func TestTransportRepeatsNothingOnADeadConnection(t *testing.T) {
+// When a kept-alive connection dies, Go's transport would resend the call by itself. The call may
+// have run, so the relay must prevent that.
+func TestTransportDoesNotResendOnDeadConnection(t *testing.T) {
 	cases := []struct{ name, method, body string }{{"get without body", "GET", ""}, {"post", "POST", "b"}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 			})
 			assert.Equal(t, 200, f.do(t, f.request(t, c.method, "/single/", c.body)).status)
 			assert.Equal(t, 502, f.do(t, f.request(t, c.method, "/single/", c.body, "Call", "c2")).status)
-			assert.Len(t, f.seen(), 2)
+			assert.Len(t, f.received(), 2)
 		})
 	}
 }
@@ -131,11 +131,11 @@
 	cases := []struct {
 		name    string
 		path    string
-		scripts []script // by the order of arrival
-		last    string   // the caller's place
+		scripts []script // in order of arrival
+		last    string   // Last-Event-ID from the caller
 		ids     string
 		whole   bool
-		handed  []string // the place that each attempt was given
+		handed  []string // Last-Event-ID of each attempt
 	}{
 		{"whole", "/stream/", []script{events(0, 3, true)}, "", "0 1 2", true, []string{""}},
 		{"broken, not resumable", "/stream/", []script{events(0, 2, false)}, "", "0 1", false, []string{""}},
@@ -146,14 +146,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			turn := func(f *fleet, w http.ResponseWriter, r *http.Request) { c.scripts[len(f.seen())-1](f, w, r) }
+			turn := func(f *fleet, w http.ResponseWriter, r *http.Request) { c.scripts[len(f.received())-1](f, w, r) }
 			f := newFleet(t, 1000, turn, turn)
 			got := f.do(t, f.request(t, "POST", c.path, "", "Last", c.last, "Prompt", "10", "Output", "100"))
 			assert.Equal(t, 200, got.status)
 			assert.Equal(t, c.whole, got.err == nil, "a broken stream must not look whole: %v", got.err)
 			assert.Equal(t, c.ids, strings.Join(idsOf(got.body), " "))
 			var handed []string
-			for _, r := range f.seen() {
+			for _, r := range f.received() {
 				handed = append(handed, r.header.Get("Last"))
 			}
 			assert.Equal(t, c.handed, handed)
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestEndpointFeelsTheCallerLeave(t *testing.T) {
+func TestEndpointNoticesThatCallerLeft(t *testing.T) {
 	cases := []struct {
 		name   string
 		script script
@@ -206,7 +206,7 @@
 			f := newFleet(t, 1000, c.script)
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
-				for len(f.seen()) == 0 {
+				for len(f.received()) == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -227,18 +227,17 @@
 	got = f.do(t, f.request(t, "POST", "/once/", "", "Call", "c2"))
 	assert.Equal(t, 503, got.status)
 	assert.NotEmpty(t, got.header.Get("Retry-After"))
-	assert.Len(t, f.seen(), 1)
+	assert.Len(t, f.received(), 1)
 }
 
-// An overloaded node hands on what its gate says, at once: the body is not read, nothing
-// runs or stays reserved, and the caller is told to come back. A node that is alone
-// keeps every call.
-func TestAnOverloadedNodeHandsCallsOn(t *testing.T) {
+// An overloaded node refuses the calls that its gate rejects before it reads their bodies, with
+// nothing run or reserved and a Retry-After. The only node of a fleet takes every call.
+func TestOverloadedNodeRedirectsCalls(t *testing.T) {
 	cases := []struct {
-		name    string
-		handsOn string
-		nodes   int
-		status  int
+		name      string
+		redirects string
+		nodes     int
+		status    int
 	}{
 		{"its customer", "t", 2, 503},
 		{"another's", "another", 2, 200},
@@ -247,14 +246,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, good("answer"))
-			f.gate.handsOn, f.nodes = c.handsOn, c.nodes
+			f.gate.redirects, f.nodes = c.redirects, c.nodes
 			got := f.do(t, f.request(t, "POST", "/once/", "body", "Prompt", "500"))
 			require.Equal(t, c.status, got.status)
 			if c.status == 200 {
-				assert.Len(t, f.seen(), 1)
+				assert.Len(t, f.received(), 1)
 				return
 			}
-			assert.Empty(t, f.seen())
+			assert.Empty(t, f.received())
 			assert.Contains(t, got.body, "node-overloaded")
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
--- a/fleet/relay/forward/handler.go
+++ b/fleet/relay/forward/handler.go
@@ -21,29 +21,28 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// Handler takes callers' calls.
+// Handler is the HTTP handler that relays callers' calls to endpoints.
 type Handler struct {
 	Options
-	leaving  atomic.Bool
-	refusing atomic.Bool
-	open     atomic.Int64
-	underWay underWay
+	leaving    atomic.Bool
+	refusing   atomic.Bool
+	open       atomic.Int64
+	inProgress callSet
 }
 
 // New returns a handler.
 func New(o Options) *Handler { return &Handler{Options: o} }
 
-// Leave makes the handler ask callers to use another connection next.
+// Leave makes the handler close each connection after its answer, so that callers reconnect elsewhere.
 func (h *Handler) Leave() { h.leaving.Store(true) }
 
-// RefuseNew makes the handler refuse calls that are new: what they need could
-// not be served before the stop.
+// RefuseNew makes the handler refuse new calls, which could not be served before the node stops.
 func (h *Handler) RefuseNew() { h.refusing.Store(true) }
 
-// Open is how many calls are in progress.
+// Open returns the number of calls in progress.
 func (h *Handler) Open() int64 { return h.open.Load() }
 
-// job is one call on its way.
+// job is one call in progress.
 type job struct {
 	*Handler
 	w       http.ResponseWriter
@@ -53,43 +52,43 @@
 	route   policy.Route
 	service policy.Service
 	tenant  policy.Tenant
-	homes   homes
+	regions allowedRegions
 	body    []byte
-	memory  int64 // set aside for the call, bytes
+	memory  int64 // bytes reserved for the call
 	start   time.Time
-	awake   awake     // since the start
-	end     time.Time // the caller's deadline or the route's timeout, the earlier
+	stalls  stallCheck // since the start
+	end     time.Time  // the caller's deadline or the route's timeout, whichever is earlier
 
-	reserved int64
-	used     int64 // of it, what the caller received
-	attempts int   // endpoints that the call was sent to
-	engine   string
-	note     string // what decided, for the log
-	broken   string // why a stream that broke off was not taken up, for the log
-	placed   *choice.Placement
-	told     told             // of the last attempt
-	limit    call.Limit       // that the last answer named
-	notices  []call.Notice    // of the last answer
-	printed  quarantine.Print // of its request; zero: not worked out yet
-	probe    int              // round of a request that is held back, which this call probes; 0 is none
-	pace     pace             // of the last stream
+	reserved          int64 // tokens
+	used              int64 // tokens of the reservation that the caller received
+	attempts          int   // number of endpoints that the call was sent to
+	engine            string
+	note              string // what decided the outcome, for the log
+	notResumed        string // why a broken stream was not resumed, for the log
+	placed            *choice.Placement
+	reported          reported         // what was reported of the last attempt
+	limit             call.Limit       // in the last answer
+	notices           []call.Notice    // in the last answer
+	cachedFingerprint quarantine.Print // of the request; zero until computed
+	probeRound        int              // quarantine round that this call probes; 0 if it is no probe
+	pace              pace             // of the last stream
 }
 
-// maxDeadline bounds calls that state no deadline on routes without a timeout.
+// maxDeadline bounds every call, including those without a deadline on routes without a timeout.
 const maxDeadline = 60 * time.Second
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.open.Add(1)
 	defer h.open.Add(-1)
-	r, end := h.traced(r)
+	r, end := h.startSpan(r)
 	defer end()
-	h.awaitRead(r.Context())
-	j := &job{Handler: h, w: w, r: r, start: clock.Now(), awake: newAwake(h.Stood), policy: h.Policy.Load()}
+	h.awaitBacklog(r.Context())
+	j := &job{Handler: h, w: w, r: r, start: clock.Now(), stalls: newStallCheck(h.Stood), policy: h.Policy.Load()}
 	if h.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	defer j.giveMemory()
+	defer j.releaseMemory()
 	refused, ok := j.admit()
 	if j.Intake.Send(j.tenant.Name) {
 		w.Header().Set("Connection", "close")
@@ -102,9 +101,9 @@
 	j.run()
 }
 
-// awaitRead holds a call that is found when the process goes on after it stood still: what
-// it would be decided by may lie beside it in the sockets, unread.
-func (h *Handler) awaitRead(ctx context.Context) {
+// awaitBacklog delays a call that arrived during a stall of the process until the updates that
+// arrived with it have been read from the sockets: the call is decided by them.
+func (h *Handler) awaitBacklog(ctx context.Context) {
 	if h.Unread == nil {
 		return
 	}
@@ -113,7 +112,7 @@
 	}
 }
 
-// admit reads the call and decides whether it may run at all.
+// admit reads the call and decides whether it may run. Otherwise it returns the refusal.
 func (j *job) admit() (refusal, bool) {
 	c, err := j.Wire.Parse(j.r)
 	j.call = c
@@ -135,10 +134,10 @@
 	if refused, ok := j.authenticate(); !ok {
 		return refused, false
 	}
-	j.homes = homesOf(route, j.tenant)
-	if j.nowhere() {
-		j.note = fmt.Sprintf("its route allows %v, its customer %v", route.Homes, j.tenant.Homes)
-		return refuseNoHome, false
+	j.regions = allowedRegionsOf(route, j.tenant)
+	if j.noAllowedRegion() {
+		j.note = fmt.Sprintf("the route allows regions %v, the customer %v", route.Homes, j.tenant.Homes)
+		return refuseNoRegion, false
 	}
 	if !j.Gate.Keep(j.tenant.Name, xxhash.Sum64String(j.call.ID)) && j.Nodes() > 1 {
 		return refuseOverloaded, false
@@ -147,7 +146,7 @@
 	if refused, ok := j.readBody(); !ok {
 		return refused, false
 	}
-	if j.refusedAtOnce() {
+	if j.refusedOnArrival() {
 		return refuseQuarantined, false
 	}
 	return j.reserve()
@@ -184,7 +183,7 @@
 	if j.r.ContentLength > limit {
 		return refuseTooLarge, false
 	}
-	if !j.takeMemory(limit) {
+	if !j.reserveMemory(limit) {
 		return refuseMemory, false
 	}
 	if j.r.ContentLength == 0 {
@@ -205,16 +204,16 @@
 }
 
 const (
-	// callBytes is what a call holds beside its body: buffers of the caller's and the
-	// endpoint's connections (4 kB each way, 16 kB of writes to the endpoint) and the
-	// stacks of their goroutines.
+	// callBytes is the memory that a call holds besides its body: the buffers of the caller's and
+	// the endpoint's connections (4 kB each way, 16 kB for writes to the endpoint) and the stacks
+	// of their goroutines.
 	callBytes = 48 << 10
-	// chunkedBytes is set aside for a body of no stated length.
+	// chunkedBytes is reserved for a body without a Content-Length.
 	chunkedBytes = 64 << 10
 )
 
-// takeMemory sets aside what the call will hold, before its body is read.
-func (j *job) takeMemory(limit int64) bool {
+// reserveMemory reserves the memory of the call before its body is read.
+func (j *job) reserveMemory(limit int64) bool {
 	bytes := callBytes + j.r.ContentLength
 	if j.r.ContentLength < 0 {
 		bytes = callBytes + min(chunkedBytes, limit)
@@ -226,7 +225,7 @@
 	return true
 }
 
-func (j *job) giveMemory() {
+func (j *job) releaseMemory() {
 	if j.memory > 0 {
 		j.Memory.Give(j.memory)
 		j.memory = 0
@@ -242,14 +241,14 @@
 	return body, err
 }
 
-// reserve sets the most that the call can cost aside.
+// reserve reserves the maximum cost of the call from the customer's allowance.
 func (j *job) reserve() (refusal, bool) {
 	j.service, _ = j.policy.Service(j.route.Pick(xxhash.Sum64String(j.call.ID)))
 	if !j.tenant.HasPrepaid || j.call.Cost() == 0 {
 		return refusal{}, true
 	}
-	if f, resting := j.resting(); resting {
-		return f, false // what can't be sent is not held while tokens are found for it
+	if f, resting := j.allResting(); resting {
+		return f, false // no endpoint would take the call: don't wait for tokens
 	}
 	answer := j.Allowance.Reserve(j.tenant.Name, j.call.Cost(), j.start)
 	if answer == account.Insufficient && j.TokenSource.Acquire(j.r.Context(), j.tenant.Name, j.call.Cost()) {
@@ -269,14 +268,14 @@
 	return refusal{}, true
 }
 
-// noteBudget keeps what decided a refusal, for the log.
+// noteBudget notes the state of the allowance that led to a refusal, for the log.
 func (j *job) noteBudget() {
 	h := j.Allowance.State(j.tenant.Name)
-	j.note = fmt.Sprintf("free %d, reserved %d, pool %d and left %d of %d at accounts revision %d; asked for %.0f a second here, %.0f elsewhere",
+	j.note = fmt.Sprintf("free %d, reserved %d, pool %d, remaining %d of %d at accounts revision %d; demand %.0f tokens/s here, %.0f on other nodes",
 		h.Free, h.Reserved, h.Pool, h.Left, h.Prepaid, h.Revision.Number(), h.Rate, h.Others)
 }
 
-// settle gives back what the call did not use.
+// settle returns the unused part of the reservation.
 func (j *job) settle() {
 	if j.reserved > 0 {
 		j.Allowance.Settle(j.tenant.Name, j.reserved, j.used)
@@ -284,7 +283,7 @@
 	}
 }
 
-// refuse ends the call with an answer of the relay's own, at once.
+// refuse answers the call with a refusal by the relay itself.
 func (j *job) refuse(f refusal) {
 	header := j.w.Header()
 	j.Wire.Refuse(header, j.call)
@@ -299,11 +298,11 @@
 	j.finish(f.reason, f.status)
 }
 
-// finish logs how the call ended: one line a call.
+// finish logs how the call ended, in one line per call.
 func (j *job) finish(reason string, status int) {
 	took := clock.Since(j.start)
 	j.Metrics.Finished(j.route.Name, reason, took)
-	j.describe(reason, status)
+	j.annotateSpan(reason, status)
 	fields := log.Fields{
 		"request": j.call.ID, "route": j.route.Name, "tenant": j.tenant.Name, "reason": reason, "status": status,
 		"ms": took.Milliseconds(), "attempts": j.attempts, "endpoint": j.engine, "reserved": j.call.Cost(), "used": j.used,
@@ -317,13 +316,13 @@
 	if j.note != "" {
 		fields["note"] = j.note
 	}
-	if j.broken != "" {
-		fields["notResumed"] = j.broken
+	if j.notResumed != "" {
+		fields["notResumed"] = j.notResumed
 	}
 	j.Log.WithFields(fields).Info("call ended")
 }
 
-// describeLimit tells what the endpoint said of the calls that it takes.
+// describeLimit adds the rate limit in the endpoint's answer to the log fields.
 func (j *job) describeLimit(fields log.Fields) {
 	switch j.limit.Said {
 	case call.Named:
@@ -334,7 +333,7 @@
 	}
 }
 
-// describeNotices tells what the endpoint said about the calls that it wants.
+// describeNotices adds the notices in the endpoint's answer to the log fields.
 func (j *job) describeNotices(fields log.Fields) {
 	for _, n := range j.notices {
 		switch n := n.(type) {
@@ -346,15 +345,15 @@
 	}
 }
 
-// describePlacement tells why the last endpoint was chosen, and what came of it.
+// describePlacement adds to the log fields why the last endpoint was chosen, and its measured times.
 func (j *job) describePlacement(fields log.Fields) {
 	t := j.placed
 	if t == nil || !t.Tokens() {
 		return
 	}
 	fields["expectedFirstMs"], fields["expectedPauseMs"] = int64(t.FirstMs), int64(t.PauseMs)
-	away := j.Places.To(t.Engine.Zone, clock.Now())
-	fields["away"], fields["roundTripMs"], fields["roundTripAgeMs"] = away.Class.String(), away.RoundTrip.Milliseconds(), away.Age.Milliseconds()
+	distance := j.Places.To(t.Engine.Zone, clock.Now())
+	fields["away"], fields["roundTripMs"], fields["roundTripAgeMs"] = distance.Class.String(), distance.RoundTrip.Milliseconds(), distance.Age.Milliseconds()
 	fields["uncached"], fields["fetched"], fields["cost"] = t.Uncached, t.Fetched, int64(t.Cost)
 	if t.Source != "" {
 		fields["fetchFrom"] = t.Source
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -30,7 +30,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/retry"
 )
 
-// plainWire is the least wire that the relay can speak.
+// plainWire is a minimal wire format.
 type plainWire struct{}
 
 func (plainWire) Parse(r *http.Request) (call.Call, error) {
@@ -75,26 +75,26 @@
 func (noMetrics) Finished(string, string, time.Duration) {}
 func (noMetrics) FirstEvent(string, time.Duration)       {}
 
-// noSource never finds any tokens.
+// noSource never obtains any tokens.
 type noSource struct{}
 
 func (noSource) Acquire(context.Context, string, int64) bool { return false }
 
-// gate keeps every call, or none of one customer.
+// gate takes every call except those of one customer.
 type gate struct {
-	handsOn string
-	bodies  atomic.Int32 // that came in
+	redirects string
+	bodies    atomic.Int32 // received
 }
 
-func (g *gate) Keep(customer string, _ uint64) bool { return customer != g.handsOn }
+func (g *gate) Keep(customer string, _ uint64) bool { return customer != g.redirects }
 func (g *gate) Body(time.Duration)                  { g.bodies.Add(1) }
 
 // intake closes the connections of one customer.
-type intake struct{ sends string }
+type intake struct{ reconnects string }
 
-func (i *intake) Send(customer string) bool { return customer != "" && customer == i.sends }
+func (i *intake) Send(customer string) bool { return customer != "" && customer == i.reconnects }
 
-// run is one call as an endpoint saw it.
+// run is one call as an endpoint received it.
 type run struct {
 	engine string
 	method string
@@ -103,7 +103,7 @@
 	header http.Header
 }
 
-// fleet is one handler before some endpoints that a test scripts.
+// fleet is a handler in front of scripted endpoints.
 type fleet struct {
 	*httptest.Server
 	handler     *forward.Handler
@@ -116,10 +116,10 @@
 	inForce     atomic.Pointer[policy.Policy]
 	trials      atomic.Pointer[forward.Trials]
 	samples     samples
-	servers     []*httptest.Server // of the endpoints, in their order
-	stood       atomic.Bool        // the process did, since whenever
+	servers     []*httptest.Server // of the endpoints, in order
+	stalled     atomic.Bool        // the process has stalled
 	memory      *memory.Budget     // nil: no bound
-	network     *pipes             // nil: the machine's own
+	network     *pipeNetwork       // nil: the VM's own
 	engines     []engine.Engine
 	directory   atomic.Pointer[engine.Directory]
 	picker      *choice.Picker
@@ -128,13 +128,13 @@
 
 	mu   sync.Mutex
 	runs []run
-	left atomic.Int32 // endpoints that felt the caller leave
+	left atomic.Int32 // endpoints that noticed that the caller left
 }
 
-// script is what an endpoint does with a call; it returns for "answered".
+// script is the handler of a scripted endpoint.
 type script func(f *fleet, w http.ResponseWriter, r *http.Request)
 
-// routes of every test: what may run once, what may be repeated, and streams.
+// testPolicy has routes for calls that run once, repeatable calls and streams.
 func testPolicy() policy.Policy {
 	split := func(s string) []policy.Split { return []policy.Split{{Service: s, Weight: 1}} }
 	return policy.Policy{
@@ -155,17 +155,17 @@
 	}
 }
 
-// testRegions are the regions of the zones in which endpoints may lie.
+// testRegions maps the zones of endpoints to their regions.
 var testRegions = map[string]string{"z1": "r1", "z2": "r2"}
 
-// newFleet starts a handler before one endpoint for each script.
+// newFleet starts a handler in front of one endpoint for each script.
 func newFleet(t *testing.T, held int64, scripts ...script) *fleet {
 	t.Helper()
 	return newFleetOn(t, nil, held, scripts...)
 }
 
 // newFleetOn starts a handler and its endpoints on a network.
-func newFleetOn(t *testing.T, network *pipes, held int64, scripts ...script) *fleet {
+func newFleetOn(t *testing.T, network *pipeNetwork, held int64, scripts ...script) *fleet {
 	t.Helper()
 	f := &fleet{policy: testPolicy(), network: network, allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
 	f.allowance.Budget(map[string]int64{"t": 1000})
@@ -206,7 +206,7 @@
 	f.handler = forward.New(forward.Options{
 		Wire: plainWire{}, Policy: &f.inForce, Engines: &f.directory, Trials: &f.trials, Samples: &f.samples, Allowance: f.allowance, TokenSource: noSource{},
 		Picker:  f.picker,
-		Stood:   func(time.Time) bool { return f.stood.Load() },
+		Stood:   func(time.Time) bool { return f.stalled.Load() },
 		Returns: limit.NewReturns(),
 		Retries: retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
 		Gate:    &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
@@ -215,7 +215,7 @@
 	t.Cleanup(f.Server.Close)
 }
 
-// transport is the relay's own, on the network of the test.
+// transport returns the relay's transport on the test's network.
 func (f *fleet) transport(t *testing.T) *forward.Transport {
 	transport := forward.NewTransport()
 	if f.network != nil {
@@ -225,7 +225,7 @@
 	return transport
 }
 
-func (f *fleet) seen() []run {
+func (f *fleet) received() []run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]run(nil), f.runs...)
@@ -245,7 +245,7 @@
 	return req
 }
 
-// answer is what a caller got; err where it was not whole.
+// answer is what a caller received; err is set if it was incomplete.
 type answer struct {
 	status int
 	header http.Header
@@ -264,8 +264,6 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// The scripts.
-
 func good(body string) script {
 	return func(_ *fleet, w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Call", r.Header.Get("Call"))
@@ -301,13 +299,13 @@
 	_, _ = io.WriteString(w, "half")
 }
 
-// hang waits until the caller is gone.
+// hang waits until the caller has left.
 func hang(f *fleet, _ http.ResponseWriter, r *http.Request) {
 	<-r.Context().Done()
 	f.left.Add(1)
 }
 
-// events streams events from..to-1 and then ends well or breaks off.
+// events streams events from..to-1 and then ends regularly or breaks off.
 func events(from, to int, whole bool) script {
 	return func(_ *fleet, w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Call", r.Header.Get("Call"))
--- a/fleet/relay/forward/lives_test.go
+++ b/fleet/relay/forward/incarnations_test.go
@@ -11,22 +11,21 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// beginAgain has the only endpoint start again, and the node learn of it.
-func (f *fleet) beginAgain() {
+// restartEndpoint starts a new incarnation of the only endpoint and makes it known to the node.
+func (f *fleet) restartEndpoint() {
 	e := f.engines[0]
 	e.Born++
 	f.picker.Begin(e.Life(), time.Now())
 	f.directory.Store(engine.NewDirectory(2, []engine.Engine{e}))
 }
 
-// Protects the promise that a refusal makes when a life ends halfway: a call sent to it
-// and answered by nobody may have run. One that may run once ends as such and is sent
-// nowhere again; one that may run again goes to the new life, though that has the id and
-// address of the one that was tried, and as often as its route allows.
-func TestALifeThatEndsHalfwayMayHaveRunTheCall(t *testing.T) {
+// A call sent to an incarnation that ends without an answer may have run, so it must not be refused
+// as not run. If it may run only once, it is not sent again. A repeatable call goes to the new
+// incarnation, though that has the same id and address, up to the attempts of its route.
+func TestEndedIncarnationMayHaveRunTheCall(t *testing.T) {
 	cases := []struct {
 		name, path string
-		lives      int // of the endpoint that end, each with the call
+		ended      int // incarnations that end with the call
 		status     int
 		runs       int
 	}{
@@ -40,26 +39,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			var arrived atomic.Int32
 			f := newFleet(t, 1000, func(f *fleet, w http.ResponseWriter, r *http.Request) {
-				if int(arrived.Add(1)) > c.lives {
+				if int(arrived.Add(1)) > c.ended {
 					events(0, 3, true)(f, w, r)
 					return
 				}
-				f.beginAgain()
+				f.restartEndpoint()
 				reset(f, w, r)
 			})
 			got := f.do(t, f.request(t, "POST", c.path, "body"))
 			assert.Equal(t, c.status, got.status)
-			assert.Len(t, f.seen(), c.runs)
-			for _, r := range f.seen() {
+			assert.Len(t, f.received(), c.runs)
+			for _, r := range f.received() {
 				assert.Equal(t, "e0", r.header.Get("Instance"), "the id alone names the expected instance")
 			}
 		})
 	}
 }
 
-// Protects calls from connections that died with the life before, and those under way from
-// being cut off: what was sent just before the new life was learned may run there.
-func TestIdleConnectionsOfALifeAreDropped(t *testing.T) {
+// Idle connections to an ended incarnation would cost a call each. Those in use must stay open:
+// a call sent just before the node learned of the new incarnation may be running there.
+func TestIdleConnectionsOfAnIncarnationAreDropped(t *testing.T) {
 	answer := make(chan bool)
 	f := newFleet(t, 1000, func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Call") == "held" {
@@ -72,7 +71,7 @@
 	assert.Eventually(t, func() bool { return f.connections.DropIdle(address) == 1 }, 5*time.Second, time.Millisecond)
 	held := make(chan int)
 	go func() { held <- f.do(t, f.request(t, "POST", "/once/", "body", "Call", "held")).status }()
-	assert.Eventually(t, func() bool { return len(f.seen()) == 2 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return len(f.received()) == 2 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, f.connections.DropIdle(address))
 	answer <- true
 	assert.Equal(t, http.StatusOK, <-held)
--- a/fleet/relay/forward/intake_test.go
+++ b/fleet/relay/forward/intake_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection whose customer is to come by another one is closed after its answer, which
-// is whole, whether the call was served or refused.
+// If the customer is to reconnect, the connection is closed after a complete answer, whether the
+// call was served or refused.
 func TestAConnectionIsClosedAfterItsAnswer(t *testing.T) {
 	cases := []struct {
-		name    string
-		sends   string
-		handsOn string
-		path    string
-		status  int
-		closed  bool
+		name       string
+		reconnects string
+		redirects  string
+		path       string
+		status     int
+		closed     bool
 	}{
 		{"served", "t", "", "/single/x", http.StatusOK, true},
 		{"refused", "t", "t", "/single/x", http.StatusServiceUnavailable, true},
@@ -27,7 +27,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, good("ok"))
-			f.intake.sends, f.gate.handsOn, f.nodes = c.sends, c.handsOn, 2
+			f.intake.reconnects, f.gate.redirects, f.nodes = c.reconnects, c.redirects, 2
 			resp, err := f.Client().Do(f.request(t, "POST", c.path, "body"))
 			require.NoError(t, err)
 			defer resp.Body.Close()
--- a/fleet/relay/forward/memory_test.go
+++ b/fleet/relay/forward/memory_test.go
@@ -12,8 +12,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/memory"
 )
 
-// A call that the node has no memory for is refused as not run, with word when to come
-// back; what ended calls held is free again, however they ended.
+// A call that exceeds the node's memory budget is refused as not run, with a Retry-After. Calls
+// release their memory however they end.
 func TestACallThatDoesNotFitIsRefused(t *testing.T) {
 	const bound = 200 << 10
 	f := newFleet(t, 1000, good("ok"))
@@ -34,5 +34,5 @@
 	}
 	assert.Eventually(t, func() bool { return f.memory.State().Held == 0 }, time.Second, time.Millisecond)
 	assert.Equal(t, int64(3), f.memory.State().Short)
-	assert.Len(t, f.seen(), 3, "what was refused reached no endpoint")
+	assert.Len(t, f.received(), 3, "refused calls must reach no endpoint")
 }
--- a/fleet/relay/forward/options.go
+++ b/fleet/relay/forward/options.go
@@ -1,5 +1,5 @@
-// Package forward carries one call from its caller to an endpoint and the
-// answer back: admission, attempts, the stream, and the refusal where none ran.
+// Package forward relays a call to an endpoint and its answer back to the caller. It admits or
+// refuses the call, chooses endpoints, retries, and resumes broken streams.
 package forward
 
 import (
@@ -27,58 +27,58 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/retry"
 )
 
-// Options are what a handler works with.
+// Options are the dependencies of a handler.
 type Options struct {
 	Wire        call.Wire
 	Policy      *atomic.Pointer[policy.Policy]
 	Engines     *atomic.Pointer[engine.Directory]
-	Trials      *atomic.Pointer[Trials] // nil: no service ever moves to another version
-	Samples     Samples                 // of the services in Trials
+	Trials      *atomic.Pointer[Trials] // nil: no service moves between versions
+	Samples     Samples                 // evidence on the services in Trials
 	Allowance   *account.Allowance
 	TokenSource TokenSource
 	Picker      *choice.Picker
 	Retries     *retry.Budget
-	Returns     *limit.Returns   // of callers that limits leave out
-	Quarantine  *quarantine.Book // nil: no request is held back
+	Returns     *limit.Returns   // schedules the return of callers refused by limits
+	Quarantine  *quarantine.Book // nil: no request is quarantined
 	Gate        Gate
 	Intake      Intake
-	Memory      *memory.Budget  // of calls in progress
-	Nodes       func() int      // how many nodes share the endpoints' connections
-	Places      distance.Places // where the availability zones lie
+	Memory      *memory.Budget  // for calls in progress
+	Nodes       func() int      // number of nodes that share the endpoints' connections
+	Places      distance.Places // regions of the availability zones and round trips to them
 	Transport   *Transport
-	Unread      func() time.Duration       // how much longer what came while the process stood still may lie unread; nil: it never stands still
-	Stood       func(since time.Time) bool // whether the process stood still since a moment; nil: it never does
+	Unread      func() time.Duration       // how long until what arrived during a stall of the process is read; nil: no stalls
+	Stood       func(since time.Time) bool // reports whether the process has stalled since a time; nil: no stalls
 	Log         log.Interface
 	Metrics     Metrics
-	Tracer      trace.Tracer // nil: nothing is traced
+	Tracer      trace.Tracer // nil: no tracing
 }
 
-// TokenSource finds tokens elsewhere for a request that the allowance is too short for;
-// true where the allowance may hold it now.
+// TokenSource obtains tokens from other nodes for a call that exceeds the allowance.
+// Acquire reports whether the allowance may cover the call now.
 type TokenSource interface {
 	Acquire(ctx context.Context, tenant string, tokens int64) bool
 }
 
-// Gate says which calls this node takes while it is overloaded.
+// Gate decides which calls this node takes while it is overloaded.
 type Gate interface {
 	Keep(customer string, key uint64) bool
-	Body(took time.Duration) // until the body of a call came in
+	Body(took time.Duration) // records how long a call's body took to arrive
 }
 
-// Intake says whether a connection that brought a call of a customer is to be closed
-// with its answer, since the customer's next one reaches another node.
+// Intake decides whether the connection of a customer's call is closed after the answer, so
+// that the customer's next connection reaches another node.
 type Intake interface {
 	Send(customer string) bool
 }
 
-// Metrics counts what the handler does.
+// Metrics records calls and their durations.
 type Metrics interface {
 	Finished(route, outcome string, took time.Duration)
 	FirstEvent(route string, took time.Duration)
 }
 
-// Bounds of connections to endpoints. Every wait has an end of its own, so that
-// a silent partition is felt.
+// Timeouts and limits of connections to endpoints. Each wait is bounded, so that a network
+// partition that drops packets silently is detected.
 const (
 	dialTimeout    = 300 * time.Millisecond
 	idleConnection = 20 * time.Second
@@ -89,14 +89,13 @@
 	idlePerHost    = 64
 )
 
-// Transport carries calls to endpoints, and answers for its connections.
+// Transport sends calls to endpoints and keeps track of its connections.
 type Transport struct {
 	*http.Transport
 	pool *pool
 }
 
-// NewTransport returns the transport to endpoints. It neither compresses nor
-// repeats: see onceBody.
+// NewTransport returns a transport that neither compresses nor, thanks to onceBody, resends calls.
 func NewTransport() *Transport {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -109,7 +108,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return connections.dialed(c, address), nil
+		return connections.add(c, address), nil
 	}
 	return &Transport{pool: connections, Transport: &http.Transport{
 		DialContext:           dial,
@@ -123,7 +122,7 @@
 	}}
 }
 
-// WithMeter counts what new connections carry.
+// WithMeter makes the meter count and pace the bytes of new connections.
 func (t *Transport) WithMeter(m *link.Meter) *Transport {
 	dial := t.DialContext
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -131,7 +130,7 @@
 		if err != nil {
 			return nil, err
 		}
-		one := c.(*pooled)
+		one := c.(*pooledConn)
 		one.metered = m.Conn(one.Conn)
 		one.Conn = one.metered
 		return c, nil
@@ -139,6 +138,7 @@
 	return t
 }
 
+// limitUnacked sets the time after which a connection with unacknowledged data fails.
 func limitUnacked(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
--- a/fleet/relay/forward/outcome.go
+++ b/fleet/relay/forward/outcome.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// outcome is how an attempt ended: sealed.
+// outcome is how an attempt ended. The types below are the only ones.
 type outcome interface{ outcome() }
 
-// neverSent: not a byte of the call reached the endpoint.
+// neverSent means that not a byte of the call reached the endpoint.
 type neverSent struct {
 	err       error
-	connected bool // there was a connection, which this node closed itself: no word on the endpoint
+	connected bool // this node closed the connection itself, which is no evidence on the endpoint
 }
 
-// rejected: the endpoint's own word that the call did not run there.
+// rejected means that the endpoint itself stated that the call did not run there.
 type rejected struct {
 	status int
-	moved  bool // another endpoint has the address
+	moved  bool // the address now belongs to another endpoint
 }
 
-// failed: the call may have run, and there is no answer to pass on.
+// failed means that the call may have run, and there is no answer to pass on.
 type failed struct {
-	err   error
-	heard bool // something answered, though not to this call
+	err      error
+	answered bool // there was an answer, but not to this call
 }
 
-// answered: the head of an answer to this call has come.
+// answered means that the head of an answer to this call has arrived.
 type answered struct {
 	resp *http.Response
 	sent time.Time // when the attempt began
@@ -37,18 +37,18 @@
 func (failed) outcome()    {}
 func (answered) outcome()  {}
 
-// refusal is an answer of the relay's own.
+// refusal is an answer by the relay itself.
 type refusal struct {
 	status int
-	reason string        // a stable word
-	after  time.Duration // when to come back; 0 is not said
+	reason string        // stable identifier
+	after  time.Duration // for Retry-After; 0: no such header
 }
 
-// The refusals.
+// Refusals.
 var (
 	refuseNoPolicy     = refusal{http.StatusServiceUnavailable, "no-configuration", 500 * time.Millisecond}
 	refuseLeaving      = refusal{http.StatusServiceUnavailable, "leaving", 50 * time.Millisecond}
-	refuseOverloaded   = refusal{http.StatusServiceUnavailable, "node-overloaded", 50 * time.Millisecond} // another try reaches another node, but for customers that keep to one
+	refuseOverloaded   = refusal{http.StatusServiceUnavailable, "node-overloaded", 50 * time.Millisecond} // a retry reaches another node, unless the customer sticks to one
 	refuseMemory       = refusal{http.StatusServiceUnavailable, "no-memory", 300 * time.Millisecond}
 	refuseNoRoute      = refusal{http.StatusNotFound, "unknown-route", 0}
 	refuseKey          = refusal{http.StatusUnauthorized, "unknown-key", 0}
@@ -57,14 +57,14 @@
 	refuseBudget       = refusal{http.StatusPaymentRequired, "budget-exhausted", 0}
 	refuseInsufficient = refusal{http.StatusServiceUnavailable, "budget-insufficient-here", 2 * time.Second}
 	refuseNoEngine     = refusal{http.StatusServiceUnavailable, "no-endpoint", 300 * time.Millisecond}
-	refuseNoHome       = refusal{http.StatusServiceUnavailable, "no-allowed-region", 5 * time.Second} // until a policy changes it
+	refuseNoRegion     = refusal{http.StatusServiceUnavailable, "no-allowed-region", 5 * time.Second} // lasts until the policy changes
 	refuseFull         = refusal{http.StatusServiceUnavailable, "endpoints-full", 200 * time.Millisecond}
-	refuseLimited      = refusal{http.StatusServiceUnavailable, "endpoints-limited", 0}                        // when to come back depends on the limits and on who waits
-	refuseTurnedAway   = refusal{http.StatusServiceUnavailable, "endpoint-turned-away", 50 * time.Millisecond} // others of its service may take the next try
-	refuseResting      = refusal{http.StatusServiceUnavailable, "endpoints-resting", 0}                        // when to come back depends on what they asked for
+	refuseLimited      = refusal{http.StatusServiceUnavailable, "endpoints-limited", 0}                        // after depends on the limits and on the callers that wait
+	refuseTurnedAway   = refusal{http.StatusServiceUnavailable, "endpoint-turned-away", 50 * time.Millisecond} // other endpoints of the service may take the retry
+	refuseResting      = refusal{http.StatusServiceUnavailable, "endpoints-resting", 0}                        // after depends on what the endpoints asked for
 	refuseUnknown      = refusal{http.StatusBadGateway, "endpoint-failed", 0}
-	refuseLeft         = refusal{http.StatusBadGateway, "caller-left", 0} // nobody reads it
+	refuseLeft         = refusal{http.StatusBadGateway, "caller-left", 0} // the caller is gone: nobody reads it
 	refuseTimedOut     = refusal{http.StatusGatewayTimeout, "timed-out", 0}
-	refuseQuarantined  = refusal{http.StatusBadGateway, "request-quarantined", 0} // it has run before, under other ids, and is not worth a return
+	refuseQuarantined  = refusal{http.StatusBadGateway, "request-quarantined", 0} // it may have run before, under other ids, and should not be retried
 	refuseUnstarted    = refusal{http.StatusServiceUnavailable, "not-sent-in-time", 200 * time.Millisecond}
 )
--- a/fleet/relay/forward/overdue.go
+++ b/fleet/relay/forward/overdue.go
@@ -10,39 +10,39 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// errOverdue ends a call whose time was over while the VM was suspended: the timer that
-// would have ended it stood still.
-var errOverdue = errors.New("the call's time was over while the VM was suspended")
+// errOverdue ends a call whose deadline passed while the VM was suspended: the timer that
+// would have ended it did not run.
+var errOverdue = errors.New("the call's deadline passed while the VM was suspended")
 
-// underWay is the calls that are under way, and how each is ended. It is safe for
+// callSet holds the calls in progress and the functions that cancel them. It is safe for
 // concurrent use.
-type underWay struct {
+type callSet struct {
 	mu    sync.Mutex
 	calls map[*job]context.CancelCauseFunc
 }
 
-func (u *underWay) add(j *job, end context.CancelCauseFunc) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.calls == nil {
-		u.calls = map[*job]context.CancelCauseFunc{}
+func (s *callSet) add(j *job, end context.CancelCauseFunc) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.calls == nil {
+		s.calls = map[*job]context.CancelCauseFunc{}
 	}
-	u.calls[j] = end
+	s.calls[j] = end
 }
 
-func (u *underWay) remove(j *job) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.calls, j)
+func (s *callSet) remove(j *job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.calls, j)
 }
 
-// EndOverdue ends the calls whose time is over, and tells how many. A call is answered as
-// one that timed out: it may have run.
+// EndOverdue ends the calls whose deadline has passed and returns how many. They are answered
+// as timed out, since they may have run.
 func (h *Handler) EndOverdue() int {
-	h.underWay.mu.Lock()
-	defer h.underWay.mu.Unlock()
+	h.inProgress.mu.Lock()
+	defer h.inProgress.mu.Unlock()
 	now, ended := clock.Now(), 0
-	for j, end := range h.underWay.calls {
+	for j, end := range h.inProgress.calls {
 		if !now.Before(j.end) {
 			end(errOverdue)
 			ended++
@@ -51,37 +51,39 @@
 	return ended
 }
 
-// context of the call: it ends with the caller's connection or the deadline.
+// context returns the call's context, which ends with the caller's connection or the deadline.
 func (j *job) context() (context.Context, context.CancelFunc) {
 	ctx, end := context.WithCancelCause(j.r.Context())
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(j.end))
-	j.underWay.add(j, end)
+	j.inProgress.add(j, end)
 	return ctx, func() {
-		j.underWay.remove(j)
+		j.inProgress.remove(j)
 		cancel()
 		end(nil)
 	}
 }
 
-// isOverdue is whether a call ended since its time was over.
+// isOverdue reports whether a call ended because its deadline passed.
 func isOverdue(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(context.Cause(ctx), errOverdue)
 }
 
-// awake is since when the VM was not suspended. What a call takes during which it was says
-// nothing of an endpoint, and is not learned from.
-type awake struct {
-	slept time.Duration
-	stood func(since time.Time) bool // nil: the process never stands still
+// stallCheck detects suspensions of the VM and stalls of the process during a call. Durations
+// that include one say nothing about an endpoint and are not recorded.
+type stallCheck struct {
+	suspended time.Duration              // in total, when the call began
+	stalled   func(since time.Time) bool // nil: no stalls
 }
 
-func newAwake(stood func(since time.Time) bool) awake { return awake{clock.Suspended(), stood} }
+func newStallCheck(stalled func(since time.Time) bool) stallCheck {
+	return stallCheck{clock.Suspended(), stalled}
+}
 
-// still is whether the VM was not suspended since.
-func (a awake) still() bool { return clock.Suspended() == a.slept }
+// noSuspension reports whether the VM has not been suspended since the call began.
+func (s stallCheck) noSuspension() bool { return clock.Suspended() == s.suspended }
 
-// teaches is whether the time since a moment of the call says something of an endpoint: the
-// VM was not suspended, nor did the process stand still, so that answers lay unread.
-func (a awake) teaches(since time.Time) bool {
-	return a.still() && (a.stood == nil || !a.stood(since))
+// usable reports whether the time elapsed since a moment of the call is evidence on an endpoint:
+// the VM was not suspended, and the process did not stall and leave answers unread.
+func (s stallCheck) usable(since time.Time) bool {
+	return s.noSuspension() && (s.stalled == nil || !s.stalled(since))
 }
--- a/fleet/relay/forward/overdue_test.go
+++ b/fleet/relay/forward/overdue_test.go
@@ -12,15 +12,15 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// A call whose time was over while the VM was suspended is ended when the node wakes, as
-// one that timed out: its endpoint feels it, and nobody is told that it has not run. One
-// that has time left goes on, and is told to have less of it.
-func TestCallsWhoseTimeIsOverAreEnded(t *testing.T) {
-	t.Cleanup(func() { clock.Suspend(-35 * time.Second) }) // tests after it are of another process
+// A call whose deadline passed while the VM was suspended is ended as timed out when the VM resumes,
+// since its timer did not run. Its endpoint notices that, and the caller is not told that the call did
+// not run. A call with time left goes on.
+func TestOverdueCallsAreEnded(t *testing.T) {
+	t.Cleanup(func() { clock.Suspend(-35 * time.Second) }) // reset for later tests
 	f := newFleet(t, 1000, hang)
 	ended := make(chan answer)
 	go func() { ended <- f.do(t, f.request(t, "POST", "/once/", "", "Deadline", "30000")) }()
-	require.Eventually(t, func() bool { return len(f.seen()) == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(f.received()) == 1 }, time.Second, time.Millisecond)
 	clock.Suspend(10 * time.Second)
 	assert.Zero(t, f.handler.EndOverdue(), "it has 20 s left")
 	clock.Suspend(25 * time.Second)
@@ -30,17 +30,16 @@
 	assert.Zero(t, f.handler.EndOverdue())
 }
 
-// What a call takes during which the VM slept says nothing of its endpoint, and nothing of
-// the version that is tried.
-func TestACallDuringWhichTheVMSleptTeachesNothing(t *testing.T) {
-	const slept = time.Second
+// The duration of a call during which the VM was suspended is no evidence on its endpoint or version.
+func TestCallDuringSuspensionIsNoEvidence(t *testing.T) {
+	const suspended = time.Second
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1}), false, good("old"), func(f *fleet, w http.ResponseWriter, r *http.Request) {
-		clock.Suspend(slept)
-		t.Cleanup(func() { clock.Suspend(-slept) }) // tests after it are of another process
+		clock.Suspend(suspended)
+		t.Cleanup(func() { clock.Suspend(-suspended) }) // reset for later tests
 		good("new")(f, w, r)
 	})
 	require.Equal(t, http.StatusOK, f.do(t, f.request(t, http.MethodGet, "/repeat/", "")).status)
-	seen := f.samples.list(t, 1)
-	assert.True(t, seen[0].Target)
-	assert.Zero(t, seen[0].Slowness)
+	samples := f.samples.list(t, 1)
+	assert.True(t, samples[0].Target)
+	assert.Zero(t, samples[0].Slowness)
 }
--- a/fleet/relay/forward/pace.go
+++ b/fleet/relay/forward/pace.go
@@ -7,36 +7,36 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// paceEvery is after how many events a stream's pace is told: often enough to
-// follow what runs at an endpoint, seldom enough to cost nothing.
+// paceEvery is the number of events after which a stream's pace is reported: often enough to
+// follow the load of an endpoint, rarely enough that the cost is negligible.
 const paceEvery = 8
 
-// pace is what a stream shows of the endpoint that runs it.
+// pace measures the events of a stream as evidence on the endpoint that runs it.
 type pace struct {
-	placement *choice.Placement
-	awake     awake
-	sent      time.Time
-	last      time.Time     // when the last event came
-	first     time.Duration // from the send
-	longest   time.Duration // between two events
-	since     time.Time     // when the events began that were not told yet
-	untold    int
-	events    int // since the first pieces came
+	placement  *choice.Placement
+	stalls     stallCheck
+	sent       time.Time
+	last       time.Time     // arrival of the last event
+	first      time.Duration // from the send to the first event
+	longest    time.Duration // longest pause between events
+	since      time.Time     // start of the events not yet reported
+	unreported int
+	events     int // after the first read that brought any
 }
 
-// took is what the stream took until its first event, and between two of the others.
-func (p *pace) took() took {
-	if !p.awake.still() {
-		return took{}
+// timing returns the time until the first event and the average gap between later events.
+func (p *pace) timing() timing {
+	if !p.stalls.noSuspension() {
+		return timing{}
 	}
-	t := took{whole: p.first, sent: p.sent}
+	t := timing{whole: p.first, sent: p.sent}
 	if p.events > 0 {
 		t.gap = p.last.Sub(p.sent.Add(p.first)) / time.Duration(p.events)
 	}
 	return t
 }
 
-// progress is how far the stream has come at its endpoint.
+// progress returns how far the stream has come at its endpoint.
 func (p *pace) progress(now time.Time) quarantine.Progress {
 	if p.last.IsZero() {
 		return quarantine.Nothing
@@ -44,14 +44,14 @@
 	return quarantine.ProgressOf(now.Sub(p.sent.Add(p.first)))
 }
 
-// passed notes that so many events came.
-func (p *pace) passed(events int, now time.Time) {
+// observe records the arrival of a number of events.
+func (p *pace) observe(events int, now time.Time) {
 	if events <= 0 {
 		return
 	}
 	if p.last.IsZero() {
 		p.first = now.Sub(p.sent)
-		if p.awake.teaches(p.sent) {
+		if p.stalls.usable(p.sent) {
 			p.placement.First(p.first, now)
 		}
 		p.last, p.since = now, now
@@ -59,14 +59,14 @@
 	}
 	p.longest = max(p.longest, now.Sub(p.last))
 	p.last = now
-	p.untold += events
+	p.unreported += events
 	p.events += events
-	if p.untold >= paceEvery {
-		if !p.awake.teaches(p.since) {
-			p.since, p.untold = now, 0
+	if p.unreported >= paceEvery {
+		if !p.stalls.usable(p.since) {
+			p.since, p.unreported = now, 0
 			return
 		}
-		p.placement.Events(now.Sub(p.since)/time.Duration(p.untold), now)
-		p.since, p.untold = now, 0
+		p.placement.Events(now.Sub(p.since)/time.Duration(p.unreported), now)
+		p.since, p.unreported = now, 0
 	}
 }
--- a/fleet/relay/forward/paths_test.go
+++ b/fleet/relay/forward/paths_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever is sent to an endpoint was placed there by the choice, which keeps the bounds that
-// hold for all nodes together: one place sends, and one places.
+// Every call to an endpoint must be placed by the choice, which enforces the bounds shared by all
+// nodes. So the source has a single place that sends, and a single one that sends attempts.
 func TestOnePlaceSendsToEndpoints(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	require.NoError(t, err)
--- a/fleet/relay/forward/pipes_test.go
+++ b/fleet/relay/forward/pipes_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipes is a network without a kernel: what passes over it takes no time, and what waits
-// for it is known to wait, so that a test can run by a clock of its own.
-type pipes struct {
-	connecting time.Duration // how long the relay's own connections take to open
+// pipeNetwork is an in-memory network without latency, on which waiting blocks durably, so that tests can
+// run in a synctest bubble.
+type pipeNetwork struct {
+	connecting time.Duration // duration of the relay's connects
 	mu         sync.Mutex
-	places     map[string]*pipeListener
+	listeners  map[string]*pipeListener
 }
 
 type pipeListener struct {
@@ -33,22 +33,22 @@
 func (pipeAddress) Network() string  { return "tcp" }
 func (a pipeAddress) String() string { return string(a) }
 
-func newPipes() *pipes { return &pipes{places: map[string]*pipeListener{}} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{listeners: map[string]*pipeListener{}} }
 
-// listen opens one more place.
-func (p *pipes) listen() *pipeListener {
+// listen opens a listener at a new address.
+func (p *pipeNetwork) listen() *pipeListener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	address := pipeAddress(fmt.Sprintf("192.0.2.%d:80", len(p.places)+1))
+	address := pipeAddress(fmt.Sprintf("192.0.2.%d:80", len(p.listeners)+1))
 	l := &pipeListener{address: address, dialed: make(chan net.Conn), closed: make(chan struct{})}
-	p.places[string(address)] = l
+	p.listeners[string(address)] = l
 	return l
 }
 
-// dial is a DialContext.
-func (p *pipes) dial(ctx context.Context, _, address string) (net.Conn, error) {
+// dial implements http.Transport.DialContext.
+func (p *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	p.mu.Lock()
-	l, ok := p.places[address]
+	l, ok := p.listeners[address]
 	p.mu.Unlock()
 	if !ok {
 		return nil, net.UnknownNetworkError(address)
@@ -64,8 +64,8 @@
 	}
 }
 
-// dialSlowly is a DialContext of which each connection takes its time.
-func (p *pipes) dialSlowly(ctx context.Context, network, address string) (net.Conn, error) {
+// dialSlowly implements http.Transport.DialContext with a delay for each connection.
+func (p *pipeNetwork) dialSlowly(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
 	case <-time.After(p.connecting):
 		return p.dial(ctx, network, address)
@@ -93,8 +93,8 @@
 // Addr implements net.Listener.
 func (l *pipeListener) Addr() net.Addr { return l.address }
 
-// server starts a server on the network of the test; with none, on the machine's own.
-func (p *pipes) server(t *testing.T, h http.Handler) *httptest.Server {
+// server starts an HTTP server on the test's network or, if p is nil, on the VM's own.
+func (p *pipeNetwork) server(t *testing.T, h http.Handler) *httptest.Server {
 	t.Helper()
 	if p == nil {
 		return httptest.NewServer(h)
--- a/fleet/relay/forward/pool.go
+++ b/fleet/relay/forward/pool.go
@@ -11,57 +11,57 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/link"
 )
 
-// pool is the connections to endpoints that are open, by address, so that one which
-// fell silent takes those that rest beside it along: they are as old, and their silence
-// would cost a call each. It is safe for concurrent use.
+// pool tracks the open connections to endpoints by address. When one falls silent, the idle ones
+// to the same address are closed, too: they are as old, and each would cost a call if it is silent.
+// It is safe for concurrent use.
 type pool struct {
 	mu   sync.Mutex
-	open map[string]map[*pooled]bool // by address
+	open map[string]map[*pooledConn]bool // by address
 }
 
-// pooled is one connection, and the call that uses it.
-type pooled struct {
+// pooledConn is a connection and the call that uses it.
+type pooledConn struct {
 	net.Conn
-	pool    *pool
-	address string
-	holder  atomic.Pointer[hold] // nil: no call uses it; it changes under the pool's lock
-	dropped bool                 // it was closed while it rested; under the pool's lock
-	metered *link.Conn           // nil: nothing is counted
-	keeps   atomic.Int64         // for how long the endpoint keeps it while it rests, in nanoseconds; 0: it did not say
+	pool        *pool
+	address     string
+	user        atomic.Pointer[connUse] // nil: idle; changed under the pool's lock
+	dropped     bool                    // closed while idle; guarded by the pool's lock
+	metered     *link.Conn              // nil: not metered
+	idleTimeout atomic.Int64            // how long the endpoint keeps it open while idle, in nanoseconds; 0: unknown
 }
 
-// hold is one call's use of a connection. How far the call was written is the call's own:
-// the transport may hand the connection on before the call has left it, and says that it
-// rests only after that.
-type hold struct {
-	conn    *pooled // nil: not a connection of the pool
-	sending atomic.Int32
+// connUse is one call's use of a connection. Each use has its own write state, since the transport
+// may give the connection to the next call before the previous one has released it: it reports the
+// connection as idle only afterwards.
+type connUse struct {
+	conn  *pooledConn // nil: not from the pool
+	state atomic.Int32
 }
 
-// How far a call was written to its connection.
+// Write states of a call on its connection.
 const (
-	untouched int32 = iota // not a byte
-	written                // something, perhaps
-	barred                 // nothing, and nothing ever will be
+	unwritten int32 = iota // no byte has been written
+	written                // some bytes may have been written
+	blocked                // no byte has been or will be written
 )
 
-func newPool() *pool { return &pool{open: map[string]map[*pooled]bool{}} }
+func newPool() *pool { return &pool{open: map[string]map[*pooledConn]bool{}} }
 
-// dialed adds a connection, which a call is about to use.
-func (p *pool) dialed(c net.Conn, address string) net.Conn {
-	one := &pooled{Conn: c, pool: p, address: address}
-	one.holder.Store(&hold{conn: one})
+// add adds a new connection, which a call is about to use.
+func (p *pool) add(c net.Conn, address string) net.Conn {
+	one := &pooledConn{Conn: c, pool: p, address: address}
+	one.user.Store(&connUse{conn: one})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[address] == nil {
-		p.open[address] = map[*pooled]bool{}
+		p.open[address] = map[*pooledConn]bool{}
 	}
 	p.open[address][one] = true
 	return one
 }
 
 // Close implements net.Conn.
-func (c *pooled) Close() error {
+func (c *pooledConn) Close() error {
 	c.pool.mu.Lock()
 	delete(c.pool.open[c.address], c)
 	if len(c.pool.open[c.address]) == 0 {
@@ -72,96 +72,96 @@
 }
 
 // Write implements net.Conn.
-func (c *pooled) Write(b []byte) (int, error) {
-	h := c.holder.Load()
-	if h == nil {
+func (c *pooledConn) Write(b []byte) (int, error) {
+	u := c.user.Load()
+	if u == nil {
 		return c.Conn.Write(b)
 	}
-	first := h.sending.CompareAndSwap(untouched, written)
-	if !first && h.sending.Load() == barred {
+	first := u.state.CompareAndSwap(unwritten, written)
+	if !first && u.state.Load() == blocked {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Write(b)
 	if first && n == 0 && err != nil {
-		h.sending.Store(untouched)
+		u.state.Store(unwritten)
 	}
 	return n, err
 }
 
-// use notes that a call uses a connection from now on. One that was dropped meanwhile
-// takes nothing of it.
-func use(c net.Conn) *hold {
-	one, ok := c.(*pooled)
+// startUse records that a call uses a connection from now on. If the connection has been dropped
+// in the meantime, nothing of the call is written to it.
+func startUse(c net.Conn) *connUse {
+	one, ok := c.(*pooledConn)
 	if !ok {
-		return &hold{}
+		return &connUse{}
 	}
-	h := &hold{conn: one}
+	u := &connUse{conn: one}
 	one.pool.mu.Lock()
 	defer one.pool.mu.Unlock()
 	if one.dropped {
-		h.sending.Store(barred)
+		u.state.Store(blocked)
 	}
-	one.holder.Store(h)
-	return h
+	one.user.Store(u)
+	return u
 }
 
-// keepsFor notes for how long the endpoint keeps the call's connection while it rests.
-func (h *hold) keepsFor(d time.Duration) {
-	if h != nil && h.conn != nil && d > 0 {
-		h.conn.keeps.Store(int64(d))
+// setIdleTimeout records how long the endpoint keeps the call's connection open while idle.
+func (u *connUse) setIdleTimeout(d time.Duration) {
+	if u != nil && u.conn != nil && d > 0 {
+		u.conn.idleTimeout.Store(int64(d))
 	}
 }
 
-// forgottenMargin is how much sooner than its endpoint forgets it a connection is not used again: the endpoint
-// counts from the end of its answer, and the next call is on its way for a while.
-const forgottenMargin = 250 * time.Millisecond
+// idleMargin is how long before the endpoint's idle timeout a connection is no longer used: the
+// endpoint counts from the end of its answer, and the next call takes a while to arrive.
+const idleMargin = 250 * time.Millisecond
 
-// forgotten is whether the endpoint has forgotten the call's connection, or is about to, after it rested
-// for so long.
-func (h *hold) forgotten(rested time.Duration) bool {
-	if h.conn == nil {
+// idleExpired reports whether the endpoint has closed the call's connection, or is about to, after
+// it was idle for the given time.
+func (u *connUse) idleExpired(idle time.Duration) bool {
+	if u.conn == nil {
 		return false
 	}
-	keeps := time.Duration(h.conn.keeps.Load())
-	return keeps > 0 && rested >= keeps-forgottenMargin
+	timeout := time.Duration(u.conn.idleTimeout.Load())
+	return timeout > 0 && idle >= timeout-idleMargin
 }
 
-// release notes that the call has left its connection, which another call may have by now.
-func (h *hold) release() {
-	if h.conn == nil {
+// release records that the call no longer uses its connection, which another call may use by now.
+func (u *connUse) release() {
+	if u.conn == nil {
 		return
 	}
-	h.conn.pool.mu.Lock()
-	defer h.conn.pool.mu.Unlock()
-	h.conn.holder.CompareAndSwap(h, nil)
+	u.conn.pool.mu.Lock()
+	defer u.conn.pool.mu.Unlock()
+	u.conn.user.CompareAndSwap(u, nil)
 }
 
-// bar sees to it that nothing of a call is ever written to its connection; false where
-// something may have been. A connection may be closed between the moment at which the
-// transport hands it out and the call's first byte, with those that rest beside a silent
-// one: such a call was never sent, and may go elsewhere even if it may run only once.
-func (h *hold) bar() bool {
-	if h.conn == nil {
+// block prevents any byte of the call from being written to its connection. It returns false if
+// some may have been. A connection may be closed as idle, beside a silent one, after the transport
+// has handed it out and before the call's first byte: such a call was never sent and may go
+// to another endpoint even if it may run only once.
+func (u *connUse) block() bool {
+	if u.conn == nil {
 		return false
 	}
-	if h.sending.CompareAndSwap(untouched, barred) {
-		_ = h.conn.Close()
+	if u.state.CompareAndSwap(unwritten, blocked) {
+		_ = u.conn.Close()
 	}
-	return h.sending.Load() == barred
+	return u.state.Load() == blocked
 }
 
-// classify says what a call is about to send.
+// classify sets the class of what a call is about to send.
 func classify(c net.Conn, class link.Class) {
-	if one, ok := c.(*pooled); ok && one.metered != nil {
+	if one, ok := c.(*pooledConn); ok && one.metered != nil {
 		one.metered.Classify(class)
 	}
 }
 
-// DropIdle closes the connections to a place that no call uses, and tells how many: its
-// endpoint's life has ended, and they died with it.
+// DropIdle closes the idle connections to an address and returns how many. It is for an endpoint
+// whose incarnation has ended, and its connections with it.
 func (t *Transport) DropIdle(address string) int { return t.pool.dropIdle(address) }
 
-// DropAllIdle closes the connections to endpoints that no call uses, and tells how many.
+// DropAllIdle closes all idle connections to endpoints and returns how many.
 func (t *Transport) DropAllIdle() int {
 	t.pool.mu.Lock()
 	addresses := lo.Keys(t.pool.open)
@@ -169,13 +169,13 @@
 	return lo.SumBy(addresses, t.pool.dropIdle)
 }
 
-// dropIdle closes the connections to a place that no call uses, and tells how many.
+// dropIdle closes the idle connections to an address and returns how many.
 func (p *pool) dropIdle(address string) int {
 	p.mu.Lock()
-	var idle []*pooled
+	var idle []*pooledConn
 	for one := range p.open[address] {
-		if one.holder.Load() == nil {
-			one.dropped = true // under the lock: a call that is handed it from now on is never sent on it
+		if one.user.Load() == nil {
+			one.dropped = true // set under the lock: a call that gets it from now on never writes to it
 			idle = append(idle, one)
 		}
 	}
--- a/fleet/relay/forward/pool_test.go
+++ b/fleet/relay/forward/pool_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A connection that a call uses is never closed because another one fell silent: a call
-// that may run once would be lost. The transport puts a connection to rest before it says
-// so, and another call may have taken it by then.
-func TestOnlyConnectionsAtRestAreDropped(t *testing.T) {
+// A connection in use must not be closed because another one fell silent: a call that may run only
+// once would be lost. The transport makes a connection idle before it reports that, and another call
+// may have taken it by then.
+func TestOnlyIdleConnectionsAreDropped(t *testing.T) {
 	took, rests := true, false
 	cases := []struct {
 		name    string
-		uses    []bool // what is said of it, in order
+		uses    []bool // what is reported of it, in order
 		dropped int
 	}{
 		{"no call has used it yet", nil, 0},
@@ -30,11 +30,11 @@
 			here, there := net.Pipe()
 			defer there.Close()
 			p := newPool()
-			conn := p.dialed(here, "192.0.2.1:80")
-			var calls []*hold
+			conn := p.add(here, "192.0.2.1:80")
+			var calls []*connUse
 			for _, busy := range c.uses {
 				if busy {
-					calls = append(calls, use(conn))
+					calls = append(calls, startUse(conn))
 					continue
 				}
 				calls[0].release()
@@ -43,7 +43,7 @@
 			assert.Equal(t, c.dropped, p.dropIdle("192.0.2.1:80"))
 			go func() { _, _ = io.ReadFull(there, make([]byte, 1)) }()
 			_, err := conn.Write([]byte("x"))
-			assert.Equal(t, c.dropped > 0, err != nil, "a connection that was dropped is closed, and no other")
+			assert.Equal(t, c.dropped > 0, err != nil, "only a dropped connection is closed")
 		})
 	}
 }
--- a/fleet/relay/forward/parts_test.go
+++ b/fleet/relay/forward/prompt_parts_test.go
@@ -9,13 +9,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/policy"
 )
 
-// Parts of prompts of calls with homes are apart from those of all calls with others,
-// though they have the same ids; what the endpoint is told is as the caller said it.
-func TestPartsOfCallsWithHomesAreApart(t *testing.T) {
+// Prompt parts of calls with different allowed regions are kept separate, though their ids are the
+// same. The call that is sent to the endpoint keeps the caller's ids.
+func TestPromptPartsAreSeparateByRegions(t *testing.T) {
 	parts := []call.Part{{ID: "system", Tokens: 5000}, {ID: "own", Tokens: 10}}
-	seen := func(route, customer policy.Homes) string {
-		j := &job{call: call.Call{Parts: parts}, homes: homesOf(policy.Route{Homes: route}, policy.Tenant{Homes: customer})}
-		placed := j.placedCall()
+	partID := func(route, customer policy.Homes) string {
+		j := &job{call: call.Call{Parts: parts}, regions: allowedRegionsOf(policy.Route{Homes: route}, policy.Tenant{Homes: customer})}
+		placed := j.regionScopedCall()
 		assert.Equal(t, parts, j.call.Parts)
 		assert.Equal(t, parts[0].Tokens, placed.Parts[0].Tokens)
 		return placed.Parts[0].ID
@@ -23,7 +23,7 @@
 	cases := []struct {
 		name            string
 		route, customer policy.Homes
-		same            bool // as those of calls with homes r1 and r2
+		same            bool // as those of calls with regions r1 and r2
 	}{
 		{"none", nil, nil, false},
 		{"the same", policy.Homes{"r1", "r2"}, nil, true},
@@ -33,9 +33,9 @@
 		{"one of them", policy.Homes{"r1"}, nil, false},
 		{"more", policy.Homes{"r1", "r2", "r3"}, nil, false},
 	}
-	bound := seen(policy.Homes{"r1", "r2"}, nil)
+	bound := partID(policy.Homes{"r1", "r2"}, nil)
 	for _, c := range cases {
-		assert.Equal(t, c.same, seen(c.route, c.customer) == bound, c.name)
+		assert.Equal(t, c.same, partID(c.route, c.customer) == bound, c.name)
 	}
-	assert.Equal(t, "system", seen(nil, nil))
+	assert.Equal(t, "system", partID(nil, nil))
 }
--- /dev/null
+++ b/fleet/relay/forward/quarantine.go
@@ -0,0 +1,110 @@
+package forward
+
+import (
+	"context"
+
+	"github.com/apex/log"
+	"github.com/cockroachdb/errors"
+
+	"github.com/lynxshed/lynxshed/fleet/clock"
+	"github.com/lynxshed/lynxshed/fleet/relay/choice"
+	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
+)
+
+// A request may crash every endpoint that starts it, and its caller may send it again as a new
+// call to any node. Retry limits count by call and by service and don't detect that. So calls that
+// are interrupted when their endpoint ends are recorded by the fingerprint of the request. A request
+// with which several endpoints ended is quarantined and no longer sent, whatever its call id.
+
+// fingerprint identifies the call's request under any call id. It is computed once and on demand,
+// since it reads the whole body.
+func (j *job) fingerprint() quarantine.Print {
+	if j.cachedFingerprint == (quarantine.Print{}) {
+		j.cachedFingerprint = quarantine.PrintOf(j.tenant.Name, j.r.Method, j.r.Host, j.r.RequestURI, j.body)
+	}
+	return j.cachedFingerprint
+}
+
+// quarantined reports whether the request must not be sent: it is quarantined, and this call is
+// not its probe or has made its attempt.
+func (j *job) quarantined() bool {
+	if !j.inQuarantine() || j.attempts == 0 && j.isProbe() {
+		return false
+	}
+	j.note = "fingerprint " + j.fingerprint().String()
+	return true
+}
+
+// refusedOnArrival reports whether the request is quarantined and no probe of it is due.
+func (j *job) refusedOnArrival() bool {
+	if !j.inQuarantine() || j.Quarantine.Armed(j.fingerprint(), clock.Now()) {
+		return false
+	}
+	j.note = "fingerprint " + j.fingerprint().String()
+	return true
+}
+
+func (j *job) inQuarantine() bool {
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.Holds(j.fingerprint(), clock.Now())
+}
+
+// isProbe reports whether this call probes whether endpoints survive a quarantined request.
+func (j *job) isProbe() bool {
+	if j.probeRound > 0 {
+		return true
+	}
+	round, ok := j.Quarantine.Probe(j.fingerprint(), clock.Now())
+	if ok {
+		j.probeRound = round
+		j.Log.WithFields(log.Fields{"request": j.call.ID, "print": j.fingerprint().String(), "customer": j.tenant.Name}).Info("quarantined request is probed by this call")
+	}
+	return ok
+}
+
+// returnProbe lets another call be the probe if this one reached no endpoint.
+func (j *job) returnProbe() {
+	if j.probeRound > 0 && j.attempts == 0 {
+		j.Quarantine.Unsent(j.fingerprint(), j.probeRound)
+	}
+}
+
+// nearQuarantine reports whether the end of one more endpoint would quarantine the request.
+func (j *job) nearQuarantine() bool {
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.Wary(j.fingerprint(), clock.Now())
+}
+
+// recordInterrupted records a call that its endpoint interrupted, possibly by ending.
+func (j *job) recordInterrupted(ctx context.Context, t *choice.Placement, p quarantine.Progress) {
+	if j.Quarantine == nil || ctx.Err() != nil {
+		return
+	}
+	s := quarantine.Suspect{Print: j.fingerprint(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
+	j.Quarantine.Cut(t.Engine, s, clock.Now())
+}
+
+// isInterrupted reports whether a failed attempt may have ended with its endpoint: there was no
+// answer, and this node did not abandon it.
+func isInterrupted(o failed) bool {
+	return !o.answered && !errors.Is(o.err, errSilent) && !errors.Is(o.err, errSentTwice) && !errors.Is(o.err, context.Canceled)
+}
+
+// recordServed records that an endpoint answered the request completely.
+func (j *job) recordServed() {
+	if j.Quarantine == nil {
+		return
+	}
+	now := clock.Now()
+	j.Quarantine.Answered(j.fingerprint(), now)
+	if j.Quarantine.Watches(j.tenant.Name) {
+		j.Quarantine.Served(j.fingerprint(), now)
+	}
+}
+
+// logBroken logs a broken stream. The lines of one endpoint show which calls were interrupted
+// together, and those of one fingerprint whether the same request was interrupted before.
+func (j *job) logBroken(t *choice.Placement, events int64, err error) {
+	j.Log.WithFields(log.Fields{
+		"request": j.call.ID, "print": j.fingerprint().String(), "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts,
+		"events": events, "left": j.r.Context().Err() != nil, "error": err.Error(),
+	}).Info("stream broke off")
+}
--- a/fleet/relay/forward/suspects_test.go
+++ b/fleet/relay/forward/quarantine_test.go
@@ -13,46 +13,45 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// allEnd believes that each endpoint has ended at which a call was cut.
-type allEnd struct {
+// endsAll regards each endpoint that interrupted a call as ended.
+type endsAll struct {
 	book  *quarantine.Book
 	asked atomic.Int32
 	under chan quarantine.Suspect
 }
 
-func (a *allEnd) Verify(e engine.Engine) {
+func (a *endsAll) Verify(e engine.Engine) {
 	a.asked.Add(1)
 	go a.book.Ended(e.Life(), time.Now())
 }
 
-func (a *allEnd) EndSeen(_ engine.Life, under []quarantine.Suspect) {
+func (a *endsAll) EndSeen(_ engine.Life, under []quarantine.Suspect) {
 	for _, s := range under {
 		a.under <- s
 	}
 }
 
-func (a *allEnd) Judged(quarantine.Held) {}
+func (a *endsAll) Judged(quarantine.Held) {}
 
-// withQuarantine gives a fleet's handler a book in which a request is held back from so
-// many ends on, however close together.
-func (f *fleet) withQuarantine(ends int) (*quarantine.Book, *allEnd) {
+// withQuarantine gives the handler a quarantine that holds a request after the given number of
+// endpoint ends, however close together.
+func (f *fleet) withQuarantine(ends int) (*quarantine.Book, *endsAll) {
 	rule := quarantine.DefaultRule()
 	rule.Ends, rule.Apart = ends, 0
-	seen := &allEnd{under: make(chan quarantine.Suspect, 100)}
+	seen := &endsAll{under: make(chan quarantine.Suspect, 100)}
 	seen.book = quarantine.NewBook(rule, seen, func() quarantine.Role { return quarantine.Peer })
 	seen.book.Engines(f.engines, time.Now())
 	f.handler.Quarantine = seen.book
 	return seen.book, seen
 }
 
-// A call may have ended with its endpoint where its connection closed without a whole
-// answer; not where the endpoint said something else, and not where this node or the caller
-// gave it up.
+// A call may have ended with its endpoint if its connection closed without a complete answer. It has
+// not if the endpoint answered something else, or if this node or the caller abandoned it.
 func TestWhichCallsMayHaveEndedWithTheirEndpoint(t *testing.T) {
 	cases := []struct {
 		name, path string
 		script     script
-		far        []quarantine.Progress
+		progress   []quarantine.Progress
 	}{
 		{"an answer", "/single/", good("x"), nil},
 		{"an answer that says that it failed", "/single/", status(500, false), nil},
@@ -68,20 +67,20 @@
 			f := newFleet(t, 1000, c.script)
 			_, seen := f.withQuarantine(3)
 			f.do(t, f.request(t, "GET", c.path, ""))
-			require.EqualValues(t, len(c.far), seen.asked.Load())
-			for _, far := range c.far {
+			require.EqualValues(t, len(c.progress), seen.asked.Load())
+			for _, progress := range c.progress {
 				suspect := <-seen.under
-				assert.Equal(t, far, suspect.Progress)
+				assert.Equal(t, progress, suspect.Progress)
 				assert.Equal(t, "t", suspect.Customer)
 			}
 		})
 	}
 }
 
-// A request that is held back is refused at once, reserves nothing and reaches no
-// endpoint; it is no promise that it has not run, and not worth a return. Another body,
-// and another customer's, are other requests.
-func TestARequestThatIsHeldBackReachesNoEndpoint(t *testing.T) {
+// A quarantined request is refused at once, reserves nothing and reaches no endpoint. The refusal
+// does not state that it has not run and has no Retry-After. The same request with another body or
+// from another customer is a different one.
+func TestQuarantinedRequestReachesNoEndpoint(t *testing.T) {
 	f := newFleet(t, 1000, reset, reset, reset)
 	f.withQuarantine(1)
 	require.Equal(t, http.StatusBadGateway, f.do(t, f.request(t, "POST", "/single/", "deadly")).status)
@@ -89,44 +88,45 @@
 		return f.do(t, f.request(t, "POST", "/single/", "deadly", "Call", "c2", "Prompt", "900")).body == `{"reason":"request-quarantined"}`
 	}
 	require.Eventually(t, refused, time.Second, 10*time.Millisecond)
-	ran := len(f.seen())
+	ran := len(f.received())
 	got := f.do(t, f.request(t, "POST", "/single/", "deadly", "Call", "c3"))
 	assert.Equal(t, http.StatusBadGateway, got.status)
 	assert.Empty(t, got.header.Get("Retry-After"))
-	assert.Len(t, f.seen(), ran)
+	assert.Len(t, f.received(), ran)
 	assert.Zero(t, f.allowance.State("t").Reserved)
 	f.do(t, f.request(t, "POST", "/single/", "another", "Call", "c4"))
-	assert.Len(t, f.seen(), ran+1)
+	assert.Len(t, f.received(), ran+1)
 	f.do(t, f.request(t, "POST", "/open/", "deadly", "Call", "c5", "Key", ""))
-	assert.Len(t, f.seen(), ran+2)
+	assert.Len(t, f.received(), ran+2)
 }
 
-// A call that may run again is not sent again once its request was cut at two ends.
-func TestACutCallIsNotSentAgainWhereItMayEndOneMore(t *testing.T) {
+// A repeatable call is not retried once two endpoints have ended under its request: a third end
+// would be one too many.
+func TestInterruptedCallIsNotRetriedNearQuarantine(t *testing.T) {
 	f := newFleet(t, 1000, reset, reset, reset, reset)
 	book, _ := f.withQuarantine(3)
 	f.do(t, f.request(t, "GET", "/repeat/", ""))
-	assert.Len(t, f.seen(), 2, "nothing was known of it")
+	assert.Len(t, f.received(), 2, "there was no suspicion yet")
 	print := quarantine.PrintOf("t", "GET", "h", "/repeat/", nil)
 	require.Eventually(t, func() bool { return book.Wary(print, time.Now()) }, time.Second, time.Millisecond)
 	f.do(t, f.request(t, "GET", "/repeat/", "", "Call", "c2"))
-	assert.Len(t, f.seen(), 3)
+	assert.Len(t, f.received(), 3)
 }
 
-// A request that an endpoint answers is no suspect any more.
-func TestAnAnswerClearsARequest(t *testing.T) {
+// A request that an endpoint answers is no longer suspect.
+func TestAnswerClearsASuspectRequest(t *testing.T) {
 	f := newFleet(t, 1000, reset)
 	book, _ := f.withQuarantine(2)
 	print := quarantine.PrintOf("t", "GET", "h", "/single/", nil)
 	f.do(t, f.request(t, "GET", "/single/", ""))
 	require.Eventually(t, func() bool { return book.Wary(print, time.Now()) }, time.Second, time.Millisecond)
-	f.engines = []engine.Engine{f.startEngine(t, "sound", good("x"))}
+	f.engines = []engine.Engine{f.startEngine(t, "healthy", good("x"))}
 	f.directory.Store(engine.NewDirectory(2, f.engines))
 	require.Equal(t, http.StatusOK, f.do(t, f.request(t, "GET", "/single/", "", "Call", "c2")).status)
 	assert.False(t, book.Wary(print, time.Now()))
 }
 
-// Guards against a probe that reaches endpoints more than once, whatever they say.
+// A probe must reach only one endpoint, whatever that answers.
 func TestAProbeReachesOneEndpoint(t *testing.T) {
 	cases := []struct {
 		name, path string
@@ -135,8 +135,8 @@
 	}{
 		{"turned away as not run", "/single/", status(503, true), true},
 		{"an answer that says that it failed", "/single/", status(500, false), true},
-		{"cut", "/single/", reset, true},
-		{"cut, of a route whose calls may run again", "/repeat/", reset, true},
+		{"interrupted", "/single/", reset, true},
+		{"interrupted, of a route whose calls may run again", "/repeat/", reset, true},
 		{"turned away, of a route whose calls may run again", "/repeat/", status(503, true), true},
 		{"answered", "/single/", good("x"), false},
 	}
@@ -153,9 +153,9 @@
 			f.directory.Store(engine.NewDirectory(2, f.engines))
 			h, _ := book.Of(print)
 			book.Arm(h)
-			ran := len(f.seen())
+			ran := len(f.received())
 			f.do(t, f.request(t, "GET", c.path, "", "Call", "c3"))
-			assert.Len(t, f.seen(), ran+1)
+			assert.Len(t, f.received(), ran+1)
 			assert.False(t, book.Armed(print, time.Now()))
 			assert.Equal(t, c.heldAfter, book.Holds(print, time.Now()))
 		})
--- a/fleet/relay/forward/homes_test.go
+++ b/fleet/relay/forward/regions_test.go
@@ -12,14 +12,14 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/policy"
 )
 
-// A call runs only in a region that both its route and its customer allow; where none
-// is left it is refused as not run.
-func TestCallsRunAtHomeOnly(t *testing.T) {
+// A call runs only in a region that both its route and its customer allow; without one it is
+// refused as not run.
+func TestCallsRunOnlyInAllowedRegions(t *testing.T) {
 	cases := []struct {
 		name            string
 		route, customer policy.Homes
 		zones           []string
-		want            string // the endpoint; "" is refused
+		want            string // the endpoint; "": refused
 	}{
 		{"no homes", nil, nil, []string{"z2"}, "e0"},
 		{"the route's", policy.Homes{"r1"}, nil, []string{"z2", "z1"}, "e1"},
@@ -45,17 +45,17 @@
 			if c.want == "" {
 				assert.Equal(t, http.StatusServiceUnavailable, a.status)
 				assert.NotEmpty(t, a.header.Get("Retry-After"))
-				assert.Empty(t, f.seen())
+				assert.Empty(t, f.received())
 				return
 			}
 			assert.Equal(t, http.StatusOK, a.status)
-			assert.Equal(t, c.want, f.seen()[0].engine)
+			assert.Equal(t, c.want, f.received()[0].engine)
 		})
 	}
 }
 
-// What connecting takes is the round trip to the endpoint's zone; a call on a kept
-// connection measures nothing.
+// The time that connecting takes is recorded as the round trip to the endpoint's zone; a call on a
+// kept-alive connection records nothing.
 func TestConnectsMeasureTheRoundTrip(t *testing.T) {
 	f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
 	e := f.startEngine(t, "e0", good("done"))
@@ -69,9 +69,9 @@
 	assert.False(t, f.places.To("z2", time.Now()).Measured)
 }
 
-// A call that may run nowhere is refused at once, before its body is read and anything is
-// reserved for it, as not run and with a reason of its own.
-func TestACallWithoutACommonHomeIsRefusedAtOnce(t *testing.T) {
+// A call without an allowed region is refused as not run, with its own reason, before its body is
+// read and anything is reserved.
+func TestCallWithoutAllowedRegionIsRefusedAtOnce(t *testing.T) {
 	cases := []struct {
 		name            string
 		route, customer policy.Homes
@@ -91,21 +91,22 @@
 			a := f.do(t, f.request(t, http.MethodPost, "/once/x", "body"))
 			assert.Equal(t, http.StatusServiceUnavailable, a.status)
 			assert.Contains(t, a.body, c.reason)
-			assert.Empty(t, f.seen())
-			assert.Equal(t, c.reason == "no-allowed-region", f.gate.bodies.Load() == 0, "the body was not waited for")
+			assert.Empty(t, f.received())
+			assert.Equal(t, c.reason == "no-allowed-region", f.gate.bodies.Load() == 0, "the body must not be read")
 		})
 	}
 }
 
-// A home that is emptied, that can't be reached or that refuses is still the only place.
-func TestACallStaysAtAHomeThatFails(t *testing.T) {
+// A call stays in its allowed region even if the endpoints there are evacuated, draining or
+// unreachable.
+func TestCallStaysInAllowedRegionThatFails(t *testing.T) {
 	cases := []struct {
 		name string
 		fail func(f *fleet, e *engine.Engine)
 	}{
 		{"emptied", func(_ *fleet, e *engine.Engine) { e.State = engine.Evacuated }},
 		{"leaving", func(_ *fleet, e *engine.Engine) { e.State = engine.Draining }},
-		{"not to be reached", func(_ *fleet, e *engine.Engine) { e.Address = "127.0.0.1:1" }},
+		{"unreachable", func(_ *fleet, e *engine.Engine) { e.Address = "127.0.0.1:1" }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,19 +118,18 @@
 			f.start(t, []engine.Engine{home, abroad})
 			a := f.do(t, f.request(t, http.MethodPost, "/repeat/x", ""))
 			assert.Equal(t, http.StatusServiceUnavailable, a.status)
-			assert.Empty(t, f.seen())
+			assert.Empty(t, f.received())
 		})
 	}
 }
 
-// A call that is to be sent again after its homes have changed is bound by the new ones,
-// whichever side they are on.
-func TestHomesThatChangeBindTheNextAttempt(t *testing.T) {
+// A retry after a change of the allowed regions, of the route or of the customer, obeys the new ones.
+func TestChangedRegionsApplyToTheNextAttempt(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(p *policy.Policy)
-		zones  []string // of the endpoints beside the first
-		want   string   // where the call runs in the end; "" is refused
+		zones  []string // of the endpoints after the first
+		want   string   // where the call finally runs; "": refused
 	}{
 		{"the route moves", func(p *policy.Policy) { p.Routes[1].Homes = policy.Homes{"r2"} }, []string{"z1", "z2"}, "e2"},
 		{"the customer moves", func(p *policy.Policy) { p.Routes[1].Homes, p.Tenants[0].Homes = nil, policy.Homes{"r2"} }, []string{"z1", "z2"}, "e2"},
@@ -150,7 +150,7 @@
 				status(http.StatusServiceUnavailable, true)(f, w, r)
 			}
 			first := f.startEngine(t, "e0", changes)
-			first.Zone, first.Slots = "z1", 1000 // the least full
+			first.Zone, first.Slots = "z1", 1000 // most free slots: chosen first
 			all := []engine.Engine{first}
 			for i, zone := range c.zones {
 				e := f.startEngine(t, []string{"e1", "e2"}[i], good("done"))
@@ -159,7 +159,7 @@
 			}
 			f.start(t, all)
 			a := f.do(t, f.request(t, http.MethodPost, "/repeat/x", ""))
-			runs := f.seen()
+			runs := f.received()
 			assert.Equal(t, "e0", runs[0].engine)
 			if c.want == "" {
 				assert.Equal(t, http.StatusServiceUnavailable, a.status)
--- a/fleet/relay/forward/rests_test.go
+++ b/fleet/relay/forward/rest_test.go
@@ -16,7 +16,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// resting turns every call away, and wants none for a time.
+// resting turns every call away and asks to rest.
 func resting(rest time.Duration) script {
 	return func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Rest", rest.String())
@@ -24,9 +24,9 @@
 	}
 }
 
-// An endpoint that asked for rest gets no call while another may take it, and its refusals cost no
-// caller more than a try.
-func TestAnEndpointThatAskedForRestIsLeftOut(t *testing.T) {
+// An endpoint that asked to rest gets no call that another may take, and its refusals cost callers
+// at most one attempt.
+func TestRestingEndpointIsExcluded(t *testing.T) {
 	f := newFleet(t, 1000, resting(time.Minute), good("well"))
 	for i := range 20 {
 		got := f.do(t, f.request(t, "POST", "/repeat/", "body", "Call", "c"+strconv.Itoa(i)))
@@ -35,9 +35,9 @@
 	assert.LessOrEqual(t, lo.Count(f.ran(), "e0"), 1)
 }
 
-// Where all of a service rest callers are refused at once, and told to wait for as long as the rest
-// lasts: tokens are not looked for, and nothing is sent.
-func TestAServiceThatRestsRefusesAtOnce(t *testing.T) {
+// While all endpoints of a service rest, calls are refused at once with the remaining rest as
+// Retry-After: no tokens are acquired, and nothing is sent.
+func TestCallIsRefusedAtOnceWhileAllEndpointsRest(t *testing.T) {
 	f := newFleet(t, 0, resting(3*time.Second), resting(3*time.Second))
 	for _, e := range f.engines {
 		f.notices.Saw(e, call.Rest{For: 3 * time.Second}, clock.Now())
@@ -46,11 +46,11 @@
 	assert.Equal(t, http.StatusServiceUnavailable, got.status)
 	assert.JSONEq(t, `{"reason":"endpoints-resting"}`, got.body)
 	assert.Equal(t, "3.00", got.header.Get("Retry-After"))
-	assert.Empty(t, f.seen())
+	assert.Empty(t, f.received())
 }
 
-// What a caller is told whose call was turned away, and may not be sent again.
-func TestWhenACallThatWasTurnedAwayMayReturn(t *testing.T) {
+// The reason and the Retry-After of a call that was turned away and may not be sent again.
+func TestRetryAfterOfTurnedAwayCall(t *testing.T) {
 	cases := []struct {
 		name          string
 		scripts       []script
@@ -68,9 +68,9 @@
 	}
 }
 
-// An endpoint may ask for rest while a call waits for its connection: not a byte of the call is sent
-// there, and it goes elsewhere, also where it may run once only.
-func TestACallThatWaitedForItsConnectionHeedsARest(t *testing.T) {
+// An endpoint may ask to rest while a call waits for its connection. Not a byte of the call is sent
+// there, so it goes to another endpoint even if it may run only once.
+func TestRestBeforeFirstByteMovesTheCall(t *testing.T) {
 	f := newFleet(t, 1000, good("one"), good("two"))
 	dial, asked := f.connections.DialContext, ""
 	f.connections.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -85,5 +85,5 @@
 	assert.Equal(t, http.StatusOK, got.status, got.body)
 	assert.NotEmpty(t, asked)
 	assert.Zero(t, lo.Count(f.ran(), asked))
-	assert.Len(t, f.seen(), 1, "it ran once")
+	assert.Len(t, f.received(), 1, "it must run once")
 }
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -18,26 +18,26 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// A stream that is taken up on a connection that this node closed itself was never sent
-// there: it goes on over another one, and nothing is said of the endpoint.
-func TestAStreamThatIsTakenUpOnAClosedConnectionGoesOn(t *testing.T) {
+// A stream resumed on a connection that this node closed itself was never sent there: it continues
+// on another connection, and no failure of the endpoint is reported.
+func TestResumeOnClosedConnectionUsesAnother(t *testing.T) {
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
 	book := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
 	book.Engines(f.engines)
 	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(book)
-	struck := 0
+	connects := 0
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if struck++; struck == 2 {
+		if connects++; connects == 2 {
 			_ = info.Conn.Close()
 		}
 	}}
-	for range 20 { // until the endpoint that breaks off comes first
-		struck = 0
+	for range 20 { // until the endpoint that breaks off is chosen first
+		connects = 0
 		r := f.request(t, "POST", "/resume/", "")
 		w := f.serve(r.WithContext(httptrace.WithClientTrace(context.Background(), trace)))
-		if struck > 1 {
+		if connects > 1 {
 			assert.Contains(t, w.Body.String(), "id: 5\n")
-			assert.Equal(t, 3, struck, "another connection")
+			assert.Equal(t, 3, connects, "another connection")
 			for _, word := range book.Words(false, clock.Now()) {
 				assert.NotEqual(t, "e1", word.Endpoint)
 			}
@@ -47,8 +47,9 @@
 	require.Fail(t, "no stream broke off")
 }
 
-// An endpoint that ends under a stream that is taken up there counts as one under any call.
-func TestAStreamThatIsTakenUpMayEndAnEndpoint(t *testing.T) {
+// The end of an endpoint under a resumed stream counts towards the quarantine of the request as
+// under any other call.
+func TestResumedStreamMayEndAnEndpoint(t *testing.T) {
 	ends := func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last") != "" {
 			reset(f, w, r)
@@ -64,12 +65,12 @@
 	case s := <-seen.under:
 		assert.Equal(t, quarantine.Nothing, s.Progress)
 	case <-time.After(time.Second):
-		assert.Fail(t, "the second end is not noted")
+		assert.Fail(t, "the second end was not recorded")
 	}
 }
 
-// Guards against a stream that stays broken for a reason that no line tells.
-func TestACallTellsWhyItsStreamWasNotTakenUp(t *testing.T) {
+// The log line of a call must contain the reason why its broken stream was not resumed.
+func TestLogTellsWhyStreamWasNotResumed(t *testing.T) {
 	breaks := events(0, 3, false)
 	fails := func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last") != "" {
@@ -86,17 +87,17 @@
 	}{
 		{"the route", "/stream/", []script{breaks, breaks}, "the route does not allow it"},
 		{"one endpoint", "/resume/", []script{breaks}, "no other endpoint is usable"},
-		{"two that break off", "/resume/", []script{breaks, breaks}, "its attempts are used up"},
+		{"two that break off", "/resume/", []script{breaks, breaks}, "the attempts are used up"},
 		{"the second one fails", "/resume/", []script{fails, fails}, "another endpoint answered it with no stream"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, c.scripts...)
-			told := entries.New()
-			f.handler.Log = &log.Logger{Handler: told, Level: log.InfoLevel}
+			logged := entries.New()
+			f.handler.Log = &log.Logger{Handler: logged, Level: log.InfoLevel}
 			assert.Error(t, f.do(t, f.request(t, "POST", c.path, "")).err)
 			f.Close()
-			last := told.Entries[len(told.Entries)-1]
+			last := logged.Entries[len(logged.Entries)-1]
 			assert.Equal(t, "call ended", last.Message)
 			assert.Equal(t, c.want, last.Fields["notResumed"])
 		})
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -19,11 +19,11 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// Bounds of one call's attempts.
+// Limits on the attempts of a call.
 const (
-	maxUnreached = 3                     // endpoints that could not be reached before the call is refused
+	maxUnreached = 3                     // unreachable endpoints before the call is refused
 	maxDropped   = 8                     // connections that this node had closed itself, which cost no time
-	leastLeft    = 10 * time.Millisecond // less than this until the deadline is not worth an attempt
+	minRemaining = 10 * time.Millisecond // until the deadline; with less, an attempt is not worthwhile
 )
 
 // run sends the call until it has an answer or may not be sent again.
@@ -35,24 +35,24 @@
 	tried := map[engine.Life]bool{}
 	unreached, dropped := 0, 0
 	for {
-		if j.quarantined() { // since it came in, or since its last attempt
+		if j.quarantined() { // it may have been quarantined since it arrived or since its last attempt
 			j.refuse(refuseQuarantined)
 			return
 		}
 		placement, ok := j.pick(tried)
 		if !ok {
-			j.refuse(j.whenNone(tried))
+			j.refuse(j.refusalWithoutEndpoint(tried))
 			return
 		}
 		tried[placement.Engine.Life()] = true
 		j.engine, j.placed = placement.Engine.ID, placement
 		out := j.send(ctx, placement, j.call.LastEventID)
-		next, again := j.judge(ctx, placement, out)
+		next, again := j.decide(ctx, placement, out)
 		j.logAttempt(placement, out, again)
 		if again {
 			switch lost, ok := out.(neverSent); {
 			case ok && lost.connected:
-				delete(tried, placement.Engine.Life()) // another connection there may do
+				delete(tried, placement.Engine.Life()) // another connection to it may work
 				dropped++
 			case ok:
 				unreached++
@@ -70,7 +70,7 @@
 	}
 }
 
-// logAttempt tells of an attempt that brought no answer, and what follows.
+// logAttempt logs an attempt without an answer, and whether the call is sent again.
 func (j *job) logAttempt(t *choice.Placement, out outcome, again bool) {
 	fields := log.Fields{"request": j.call.ID, "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts, "again": again, "expectedMs": int64(t.FirstMs)}
 	switch o := out.(type) {
@@ -80,7 +80,7 @@
 		j.describeNotices(fields)
 		j.Log.WithFields(fields).WithField("status", o.status).Info("attempt refused as not run")
 	case failed:
-		fields["print"] = j.print().String()
+		fields["print"] = j.fingerprint().String()
 		j.Log.WithFields(fields).WithField("error", o.err.Error()).Info("attempt failed")
 	case answered:
 	}
@@ -91,30 +91,29 @@
 	if engines == nil {
 		return nil, false
 	}
-	j.renewHomes()
-	r := j.choiceOf(tried, clock.Now())
-	j.told = told{}
+	j.refreshRegions()
+	r := j.choiceRequest(tried, clock.Now())
+	j.reported = reported{}
 	if t := j.trial(); t != nil {
-		return j.pickBySide(t, r)
+		return j.pickByVersion(t, r)
 	}
-	r.Engines = j.atHome(engines.Of(j.service.Name))
+	r.Engines = j.inAllowedRegions(engines.Of(j.service.Name))
 	return j.Picker.Pick(r)
 }
 
-// choiceOf is what the choice of an endpoint depends on, but for which there are.
-func (j *job) choiceOf(tried map[engine.Life]bool, now time.Time) choice.Request {
+// choiceRequest returns the input for the choice of an endpoint, without the candidates.
+func (j *job) choiceRequest(tried map[engine.Life]bool, now time.Time) choice.Request {
 	return choice.Request{
-		Call: j.placedCall(), Homes: j.homes.regions, Exclude: tried, Profile: profile(j.service),
-		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.bytes(), Cap: j.cap(), Now: now,
+		Call: j.regionScopedCall(), Homes: j.regions.regions, Exclude: tried, Profile: profile(j.service),
+		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.connectionShare(), Now: now,
 	}
 }
 
-// answerToken is how many bytes of an answer a generated token takes, at the least: text
-// alone.
-const answerToken = 4
+// bytesPerToken is the minimum size of a generated token in an answer: its text alone.
+const bytesPerToken = 4
 
-// bytes are what goes to an endpoint and back, as far as it is known before.
-func (j *job) bytes() int64 { return int64(len(j.body)) + answerToken*j.call.OutputMax }
+// transferBytes estimates the bytes sent to an endpoint and back, from what is known in advance.
+func (j *job) transferBytes() int64 { return int64(len(j.body)) + bytesPerToken*j.call.OutputMax }
 
 func profile(s policy.Service) choice.Profile {
 	return choice.Profile{
@@ -124,24 +123,24 @@
 	}
 }
 
-// cap is this node's part of an endpoint's connections.
-func (j *job) cap() int {
+// connectionShare returns this node's share of an endpoint's connections.
+func (j *job) connectionShare() int {
 	if j.service.MaxConnections <= 0 {
 		return idlePerHost
 	}
 	return min(max(j.service.MaxConnections/(max(j.Nodes(), 1)+2), 2), idlePerHost)
 }
 
-func (j *job) whenNone(tried map[engine.Life]bool) refusal {
+func (j *job) refusalWithoutEndpoint(tried map[engine.Life]bool) refusal {
 	switch {
-	case j.nowhere():
-		return refuseNoHome
+	case j.noAllowedRegion():
+		return refuseNoRegion
 	}
-	j.noteLeftOut(tried)
-	if f, limited := j.limited(); limited {
+	j.noteExcluded(tried)
+	if f, limited := j.allLimited(); limited {
 		return f
 	}
-	if f, resting := j.resting(); resting {
+	if f, resting := j.allResting(); resting {
 		return f
 	}
 	if len(tried) > 0 {
@@ -150,54 +149,54 @@
 	return refuseNoEngine
 }
 
-// noteLeftOut keeps why no endpoint may take the call, for the log.
-func (j *job) noteLeftOut(tried map[engine.Life]bool) {
+// noteExcluded notes why no endpoint may take the call, for the log.
+func (j *job) noteExcluded(tried map[engine.Life]bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return
 	}
-	r := j.choiceOf(tried, clock.Now())
-	r.Engines = j.atHome(engines.Of(j.service.Name))
+	r := j.choiceRequest(tried, clock.Now())
+	r.Engines = j.inAllowedRegions(engines.Of(j.service.Name))
 	why := "endpoints: " + j.Picker.LeftOut(r).String()
 	if j.note != "" {
-		why = j.note + "; " + why // what the last attempt showed
+		why = j.note + "; " + why // keep the result of the last attempt
 	}
 	j.note = why
 }
 
-// limited is the refusal of a call where all endpoints of its service name limits. The caller is
-// told to come back as fast as they allow, shared among all nodes.
-func (j *job) limited() (refusal, bool) {
+// allLimited returns the refusal of a call if all endpoints of its service set rate limits. Its
+// Retry-After spreads the callers over this node's share of the total rate.
+func (j *job) allLimited() (refusal, bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return refusal{}, false
 	}
-	perSecond, all := j.Picker.Limits(j.atHome(engines.Of(j.service.Name)))
+	perSecond, all := j.Picker.Limits(j.inAllowedRegions(engines.Of(j.service.Name)))
 	if !all {
 		return refusal{}, false
 	}
 	f := refuseLimited
 	f.after = j.Returns.After(j.service.Name, perSecond/float64(max(j.Nodes(), 1)), clock.Now())
-	j.note = fmt.Sprintf("all endpoints name limits: %.2f calls a second in all", perSecond)
+	j.note = fmt.Sprintf("all endpoints set rate limits: %.2f calls/s in total", perSecond)
 	return f, true
 }
 
-// resting is the refusal of a call where all endpoints of its service want nothing from this node
-// for a while.
-func (j *job) resting() (refusal, bool) {
+// allResting returns the refusal of a call if all endpoints of its service have asked this node to
+// send nothing for a while.
+func (j *job) allResting() (refusal, bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return refusal{}, false
 	}
-	wait, all := j.Picker.Resting(j.atHome(engines.Of(j.service.Name)), clock.Now())
+	wait, all := j.Picker.Resting(j.inAllowedRegions(engines.Of(j.service.Name)), clock.Now())
 	f := refuseResting
 	f.after = wait
 	return f, all
 }
 
-// turnedAway is the refusal of a call that an endpoint did not run, and that may not be sent again.
+// turnedAway returns the refusal of a call that an endpoint did not run and that may not be sent again.
 func (j *job) turnedAway() refusal {
-	if f, resting := j.resting(); resting {
+	if f, resting := j.allResting(); resting {
 		return f
 	}
 	if lo.SomeBy(j.notices, func(n call.Notice) bool { _, rest := n.(call.Rest); return rest }) {
@@ -206,27 +205,27 @@
 	return refuseFull
 }
 
-// judge decides what an attempt's outcome means for the call: send it again,
-// refuse it (nil: it is already answered).
-func (j *job) judge(ctx context.Context, t *choice.Placement, out outcome) (*refusal, bool) {
+// decide returns true if the call is to be sent again after an attempt's outcome. Otherwise it
+// returns the refusal, or nil if the call has been answered.
+func (j *job) decide(ctx context.Context, t *choice.Placement, out outcome) (*refusal, bool) {
 	switch o := out.(type) {
 	case neverSent:
-		j.close(t, resultOf(ctx, resultOfUnsent(o)), took{})
+		j.close(t, resultOf(ctx, resultOfUnsent(o)), timing{})
 		j.note = o.err.Error()
-		return j.ifOver(ctx, refuseUnstarted)
+		return j.retryUnlessOver(ctx, refuseUnstarted)
 	case rejected:
-		j.close(t, resultOfRejection(o), took{})
-		if j.mayRepeat(ctx) {
+		j.close(t, resultOfRejection(o), timing{})
+		if j.takeRetry(ctx) {
 			return nil, true
 		}
 		f := j.turnedAway()
 		return &f, false
 	case failed:
-		j.told.heard = o.heard
-		j.close(t, resultOf(ctx, resultOfFailure(o)), took{})
+		j.reported.answered = o.answered
+		j.close(t, resultOf(ctx, resultOfFailure(o)), timing{})
 		j.note = o.err.Error()
-		if isCut(o) {
-			j.cut(ctx, t, quarantine.Nothing)
+		if isInterrupted(o) {
+			j.recordInterrupted(ctx, t, quarantine.Nothing)
 		}
 		if j.mayRunAgain(ctx) {
 			return nil, true
@@ -238,7 +237,7 @@
 	return &refuseUnknown, false
 }
 
-// resultOf an attempt that failed in some way: where the caller left, it says nothing.
+// resultOf returns the result of a failed attempt, which is Neutral if the caller has left.
 func resultOf(ctx context.Context, failed choice.Result) choice.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return choice.Neutral
@@ -246,19 +245,19 @@
 	return failed
 }
 
-// resultOfFailure tells an endpoint that ended the connection from one that answered
-// something else, or nothing in time.
+// resultOfFailure distinguishes an endpoint that closed the connection from one that answered
+// something else or did not answer in time.
 func resultOfFailure(o failed) choice.Result {
 	var network net.Error
 	timeout := errors.As(o.err, &network) && network.Timeout()
 	switch {
-	case o.heard, timeout, errors.Is(o.err, errSilent), errors.Is(o.err, errTwice), errors.Is(o.err, context.Canceled):
+	case o.answered, timeout, errors.Is(o.err, errSilent), errors.Is(o.err, errSentTwice), errors.Is(o.err, context.Canceled):
 		return choice.Bad
 	}
 	return choice.Cut
 }
 
-// resultOfUnsent tells an endpoint that can't be reached from a connection of this node's.
+// resultOfUnsent distinguishes an unreachable endpoint from a connection that this node closed.
 func resultOfUnsent(o neverSent) choice.Result {
 	if o.connected {
 		return choice.Neutral
@@ -266,7 +265,7 @@
 	return choice.Unreached
 }
 
-// resultOfRejection tells an endpoint that is full from one that is never back.
+// resultOfRejection distinguishes a full endpoint from one that is gone for good.
 func resultOfRejection(o rejected) choice.Result {
 	if o.moved {
 		return choice.Gone
@@ -274,7 +273,8 @@
 	return choice.Rejected
 }
 
-func (j *job) ifOver(ctx context.Context, f refusal) (*refusal, bool) {
+// retryUnlessOver returns true if the call is to be sent again, and the refusal if it is over.
+func (j *job) retryUnlessOver(ctx context.Context, f refusal) (*refusal, bool) {
 	if ctx.Err() != nil {
 		return &f, false
 	}
@@ -291,24 +291,24 @@
 	return &refuseUnknown
 }
 
-// mayRunAgain is whether a call that may have run may run once more.
+// mayRunAgain reports whether a call that may have run may run once more, and counts it if so.
 func (j *job) mayRunAgain(ctx context.Context) bool {
-	return j.route.MayRepeat() && !j.wary() && j.mayRepeat(ctx)
+	return j.route.MayRepeat() && !j.nearQuarantine() && j.takeRetry(ctx)
 }
 
-// mayRepeat is whether the call may be sent to one more endpoint; true counts it.
-func (j *job) mayRepeat(ctx context.Context) bool { return j.mayNotRepeat(ctx) == "" }
+// takeRetry reports whether the call may be sent to one more endpoint, and counts it if so.
+func (j *job) takeRetry(ctx context.Context) bool { return j.whyNoRetry(ctx) == "" }
 
-// mayNotRepeat is why the call may not be sent to one more endpoint; "" is that it may, and
-// counts it.
-func (j *job) mayNotRepeat(ctx context.Context) string {
+// whyNoRetry returns why the call may not be sent to one more endpoint. If it may, it returns ""
+// and counts the retry.
+func (j *job) whyNoRetry(ctx context.Context) string {
 	switch {
 	case ctx.Err() != nil:
 		return "the call is over"
-	case clock.Until(j.end) < leastLeft:
+	case clock.Until(j.end) < minRemaining:
 		return "too little time is left"
 	case j.attempts >= max(j.route.Attempts, 1):
-		return "its attempts are used up"
+		return "the attempts are used up"
 	case !j.Retries.Take(j.service.Name, clock.Now()):
 		return "the service's retries are used up"
 	default:
@@ -318,15 +318,15 @@
 
 // answer passes an endpoint's answer on.
 func (j *job) answer(ctx context.Context, t *choice.Placement, o answered) (*refusal, bool) {
-	j.told.heard = true
+	j.reported.answered = true
 	if o.resp.StatusCode >= http.StatusInternalServerError && j.mayRunAgain(ctx) {
-		drop(o.resp)
-		j.close(t, choice.Bad, took{})
+		closeBody(o.resp)
+		j.close(t, choice.Bad, timing{})
 		return nil, true
 	}
 	if isStream(o.resp) {
-		j.stream(ctx, t, o)
+		j.relayStream(ctx, t, o)
 		return nil, false
 	}
-	return j.whole(ctx, t, o)
+	return j.passWhole(ctx, t, o)
 }
--- a/fleet/relay/forward/send.go
+++ b/fleet/relay/forward/send.go
@@ -19,51 +19,50 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/link"
 )
 
-// errResting ends an attempt whose endpoint asked for rest before a byte was sent.
-var errResting = errors.New("the endpoint asked for rest before the call was sent")
+// errResting ends an attempt whose endpoint asked to rest before a byte was sent.
+var errResting = errors.New("the endpoint asked to rest before the call was sent")
 
-// errForgotten ends an attempt on a connection that its endpoint no longer keeps.
-var errForgotten = errors.New("the endpoint keeps no connection that rested for so long")
+// errIdleExpired ends an attempt on a connection that was idle for longer than its endpoint keeps it.
+var errIdleExpired = errors.New("the connection was idle for longer than the endpoint keeps it")
 
-// errTwice ends an attempt that the transport was about to send a second time.
-var errTwice = errors.New("the transport would have sent the call twice")
+// errSentTwice ends an attempt that the transport was about to send a second time.
+var errSentTwice = errors.New("the transport would have sent the call twice")
 
-// onceBody is a body that the transport can't rewind, so that it never sends a
-// call again by itself on a kept connection that died.
+// onceBody is a body that the transport can't rewind, so that it never resends a call by itself
+// when a kept-alive connection turns out to be dead.
 type onceBody struct{ *bytes.Reader }
 
 func (onceBody) Close() error { return nil }
 
-// send makes one attempt and waits for the head of its answer; the span of the
-// attempt ends with the head.
+// send makes one attempt and waits for the head of its answer, with which the attempt's span ends.
 func (j *job) send(ctx context.Context, t *choice.Placement, lastEventID string) outcome {
 	j.notices = nil
-	ctx, end := j.attempt(ctx, t)
+	ctx, end := j.startAttemptSpan(ctx, t)
 	out := j.exchange(ctx, t, lastEventID)
 	end(out)
 	return out
 }
 
 func (j *job) exchange(ctx context.Context, t *choice.Placement, lastEventID string) outcome {
-	heard := func() {}
-	var used *hold
+	stopTimer := func() {}
+	var used *connUse
 	twice := false
 	ctx, cancel := context.WithCancelCause(ctx)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			if used != nil && !used.bar() {
+			if used != nil && !used.block() {
 				twice = true
-				cancel(errTwice)
+				cancel(errSentTwice)
 			}
-			heard()
-			used = use(info.Conn)
-			if why := j.unfit(t, used, info); why != nil && used.bar() {
+			stopTimer()
+			used = startUse(info.Conn)
+			if why := j.whyNotSend(t, used, info); why != nil && used.block() {
 				cancel(why)
 				return
 			}
-			j.tellSent(t)
+			j.reportSent(t)
 			classify(info.Conn, j.class())
-			heard = whileSilent(j.patience(t), cancel)
+			stopTimer = startHeadTimer(j.headTimeout(t), cancel)
 		},
 		PutIdleConn: func(err error) {
 			if err == nil {
@@ -71,52 +70,52 @@
 			}
 		},
 	})
-	ctx = j.measured(ctx, t.Engine.Zone)
+	ctx = j.measureConnect(ctx, t.Engine.Zone)
 	started := clock.Now()
 	resp, err := j.Transport.RoundTrip(j.request(ctx, t, lastEventID))
-	heard()
-	if err != nil && !twice && (used == nil || used.bar()) {
+	stopTimer()
+	if err != nil && !twice && (used == nil || used.block()) {
 		cancel(nil)
-		return neverSent{err: at("connect", t, err), connected: used != nil}
+		return neverSent{err: wrapStep("connect", t, err), connected: used != nil}
 	}
 	j.attempts++
 	if err != nil {
 		err = j.dropSilent(ctx, t, err)
 		cancel(nil)
-		return failed{err: at("send", t, err)}
+		return failed{err: wrapStep("send", t, err)}
 	}
 	resp.Body = &cancelBody{ReadCloser: resp.Body, cancel: cancel}
-	return j.judgeHead(t, used, resp, started)
+	return j.readHead(t, used, resp, started)
 }
 
-// unfit is why not a byte of the call is sent on a connection that the transport handed out; nil where it
-// is. Those that rest beside one that its endpoint has forgotten have rested for longer: the transport
-// hands out the latest.
-func (j *job) unfit(t *choice.Placement, used *hold, info httptrace.GotConnInfo) error {
+// whyNotSend returns why nothing of the call may be sent on a connection from the transport, or nil
+// if it may. If the endpoint has closed the connection, the other idle ones are dropped: the transport
+// hands out the most recently used, so that they have been idle for longer.
+func (j *job) whyNotSend(t *choice.Placement, used *connUse, info httptrace.GotConnInfo) error {
 	if t.Resting(clock.Now()) {
-		return errResting // it said so while this call waited for its connection
+		return errResting // it asked for that while this call waited for its connection
 	}
-	if info.WasIdle && used.forgotten(info.IdleTime) {
+	if info.WasIdle && used.idleExpired(info.IdleTime) {
 		j.Transport.pool.dropIdle(t.Engine.Address)
-		return errForgotten
+		return errIdleExpired
 	}
 	return nil
 }
 
-// measured takes how long connecting to a zone takes as the round trip there.
-func (j *job) measured(ctx context.Context, zone string) context.Context {
-	var began time.Time // of the goroutine that connects only
+// measureConnect records the time that connecting takes as the round trip to the zone.
+func (j *job) measureConnect(ctx context.Context, zone string) context.Context {
+	var began time.Time // used only by the goroutine that connects
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { began = clock.Now() },
 		ConnectDone: func(_, _ string, err error) {
-			if now := clock.Now(); err == nil && j.awake.teaches(began) {
+			if now := clock.Now(); err == nil && j.stalls.usable(began) {
 				j.Places.Measured(zone, now.Sub(began), now)
 			}
 		},
 	})
 }
 
-// class is what the call sends to an endpoint.
+// class returns the traffic class of the call's request to an endpoint.
 func (j *job) class() link.Class {
 	if j.call.Cost() > 0 {
 		return link.Prompts
@@ -124,8 +123,8 @@
 	return link.Answers
 }
 
-// dropSilent drops the connections that rest beside one that fell silent, and says so
-// in the error.
+// dropSilent closes the idle connections to the endpoint if the attempt's connection fell silent,
+// and adds their number to the error.
 func (j *job) dropSilent(ctx context.Context, t *choice.Placement, err error) error {
 	silent := errors.Is(context.Cause(ctx), errSilent)
 	if silent {
@@ -138,7 +137,7 @@
 	return errors.Wrapf(err, "%d idle connections dropped", j.Transport.pool.dropIdle(t.Engine.Address))
 }
 
-// cancelBody ends the attempt's context with its body.
+// cancelBody cancels the attempt's context when the body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
@@ -150,16 +149,17 @@
 	return err
 }
 
-func (j *job) judgeHead(t *choice.Placement, used *hold, resp *http.Response, started time.Time) outcome {
+// readHead reads the head of an answer, records what it shows of the endpoint and returns the outcome.
+func (j *job) readHead(t *choice.Placement, used *connUse, resp *http.Response, started time.Time) outcome {
 	v := j.Wire.Judge(resp)
-	used.keepsFor(v.Keeps)
+	used.setIdleTimeout(v.Keeps)
 	now := clock.Now()
 	if v.HasLoad {
 		t.Report(v.Load, now)
 	}
 	if v.CallID != j.call.ID {
-		drop(resp)
-		return failed{heard: true, err: at("answer", t, errors.Newf("the answer is to call %q, status %d", v.CallID, resp.StatusCode))}
+		closeBody(resp)
+		return failed{answered: true, err: wrapStep("answer", t, errors.Newf("the answer belongs to call %q, status %d", v.CallID, resp.StatusCode))}
 	}
 	if !v.Moved {
 		j.notices = v.Notices
@@ -167,7 +167,7 @@
 			t.Notice(n, now)
 		}
 	}
-	if !v.Moved && j.awake.teaches(started) { // not another endpoint's word, nor one of before a suspension or a standstill
+	if !v.Moved && j.stalls.usable(started) { // not from another endpoint, nor from before a suspension or a stall
 		j.limit = v.Limit
 		t.Limit(v.Limit, resp.StatusCode < http.StatusMultipleChoices, started, now)
 	}
@@ -175,16 +175,16 @@
 		t.Took(started)
 	}
 	if v.NotExecuted || v.Moved {
-		finishSmall(resp)
+		discardSmall(resp)
 		return rejected{status: resp.StatusCode, moved: v.Moved}
 	}
-	if !isStream(resp) && resp.StatusCode < http.StatusInternalServerError && j.awake.teaches(started) {
+	if !isStream(resp) && resp.StatusCode < http.StatusInternalServerError && j.stalls.usable(started) {
 		t.First(now.Sub(started), now)
 	}
 	return answered{resp: resp, sent: started}
 }
 
-// request builds the attempt: method, target and body are the caller's.
+// request builds the request of an attempt, with the caller's method, target and body.
 func (j *job) request(ctx context.Context, t *choice.Placement, lastEventID string) *http.Request {
 	header := j.Wire.Prepare(j.r.Header, j.call, call.Send{
 		Tenant: j.tenant.Name, Instance: t.Engine.ID, Left: clock.Until(j.end), Priority: j.priority(), LastEventID: lastEventID, FetchFrom: t.Source,
@@ -197,7 +197,7 @@
 	return req.WithContext(ctx)
 }
 
-// target keeps the caller's path and query to the letter.
+// target returns the URL with the caller's path and query unchanged.
 func target(address, uri string) *url.URL {
 	path, query, hasQuery := strings.Cut(uri, "?")
 	return &url.URL{Scheme: "http", Host: address, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
@@ -210,18 +210,18 @@
 	return j.route.Priority
 }
 
-// at adds the step and the peer to an error.
-func at(step string, t *choice.Placement, err error) error {
+// wrapStep adds the step and the endpoint to an error.
+func wrapStep(step string, t *choice.Placement, err error) error {
 	return errors.Wrapf(err, "step %s, endpoint %s at %s", step, t.Engine.ID, t.Engine.Address)
 }
 
-// smallBody is what is read of a refused attempt's body to keep its connection.
-const smallBody = 4 << 10
+// maxDiscarded is how many bytes of a refused attempt's body are read so that its connection can be reused.
+const maxDiscarded = 4 << 10
 
-func finishSmall(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, smallBody)
+func discardSmall(resp *http.Response) {
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscarded)
 	_ = resp.Body.Close()
 }
 
-// drop gives an answer up, and its connection with it.
-func drop(resp *http.Response) { _ = resp.Body.Close() }
+// closeBody abandons an answer and its connection.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
--- a/fleet/relay/forward/silence_test.go
+++ b/fleet/relay/forward/silence_test.go
@@ -19,14 +19,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// An endpoint that says nothing keeps a call that may run again for some times what was
-// expected of it, and any other call for as long as its caller waits. The clock is the
-// test's: nothing but the relay's own waits takes time.
-func TestACallThatMayRunAgainLeavesASilentEndpoint(t *testing.T) {
+// A silent endpoint keeps a repeatable call for a multiple of its expected time, and any other call
+// until its deadline. The clock is synthetic: only the relay's timers take time.
+func TestRepeatableCallLeavesASilentEndpoint(t *testing.T) {
 	cases := []struct {
 		name   string
 		path   string
-		slow   time.Duration // each connection's opening
+		slow   time.Duration // of each connect
 		status int
 		runs   int
 		took   time.Duration
@@ -50,47 +49,46 @@
 					}
 					events(0, 3, true)(f, w, r)
 				}
-				network := newPipes()
+				network := newPipeNetwork()
 				network.connecting = c.slow
 				f := newFleetOn(t, network, 1000, first, first)
 				began := time.Now()
 				got := f.do(t, f.request(t, "POST", c.path, "body", "Deadline", "1200"))
 				assert.Equal(t, c.status, got.status)
 				assert.Equal(t, c.took, time.Since(began))
-				assert.Len(t, f.seen(), c.runs)
+				assert.Len(t, f.received(), c.runs)
 			})
 		})
 	}
 }
 
-// mute is a listener whose connections can all fall silent, without a reset, while new
-// ones work.
-type mute struct {
+// silenceableListener is a listener whose open connections can be silenced without a reset, while new ones work.
+type silenceableListener struct {
 	net.Listener
 	mu    sync.Mutex
-	conns []*muted
+	conns []*silenceableConn
 }
 
-type muted struct {
+type silenceableConn struct {
 	net.Conn
 	mu     sync.Mutex
 	silent bool
 }
 
-func (m *mute) Accept() (net.Conn, error) {
+func (m *silenceableListener) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	one := &muted{Conn: c}
+	one := &silenceableConn{Conn: c}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns = append(m.conns, one)
 	return one, nil
 }
 
-// silence has all connections of now swallow what comes; it returns how many.
-func (m *mute) silence() int {
+// silence makes all open connections discard what they receive and returns their number.
+func (m *silenceableListener) silence() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.conns {
@@ -101,7 +99,7 @@
 	return len(m.conns)
 }
 
-func (c *muted) Read(p []byte) (int, error) {
+func (c *silenceableConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		c.mu.Lock()
@@ -113,8 +111,8 @@
 	}
 }
 
-// One connection that fell silent costs one call: those that rested beside it, which are
-// as old, are dropped with it.
+// When one connection falls silent, the idle ones to the same address are dropped. They are as old
+// and otherwise cost a call each.
 func TestASilentConnectionCostsOneCall(t *testing.T) {
 	const together = 4
 	var gate sync.WaitGroup
@@ -130,7 +128,7 @@
 		_, _ = io.WriteString(w, "answer")
 	})
 	server := httptest.NewUnstartedServer(handler)
-	listener := &mute{Listener: server.Listener}
+	listener := &silenceableListener{Listener: server.Listener}
 	server.Listener = listener
 	server.Start()
 	t.Cleanup(server.Close)
--- a/fleet/relay/forward/standstill_learned_test.go
+++ b/fleet/relay/forward/stall_evidence_test.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
 )
 
-// What a call takes while this process stands still says nothing of its endpoint, which would
-// be taken for slow.
-func TestACallDuringWhichTheProcessStoodStillTeachesNothing(t *testing.T) {
+// A call's duration during a stall of this process is no evidence on its endpoint, which would
+// otherwise be regarded as slow.
+func TestCallDuringStallIsNoEvidence(t *testing.T) {
 	const takes = 150 * time.Millisecond
 	slow := func(s script) script {
 		return func(f *fleet, w http.ResponseWriter, r *http.Request) {
@@ -22,10 +22,10 @@
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		path   string
-		script script
-		stood  bool
+		name    string
+		path    string
+		script  script
+		stalled bool
 	}{
 		{"plain, and it ran", "/repeat/", good("e"), false},
 		{"plain", "/repeat/", good("e"), true},
@@ -34,7 +34,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, slow(c.script))
-			f.stood.Store(c.stood)
+			f.stalled.Store(c.stalled)
 			expected := func() float64 {
 				p, ok := f.picker.Pick(choice.Request{Engines: f.directory.Load().All(), Cap: 8, Now: time.Now()})
 				require.True(t, ok)
@@ -45,7 +45,7 @@
 			for range 3 {
 				require.Equal(t, http.StatusOK, f.do(t, f.request(t, http.MethodGet, c.path, "")).status)
 			}
-			assert.Equal(t, c.stood, expected() == before)
+			assert.Equal(t, c.stalled, expected() == before)
 		})
 	}
 }
--- a/fleet/relay/forward/stream.go
+++ b/fleet/relay/forward/stream.go
@@ -12,32 +12,32 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// stream passes events on as they come, whole ones only. Where the stream
-// breaks, it goes on at another endpoint if the route allows that; else the
-// caller's connection is broken off, so that nothing half looks whole.
-func (j *job) stream(ctx context.Context, t *choice.Placement, o answered) {
+// relayStream passes on complete events as they arrive. If the stream breaks, it is resumed at
+// another endpoint if the route allows that. Otherwise the caller's connection is aborted, so
+// that a partial stream never looks complete.
+func (j *job) relayStream(ctx context.Context, t *choice.Placement, o answered) {
 	j.Wire.Answer(j.w.Header(), o.resp)
 	j.w.WriteHeader(o.resp.StatusCode)
-	s := &relayed{job: j, lastID: j.call.LastEventID}
+	s := &streamRelay{job: j, lastID: j.call.LastEventID}
 	for {
-		s.pace = pace{placement: t, sent: o.sent, awake: j.awake}
+		s.pace = pace{placement: t, sent: o.sent, stalls: j.stalls}
 		err := s.copy(ctx, o.resp.Body)
-		drop(o.resp)
+		closeBody(o.resp)
 		if err == nil {
-			if j.awake.teaches(o.sent) {
+			if j.stalls.usable(o.sent) {
 				t.Paused(s.pace.longest)
 			}
-			j.close(t, choice.Good, s.pace.took())
-			j.served()
+			j.close(t, choice.Good, s.pace.timing())
+			j.recordServed()
 			j.used = j.charge(s.events)
 			j.finish("streamed", o.resp.StatusCode)
 			return
 		}
-		j.close(t, resultOf(ctx, choice.Bad), took{})
-		j.note = at("stream", t, err).Error()
+		j.close(t, resultOf(ctx, choice.Bad), timing{})
+		j.note = wrapStep("stream", t, err).Error()
 		j.logBroken(t, s.events, err)
-		if s.caller == nil {
-			j.cut(ctx, t, s.pace.progress(clock.Now()))
+		if s.callerErr == nil {
+			j.recordInterrupted(ctx, t, s.pace.progress(clock.Now()))
 		}
 		next, out, ok := j.resume(ctx, t, s)
 		if !ok {
@@ -49,9 +49,9 @@
 	}
 }
 
-// charge is what a stream cost: the prompt, and the events that were passed on.
-// Each is counted full, since how full the last one was is not said. What an
-// endpoint generated and the caller never got is not the caller's to pay.
+// charge returns the cost of a stream: the prompt and the events that were passed on. Each event
+// counts as full, since the fill of the last one is unknown. Tokens that the caller never received
+// are not charged.
 func (j *job) charge(events int64) int64 {
 	if events == 0 {
 		return 0
@@ -62,98 +62,98 @@
 	return min(j.reserved, j.call.PromptMax+min(events*j.service.Stride, j.call.OutputMax))
 }
 
-// resume takes a broken stream up at another endpoint.
-func (j *job) resume(ctx context.Context, broken *choice.Placement, s *relayed) (*choice.Placement, answered, bool) {
-	if why := j.mayNotResume(ctx, s); why != "" {
-		return j.leftBroken(why)
+// resume continues a broken stream at another endpoint.
+func (j *job) resume(ctx context.Context, broken *choice.Placement, s *streamRelay) (*choice.Placement, answered, bool) {
+	if why := j.whyNotResume(ctx, s); why != "" {
+		return j.abandonResume(why)
 	}
 	tried := map[engine.Life]bool{broken.Engine.Life(): true}
 	for range maxUnreached {
 		if j.quarantined() {
-			return j.leftBroken("the request is held back")
+			return j.abandonResume("the request is quarantined")
 		}
 		t, ok := j.pick(tried)
 		if !ok {
-			return j.leftBroken("no other endpoint is usable")
+			return j.abandonResume("no other endpoint is usable")
 		}
 		j.engine, j.placed = t.Engine.ID, t
 		switch o := j.send(ctx, t, s.lastID).(type) {
 		case answered:
-			return j.resumed(t, o)
+			return j.acceptResumed(t, o)
 		case neverSent:
-			j.close(t, resultOf(ctx, resultOfUnsent(o)), took{})
-			tried[t.Engine.Life()] = !o.connected // another connection there may do
+			j.close(t, resultOf(ctx, resultOfUnsent(o)), timing{})
+			tried[t.Engine.Life()] = !o.connected // another connection to it may work
 		case rejected:
-			j.close(t, resultOfRejection(o), took{})
-			return j.leftBroken("another endpoint rejected it")
+			j.close(t, resultOfRejection(o), timing{})
+			return j.abandonResume("another endpoint rejected it")
 		case failed:
-			j.close(t, resultOf(ctx, resultOfFailure(o)), took{})
-			if isCut(o) {
-				j.cut(ctx, t, quarantine.Nothing)
+			j.close(t, resultOf(ctx, resultOfFailure(o)), timing{})
+			if isInterrupted(o) {
+				j.recordInterrupted(ctx, t, quarantine.Nothing)
 			}
-			return j.leftBroken("another endpoint failed: " + o.err.Error())
+			return j.abandonResume("another endpoint failed: " + o.err.Error())
 		}
 		if ctx.Err() != nil {
-			return j.leftBroken("the call is over")
+			return j.abandonResume("the call is over")
 		}
 	}
-	return j.leftBroken("no other endpoint was reached")
+	return j.abandonResume("no other endpoint was reached")
 }
 
-// mayNotResume is why a broken stream may not be taken up; "" is that it may.
-func (j *job) mayNotResume(ctx context.Context, s *relayed) string {
+// whyNotResume returns why a broken stream may not be resumed, or "" if it may; then it takes a retry.
+func (j *job) whyNotResume(ctx context.Context, s *streamRelay) string {
 	switch {
 	case !j.route.Resumable:
 		return "the route does not allow it"
-	case s.caller != nil:
+	case s.callerErr != nil:
 		return "the caller has left"
-	case j.wary():
-		return "the request may have ended endpoints"
+	case j.nearQuarantine():
+		return "the request may have crashed endpoints"
 	default:
-		return j.mayNotRepeat(ctx)
+		return j.whyNoRetry(ctx)
 	}
 }
 
-// leftBroken notes why a stream stays broken, for the call's line.
-func (j *job) leftBroken(why string) (*choice.Placement, answered, bool) {
-	j.broken = why
+// abandonResume records why a broken stream is not resumed, for the log.
+func (j *job) abandonResume(why string) (*choice.Placement, answered, bool) {
+	j.notResumed = why
 	return nil, answered{}, false
 }
 
-// resumed is whether an answer goes on where the stream broke.
-func (j *job) resumed(t *choice.Placement, o answered) (*choice.Placement, answered, bool) {
-	j.told.heard = true
+// acceptResumed checks that an answer continues the broken stream.
+func (j *job) acceptResumed(t *choice.Placement, o answered) (*choice.Placement, answered, bool) {
+	j.reported.answered = true
 	if o.resp.StatusCode != http.StatusOK || !isStream(o.resp) {
-		drop(o.resp)
-		j.close(t, choice.Neutral, took{})
-		return j.leftBroken("another endpoint answered it with no stream")
+		closeBody(o.resp)
+		j.close(t, choice.Neutral, timing{})
+		return j.abandonResume("another endpoint answered it with no stream")
 	}
 	return t, o, true
 }
 
-// relayed is how far a stream has come.
-type relayed struct {
+// streamRelay is the progress of a stream to its caller.
+type streamRelay struct {
 	*job
-	events int64
-	lastID string
-	caller error // the caller's connection failed
-	rest   []byte
+	events    int64
+	lastID    string
+	callerErr error  // from writing to the caller
+	pending   []byte // start of an incomplete event
 }
 
 const streamBuffer = 8 << 10
 
 var eventEnd = []byte("\n\n")
 
-// copy passes on one endpoint's part of the stream; nil where it came to its end.
-func (s *relayed) copy(ctx context.Context, body io.Reader) error {
+// copy passes on one endpoint's part of the stream and returns nil at its regular end.
+func (s *streamRelay) copy(ctx context.Context, body io.Reader) error {
 	flusher := http.NewResponseController(s.w)
 	buffer := make([]byte, streamBuffer)
-	s.rest = s.rest[:0]
+	s.pending = s.pending[:0]
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
 			if failure := s.pass(flusher, buffer[:n]); failure != nil {
-				s.caller = failure
+				s.callerErr = failure
 				return failure
 			}
 		}
@@ -166,22 +166,22 @@
 	}
 }
 
-// pass forwards the whole events among what has come so far.
-func (s *relayed) pass(flusher *http.ResponseController, data []byte) error {
-	s.rest = append(s.rest, data...)
-	end := bytes.LastIndex(s.rest, eventEnd)
+// pass writes the complete events among the data received so far to the caller.
+func (s *streamRelay) pass(flusher *http.ResponseController, data []byte) error {
+	s.pending = append(s.pending, data...)
+	end := bytes.LastIndex(s.pending, eventEnd)
 	if end < 0 {
 		return nil
 	}
-	whole := s.rest[:end+len(eventEnd)]
+	whole := s.pending[:end+len(eventEnd)]
 	if s.events == 0 {
 		s.Metrics.FirstEvent(s.route.Name, clock.Since(s.start))
 	}
 	before, first := s.events, s.pace.last.IsZero()
 	s.count(whole)
-	s.pace.passed(int(s.events-before), clock.Now())
+	s.pace.observe(int(s.events-before), clock.Now())
 	if first && s.pace.first > 0 {
-		s.tellFirst(s.pace.placement, s.pace.sent, s.pace.first)
+		s.reportFirstEvent(s.pace.placement, s.pace.sent, s.pace.first)
 	}
 	if _, err := s.w.Write(whole); err != nil {
 		return err
@@ -189,12 +189,12 @@
 	if err := flusher.Flush(); err != nil {
 		return err
 	}
-	s.rest = append(s.rest[:0], s.rest[end+len(eventEnd):]...)
+	s.pending = append(s.pending[:0], s.pending[end+len(eventEnd):]...)
 	return nil
 }
 
-// count counts events and keeps the last id.
-func (s *relayed) count(whole []byte) {
+// count counts events and records the last event id.
+func (s *streamRelay) count(whole []byte) {
 	for event := range bytes.SplitSeq(whole, eventEnd) {
 		if len(bytes.Trim(event, "\n")) == 0 {
 			continue
@@ -208,13 +208,13 @@
 	}
 }
 
-func (s *relayed) atEnd(ctx context.Context) error {
+func (s *streamRelay) atEnd(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if len(bytes.Trim(s.rest, "\n")) > 0 {
+	if len(bytes.Trim(s.pending, "\n")) > 0 {
 		return io.ErrUnexpectedEOF
 	}
-	_, err := s.w.Write(s.rest) // an empty line more, however the bytes were cut into pieces
+	_, err := s.w.Write(s.pending) // at most empty lines, depending on how the reads split the data
 	return err
 }
--- a/fleet/relay/forward/stream_fuzz_test.go
+++ b/fleet/relay/forward/stream_fuzz_test.go
@@ -16,14 +16,14 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// silent counts nothing.
+// silent discards all metrics.
 type silent struct{}
 
 func (silent) Finished(string, string, time.Duration) {}
 func (silent) FirstEvent(string, time.Duration)       {}
 
-// Whatever an endpoint sends, in whatever pieces, its caller gets whole events,
-// all of them in order, and the stream counts as whole only where nothing is left.
+// Whatever an endpoint sends, and however reads split it, the caller receives all complete events in
+// order, and the stream counts as complete only if no partial event is left.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), false)
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\nda"), true)
@@ -34,7 +34,7 @@
 		placement, ok := picker.Pick(choice.Request{Engines: []engine.Engine{{ID: "e"}}, Cap: 1, Now: time.Now()})
 		require.True(t, ok)
 		to := httptest.NewRecorder()
-		s := &relayed{job: &job{Handler: New(Options{Metrics: silent{}}), w: to, start: time.Now(), pace: pace{placement: placement, sent: time.Now()}}}
+		s := &streamRelay{job: &job{Handler: New(Options{Metrics: silent{}}), w: to, start: time.Now(), pace: pace{placement: placement, sent: time.Now()}}}
 		var from io.Reader = bytes.NewReader(data)
 		if byteByByte {
 			from = iotest.OneByteReader(from)
@@ -46,7 +46,7 @@
 			whole = data[:end+len(eventEnd)]
 		}
 		assert.True(t, bytes.HasPrefix(data, to.Body.Bytes()), "bytes as they came")
-		// empty lines between events say nothing: how many have come depends on the pieces
+		// the number of empty lines between events depends on how reads split the data
 		assert.Equal(t, string(bytes.TrimRight(whole, "\n")), string(bytes.TrimRight(to.Body.Bytes(), "\n")))
 		if len(bytes.Trim(data[len(whole):], "\n")) == 0 {
 			assert.NoError(t, err)
--- a/fleet/relay/forward/doubts_test.go
+++ b/fleet/relay/forward/suspicions_test.go
@@ -12,13 +12,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Only an endpoint that ended the connection in place of an answer is told as cutting
-// calls: sound ones fail by other ways now and then, and what is late may be this node.
-func TestFailuresAreToldByTheirKind(t *testing.T) {
+// Only an endpoint that closed the connection instead of answering is reported as interrupting
+// calls: healthy ones occasionally fail in other ways, and a late answer may be this node's fault.
+func TestFailuresAreReportedByKind(t *testing.T) {
 	cases := []struct {
-		name, path string
-		script     script
-		told, cut  bool
+		name, path            string
+		script                script
+		reported, interrupted bool
 	}{
 		{"an answer", "/single/", good("x"), false, false},
 		{"an answer that says so", "/single/", status(500, false), true, false},
@@ -36,9 +36,9 @@
 			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(book)
 			require.NoError(t, f.do(t, f.request(t, "GET", c.path, "")).err)
 			words := book.Words(false, time.Now())
-			require.Equal(t, c.told, len(words) == 1)
-			if c.told {
-				assert.Equal(t, c.cut, words[0].Tellers[0].Cut)
+			require.Equal(t, c.reported, len(words) == 1)
+			if c.reported {
+				assert.Equal(t, c.interrupted, words[0].Tellers[0].Cut)
 			}
 		})
 	}
--- a/fleet/relay/forward/trace.go
+++ b/fleet/relay/forward/trace.go
@@ -14,9 +14,8 @@
 
 var w3c = propagation.TraceContext{}
 
-// traced returns the call with a span of its own under the caller's, if any, and
-// what ends that span.
-func (h *Handler) traced(r *http.Request) (*http.Request, func()) {
+// startSpan returns the request with a span under the caller's, if any, and a function that ends it.
+func (h *Handler) startSpan(r *http.Request) (*http.Request, func()) {
 	if h.Tracer == nil {
 		return r, func() {}
 	}
@@ -25,8 +24,8 @@
 	return r.WithContext(ctx), func() { span.End() }
 }
 
-// describe says on the call's span how it ended.
-func (j *job) describe(reason string, status int) {
+// annotateSpan records on the call's span how the call ended.
+func (j *job) annotateSpan(reason string, status int) {
 	if j.Tracer == nil {
 		return
 	}
@@ -35,8 +34,8 @@
 		attribute.String("reason", reason), attribute.Int("status", status), attribute.Int("attempts", j.attempts))
 }
 
-// attempt returns the context of one attempt with its span, and what ends it.
-func (j *job) attempt(ctx context.Context, t *choice.Placement) (context.Context, func(outcome)) {
+// startAttemptSpan returns the context of one attempt with its span, and a function that ends it.
+func (j *job) startAttemptSpan(ctx context.Context, t *choice.Placement) (context.Context, func(outcome)) {
 	if j.Tracer == nil {
 		return ctx, func(outcome) {}
 	}
--- a/fleet/relay/forward/trace_test.go
+++ b/fleet/relay/forward/trace_test.go
@@ -10,7 +10,7 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// A call has a span under its caller's, and each attempt one under the call's.
+// A call's span is a child of the caller's, and each attempt's span a child of the call's.
 func TestEachHopHasASpan(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
@@ -27,7 +27,7 @@
 	assert.Equal(t, "0af7651916cd43dd8448eb211c80319c", call.SpanContext.TraceID().String())
 	assert.Equal(t, "b7ad6b7169203331", call.Parent.SpanID().String())
 	attempts := lo.Filter(all, func(s tracetest.SpanStub, _ int) bool { return s.Name == "attempt" })
-	assert.Len(t, attempts, len(f.seen()))
+	assert.Len(t, attempts, len(f.received()))
 	for _, a := range attempts {
 		assert.Equal(t, call.SpanContext.SpanID(), a.Parent.SpanID())
 	}
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -15,21 +15,21 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// Trials is how the calls of services choose between two versions while they move to
-// another one, by service: immutable. A service that is not named has one list.
+// Trials holds the trial of each service that moves to another version, by service name. It is
+// immutable.
 type Trials map[string]*Trial
 
-// Trial is one service's plan while its order is open, and its endpoints by version in
-// the order of their ids.
+// Trial holds the rollout plan of a service while its order is open, and its endpoints by version,
+// sorted by id.
 type Trial struct {
 	plan    rollout.Plan
 	lists   rollout.Lists
-	sampled bool // the target gets a share only, and the old version may get all
-	moving  bool // the target may get all
+	sampled bool // the target gets only a share, and the old version may take every call
+	moving  bool // the target may take every call
 }
 
-// NewTrial returns how calls choose among the endpoints that an order leaves; bad is
-// whether somebody found its target bad.
+// NewTrial returns the trial of a service whose endpoints an order has split by version. bad tells
+// whether any node has found the target bad.
 func NewTrial(l rollout.Lists, bad bool) *Trial {
 	plan := rollout.NewPlan(l.Rollout)
 	if bad {
@@ -40,7 +40,7 @@
 	return &Trial{plan: plan, lists: l, sampled: begun && stage == rollout.Sampling, moving: begun && stage == rollout.Moving && !bad}
 }
 
-// Lists are the endpoints by version.
+// Lists returns the endpoints by version.
 func (t *Trial) Lists() rollout.Lists { return t.lists }
 
 func byID(engines []engine.Engine) []engine.Engine {
@@ -49,22 +49,22 @@
 	return sorted
 }
 
-// Samples takes in what answers show of a version. It is safe for concurrent use.
+// Samples collects answers as evidence on a version. It is safe for concurrent use.
 type Samples interface {
-	// Sent counts a call that is sent; its answer is told later.
+	// Sent counts a call that has been sent and whose answer is reported later.
 	Sent(s rollout.Sample)
-	// Sample takes an answer in, and says whether it counts as bad: then it is told once.
-	// A stream may be told of by its first event, and again by its end.
+	// Sample records an answer and reports whether it counts as bad; a bad one is not reported
+	// again. A stream may be reported at its first event and again at its end.
 	Sample(s rollout.Sample) (bad bool)
-	// SlowFrom is from how many times what was expected an answer counts as bad, or after
-	// how long, where the node knows the old version by others' word only. Both are 0 where
+	// SlowFrom returns from how many times the expected duration an answer counts as bad, or after
+	// how long if the node knows the old version only from other nodes' reports. Both are 0 if
 	// neither is known.
 	SlowFrom(service, route string) (times float64, after time.Duration)
-	// Lasts notes how long a call of a service is expected to take.
+	// Lasts records how long a call of a service is expected to take.
 	Lasts(service string, d time.Duration)
 }
 
-// trial is the trial of the call's service; nil is none.
+// trial returns the trial of the call's service, or nil.
 func (j *job) trial() *Trial {
 	if j.Trials == nil {
 		return nil
@@ -76,11 +76,11 @@
 	return (*trials)[j.service.Name]
 }
 
-// pickBySide chooses among the endpoints of the version that the plan says.
-func (j *job) pickBySide(t *Trial, r choice.Request) (*choice.Placement, bool) {
+// pickByVersion chooses among the endpoints of the version that the plan selects.
+func (j *job) pickByVersion(t *Trial, r choice.Request) (*choice.Placement, bool) {
 	c := rollout.Call{
 		Hash: xxhash.Sum64String(j.call.ID), Route: j.route.Name, Once: j.route.Kind == policy.Once,
-		Lasts: j.lasts(r), Attempt: len(r.Exclude), Now: r.Now,
+		Lasts: j.maxDuration(r), Attempt: len(r.Exclude), Now: r.Now,
 	}
 	j.Samples.Lasts(j.service.Name, c.Lasts)
 	side := t.plan.Side(c)
@@ -88,80 +88,80 @@
 	placement, ok := j.pickAmong(t, t.lists.For(&t.plan, c), r)
 	switch {
 	case ok:
-	case side == rollout.New && t.sampled: // none of the few that are tried may take it
+	case side == rollout.New && t.sampled: // no endpoint of the target may take it
 		r.Trial = false
 		return j.pickAmong(t, t.lists.Old, r)
-	case side == rollout.Old && t.moving: // none of the old ones is left, or fit
+	case side == rollout.Old && t.moving: // no endpoint of the old version may take it
 		r.Trial = true
 		return j.pickAmong(t, t.lists.Target, r)
 	}
 	return placement, ok
 }
 
-// pickAmong chooses among the endpoints of a side. New ones take parts of prompts from
-// old ones, too, so that a move does not read them all again; a version on trial is no
-// source.
+// pickAmong chooses among the endpoints of a version. Target endpoints may fetch prompt parts from
+// old ones, so that a rollout does not compute them all again. Old ones don't fetch from the target.
 func (j *job) pickAmong(t *Trial, engines []engine.Engine, r choice.Request) (*choice.Placement, bool) {
-	r.Engines = j.atHome(engines)
+	r.Engines = j.inAllowedRegions(engines)
 	if r.Trial {
-		r.Sources = j.atHome(t.lists.All)
+		r.Sources = j.inAllowedRegions(t.lists.All)
 	}
 	return j.Picker.Pick(r)
 }
 
-// lastsMargin is how many times longer than expected a call may take, so that one in
-// some hundred does: beyond that, and in no case beyond its end, it is broken off.
-const lastsMargin = 1.6
+// durationMargin is the factor by which a call may exceed its expected duration; about one in a
+// hundred does. Beyond that, or at its deadline, a call is aborted.
+const durationMargin = 1.6
 
-// lasts is how long an attempt may take at the most, as expected.
-func (j *job) lasts(r choice.Request) time.Duration {
+// maxDuration returns the expected maximum duration of an attempt.
+func (j *job) maxDuration(r choice.Request) time.Duration {
 	events := int64(0)
 	if j.service.Stride > 0 {
 		events = j.call.OutputMax/j.service.Stride + 1
 	}
 	expected := j.Picker.Lasts(r.Profile, j.call.PromptMax, events, j.service.Slots)
-	return min(time.Duration(lastsMargin*float64(expected)), j.end.Sub(r.Now))
+	return min(time.Duration(durationMargin*float64(expected)), j.end.Sub(r.Now))
 }
 
-// took is how long an attempt took, as far as it came; 0 is not known.
-type took struct {
-	whole time.Duration // until the first event, or all of a plain call
-	gap   time.Duration // between two events, on average
+// timing is how long an attempt took, as far as it came; 0 means unknown.
+type timing struct {
+	whole time.Duration // until the first event of a stream, or the whole plain answer
+	gap   time.Duration // average between events
 	sent  time.Time     // when the attempt began
 }
 
-// told is what was told of the attempt under way, where two versions are compared.
-type told struct {
-	sent  bool // that it was sent
-	bad   bool // that its answer is bad: it is not told again
-	heard bool // the endpoint answered, if not well
-	late  *late
+// reported is what was reported to Samples of the current attempt.
+type reported struct {
+	sent     bool // as sent
+	bad      bool // as bad: not reported again
+	answered bool // the endpoint answered, be it with an error
+	slow     *slowTimer
 }
 
-// late tells that an attempt is slow as soon as it has taken as long as a slow one,
-// and not when it ends: a version that turns slow while all calls move to it would get
-// those of as many seconds more as its slow answers take.
-type late struct {
+// slowTimer reports an attempt as slow as soon as it exceeds the threshold, not when it ends.
+// Otherwise a version that turns slow while all calls move to it would get further calls for as
+// long as its slow answers take.
+type slowTimer struct {
 	timer *clock.Patience
 	mu    sync.Mutex
-	over  bool // the answer has come, or this was told
-	bad   bool // it was told, and counted as bad
+	over  bool // the answer has arrived, or the attempt was reported
+	bad   bool // it was reported and counted as bad
 }
 
-func newLate(after time.Duration, tell func() bool) *late {
-	l := &late{}
+func newSlowTimer(after time.Duration, report func() bool) *slowTimer {
+	l := &slowTimer{}
 	l.timer = clock.WaitFor(after, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if !l.over {
-			l.over, l.bad = true, tell()
+			l.over, l.bad = true, report()
 		}
 	})
 	return l
 }
 
-// settle ends the wait, since the answer has come, and says whether it was told as bad.
-func (l *late) settle() bool {
+// settle stops the timer, since the answer has arrived, and returns whether the attempt was
+// reported as bad.
+func (l *slowTimer) settle() bool {
 	l.timer.Stop()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,78 +169,78 @@
 	return l.bad
 }
 
-// settle takes in what was told of the attempt while its answer was awaited.
-func (k *told) settle() {
-	if k.late != nil {
-		k.bad, k.late = k.late.settle(), nil
+// settle stops the timer for slow answers and records whether it reported the attempt as bad.
+func (r *reported) settle() {
+	if r.slow != nil {
+		r.bad, r.slow = r.slow.settle(), nil
 	}
 }
 
-// close ends an attempt, and tells how its answer went where two versions are compared.
-func (j *job) close(t *choice.Placement, r choice.Result, k took) {
+// close ends an attempt and reports its result if the service moves between versions.
+func (j *job) close(t *choice.Placement, r choice.Result, d timing) {
 	now := clock.Now()
-	j.told.settle()
-	if trial := j.trial(); trial != nil && !j.told.bad {
-		j.sample(trial, t, r, k, now)
+	j.reported.settle()
+	if trial := j.trial(); trial != nil && !j.reported.bad {
+		j.reportSample(trial, t, r, d, now)
 	}
 	t.Close(r, now)
 }
 
-// sample tells of an answer. An endpoint that was full or has moved, and a caller that
-// left, say nothing of a version.
-func (j *job) sample(trial *Trial, t *choice.Placement, r choice.Result, k took, now time.Time) {
+// reportSample reports an answer. A full or moved endpoint and a caller that left are no evidence
+// on a version.
+func (j *job) reportSample(trial *Trial, t *choice.Placement, r choice.Result, d timing, now time.Time) {
 	s := j.sampleOf(trial, t, now)
 	switch r {
 	case choice.Good:
-		s.Slowness, s.Took, s.Since = t.Slowness(k.whole, k.gap, now), k.whole, k.sent
+		s.Slowness, s.Took, s.Since = t.Slowness(d.whole, d.gap, now), d.whole, d.sent
 	case choice.Bad, choice.Cut:
-		s.Failed, s.Unreached = true, !j.told.heard
+		s.Failed, s.Unreached = true, !j.reported.answered
 	case choice.Unreached:
 		s.Failed, s.Unreached = true, true
 	case choice.Rejected, choice.Gone, choice.Neutral:
 		return
 	}
-	j.told.bad = j.Samples.Sample(s)
+	j.reported.bad = j.Samples.Sample(s)
 }
 
 func (j *job) sampleOf(trial *Trial, t *choice.Placement, now time.Time) rollout.Sample {
 	return rollout.Sample{
-		Service: j.service.Name, Route: j.route.Name, Once: j.route.Kind == policy.Once, Sent: j.told.sent, Now: now,
+		Service: j.service.Name, Route: j.route.Name, Once: j.route.Kind == policy.Once, Sent: j.reported.sent, Now: now,
 		Target: t.Engine.Version == trial.lists.Rollout.Target, Endpoint: t.Engine.Hash, Cold: t.Cold(),
 	}
 }
 
-// tellSent tells that the call is on its way to an endpoint, and, if its answer takes as
-// long as a slow one does, that it is slow.
-func (j *job) tellSent(t *choice.Placement) {
+// reportSent reports that the call is being sent to an endpoint. It starts a timer that reports the
+// call as slow if the answer takes that long.
+func (j *job) reportSent(t *choice.Placement) {
 	trial := j.trial()
-	if trial == nil || j.told.sent {
+	if trial == nil || j.reported.sent {
 		return
 	}
 	s := j.sampleOf(trial, t, clock.Now())
 	j.Samples.Sent(s)
-	j.told.sent = true
+	j.reported.sent = true
 	times, after := j.Samples.SlowFrom(s.Service, s.Route)
 	if times > 0 {
-		after = t.SlowAfter(lateMargin * times)
+		after = t.SlowAfter(slowMargin * times)
 	}
 	if after <= 0 || s.Cold {
 		return
 	}
-	j.told.late = newLate(after, func() bool {
-		s.Sent, s.Slowness, s.Took, s.Since, s.Now = true, lateMargin*times, after, s.Now, clock.Now()
+	j.reported.slow = newSlowTimer(after, func() bool {
+		s.Sent, s.Slowness, s.Took, s.Since, s.Now = true, slowMargin*times, after, s.Now, clock.Now()
 		return j.Samples.Sample(s)
 	})
 }
 
-// lateMargin is how much longer than the least that is slow an attempt is waited for,
-// since what is usual moves on meanwhile.
-const lateMargin = 1.1
+// slowMargin is the factor beyond the threshold of a slow answer at which a pending attempt is
+// reported, since the baseline changes in the meantime.
+const slowMargin = 1.1
 
-// tellFirst tells of a stream by its first event, long before its end.
-func (j *job) tellFirst(t *choice.Placement, sent time.Time, first time.Duration) {
-	j.told.settle()
-	if trial := j.trial(); trial != nil && !j.told.bad {
-		j.sample(trial, t, choice.Good, took{whole: first, sent: sent}, clock.Now())
+// reportFirstEvent reports a stream at its first event, long before its end.
+func (j *job) reportFirstEvent(t *choice.Placement, sent time.Time, first time.Duration) {
+	j.reported.settle()
+	if trial := j.trial(); trial != nil && !j.reported.bad {
+		j.reportSample(trial, t, choice.Good, timing{whole: first, sent: sent}, clock.Now())
 	}
 }
--- a/fleet/relay/forward/side_test.go
+++ b/fleet/relay/forward/trial_alloc_test.go
@@ -14,8 +14,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// ofThousand is a call of a service that moves between a thousand endpoints of two versions.
-func ofThousand() (*job, *Trial, rollout.Call) {
+// thousandEndpoints returns a call of a service that moves between versions, with a thousand endpoints.
+func thousandEndpoints() (*job, *Trial, rollout.Call) {
 	var all []engine.Engine
 	for i := range 1000 {
 		all = append(all, engine.Engine{ID: fmt.Sprint("e", i), Service: "s", Version: fmt.Sprint("v", i%2+1), Slots: 16})
@@ -29,9 +29,9 @@
 	return j, t, rollout.Call{Route: "r", Hash: 1, Now: time.Now()}
 }
 
-// choose is what a trial adds to each choice of an endpoint.
+// choose does the work that a trial adds to each choice of an endpoint.
 func (t *Trial) choose(j *job, c rollout.Call) int {
-	c.Lasts = j.lasts(choice.Request{Profile: profile(j.service), Now: c.Now})
+	c.Lasts = j.maxDuration(choice.Request{Profile: profile(j.service), Now: c.Now})
 	if t.plan.Side(c) == rollout.New {
 		return -len(t.lists.For(&t.plan, c))
 	}
@@ -39,7 +39,7 @@
 }
 
 func TestATrialCostsACallNoAllocation(t *testing.T) {
-	j, trial, c := ofThousand()
+	j, trial, c := thousandEndpoints()
 	assert.Zero(t, testing.AllocsPerRun(100, func() {
 		c.Hash += 0x9e3779b97f4a7c15
 		trial.choose(j, c)
@@ -47,7 +47,7 @@
 }
 
 func BenchmarkTrial(b *testing.B) {
-	j, trial, c := ofThousand()
+	j, trial, c := thousandEndpoints()
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Hash += 0x9e3779b97f4a7c15
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -18,14 +18,14 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// samples keeps what was told of answers.
+// samples records what is reported of answers.
 type samples struct {
 	mu    sync.Mutex
 	seen  []rollout.Sample
 	sent  int
 	lasts []time.Duration
-	slow  float64 // from which slowness on an answer is bad; 0 is none
-	first func()  // what happens before the next call is sent; nil is nothing
+	slow  float64 // slowness above which an answer is bad; 0: none is
+	first func()  // called before the next call is sent; may be nil
 }
 
 func (s *samples) Sent(rollout.Sample) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// before has something happen when a call has got its connection and is not sent yet.
+// before sets a function that runs when the next call has its connection and is not sent yet.
 func (s *samples) before(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	s.lasts = append(s.lasts, d)
 }
 
-// list waits for so many samples, since one follows its answer.
+// list waits for a number of samples, since a sample is reported after its answer.
 func (s *samples) list(t *testing.T, want int) []rollout.Sample {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -84,8 +84,7 @@
 	return s
 }
 
-// movingFleet is a handler before one endpoint of the old version and some of the target
-// of an order.
+// movingFleet is a handler in front of one endpoint of the old version and some of the target.
 func movingFleet(t *testing.T, s rollout.Status, bad bool, old script, target ...script) *fleet {
 	t.Helper()
 	f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
@@ -108,9 +107,9 @@
 	return f
 }
 
-// ran names the endpoints that calls ran at, in order.
+// ran returns the endpoints that received calls, in order.
 func (f *fleet) ran() []string {
-	return lo.Map(f.seen(), func(r run, _ int) string { return r.engine })
+	return lo.Map(f.received(), func(r run, _ int) string { return r.engine })
 }
 
 func TestCallsGoWhereThePlanSays(t *testing.T) {
@@ -148,16 +147,15 @@
 	}
 }
 
-// Where none of the few endpoints that are tried may take a call it stays where it would
-// have been.
-func TestACallThatNoTriedEndpointTakesStays(t *testing.T) {
+// A call that no endpoint of the target may take stays on the old version.
+func TestCallFallsBackToTheOldVersion(t *testing.T) {
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1}), false, good("old"))
 	a := f.do(t, f.request(t, http.MethodGet, "/once/", ""))
 	assert.Equal(t, 200, a.status)
 	assert.Equal(t, []string{"old"}, f.ran())
 }
 
-func TestAnswersAreTold(t *testing.T) {
+func TestAnswersAreReported(t *testing.T) {
 	target := func(s rollout.Sample) rollout.Sample {
 		s.Service, s.Target, s.Sent = "s", true, true
 		return s
@@ -165,12 +163,12 @@
 	old := func(s rollout.Sample) rollout.Sample { s.Service, s.Sent = "s", true; return s }
 	all := inProgress(rollout.Status{Share: 1, Parts: []rollout.Part{{Route: "once", Share: 1}}})
 	cases := []struct {
-		name   string
-		path   string
-		target script
-		want   []rollout.Sample
-		timed  bool // the last one tells how slow it was
-		sent   int
+		name        string
+		path        string
+		target      script
+		want        []rollout.Sample
+		hasSlowness bool // the last sample has a slowness
+		sent        int
 	}{
 		{"a good one", "/repeat/", good("new"), []rollout.Sample{target(rollout.Sample{Route: "repeat"})}, true, 1},
 		{"a good one of a call that may run once", "/once/", good("new"), []rollout.Sample{target(rollout.Sample{Route: "once", Once: true})}, true, 1},
@@ -190,9 +188,9 @@
 			got := f.samples.list(t, len(c.want))
 			require.Len(t, got, len(c.want))
 			last := &got[len(got)-1]
-			assert.Equal(t, c.timed, last.Slowness > 0)
-			assert.Equal(t, c.timed, last.Took > 0)
-			assert.Equal(t, c.timed, !last.Since.IsZero())
+			assert.Equal(t, c.hasSlowness, last.Slowness > 0)
+			assert.Equal(t, c.hasSlowness, last.Took > 0)
+			assert.Equal(t, c.hasSlowness, !last.Since.IsZero())
 			for i := range got {
 				assert.NotZero(t, got[i].Endpoint)
 				assert.NotZero(t, got[i].Now)
@@ -204,8 +202,8 @@
 	}
 }
 
-// A stream whose first event counts as bad already is not told of again.
-func TestABadStreamIsToldOnce(t *testing.T) {
+// A stream whose first event already counts as bad is not reported again.
+func TestBadStreamIsReportedOnce(t *testing.T) {
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1}), false, good("old"), events(0, 4, false))
 	f.samples.slow = 1e-9
 	f.do(t, f.request(t, http.MethodGet, "/stream/", ""))
@@ -213,8 +211,8 @@
 	assert.Len(t, f.samples.list(t, 1), 1)
 }
 
-// An answer that is slow is told while it is awaited, and not again when it comes.
-func TestASlowAnswerIsToldBeforeItEnds(t *testing.T) {
+// A slow answer is reported while it is awaited, and not again when it arrives.
+func TestSlowAnswerIsReportedBeforeItEnds(t *testing.T) {
 	release := make(chan struct{})
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1}), false, good("old"), func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		<-release
@@ -226,17 +224,17 @@
 		defer close(ended)
 		f.do(t, f.request(t, http.MethodGet, "/repeat/", ""))
 	}()
-	told := f.samples.list(t, 1)
-	assert.True(t, told[0].Sent)
-	assert.Greater(t, told[0].Slowness, 1.5)
+	reported := f.samples.list(t, 1)
+	assert.True(t, reported[0].Sent)
+	assert.Greater(t, reported[0].Slowness, 1.5)
 	close(release)
 	<-ended
 	require.Eventually(t, func() bool { return f.handler.Open() == 0 }, 2*time.Second, time.Millisecond)
 	assert.Len(t, f.samples.list(t, 1), 1)
 }
 
-// A call that never left says nothing of having been sent.
-func TestACallThatNeverLeftWasNotSent(t *testing.T) {
+// A call that could not be sent is not reported as sent.
+func TestUnsentCallIsNotReportedAsSent(t *testing.T) {
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1}), false, good("old"), good("new"))
 	f.servers[1].Close()
 	a := f.do(t, f.request(t, http.MethodGet, "/repeat/", ""))
@@ -247,7 +245,7 @@
 	assert.Equal(t, 1, f.samples.sent)
 }
 
-func TestACallerWhoLeftSaysNothingOfAVersion(t *testing.T) {
+func TestCallerThatLeftIsNoEvidence(t *testing.T) {
 	f := movingFleet(t, inProgress(rollout.Status{Share: 1, Parts: []rollout.Part{{Route: "once", Share: 1}}}), false, good("old"), hang)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(100*time.Millisecond, cancel)
@@ -257,9 +255,9 @@
 	assert.Empty(t, f.samples.list(t, 0))
 }
 
-// How long a call may take bounds how long it may run at an endpoint that is to stop: by
-// what the model expects, and by the caller's own deadline.
-func TestALongCallIsPlacedByItsEnd(t *testing.T) {
+// A call that may outlast an endpoint of the old version is placed on the target. Its duration is
+// bounded by the model's expectation and by the caller's deadline.
+func TestLongCallAvoidsEndpointsAboutToStop(t *testing.T) {
 	moving := inProgress(rollout.Status{Stage: rollout.Moving, Left: 10 * time.Second})
 	cases := []struct {
 		name   string
