--- a/fleet/relay/forward/paths_test.go
+++ b/fleet/relay/forward/paths_test.go
@@ -11,7 +11,7 @@
 )
 
 // Every call to an endpoint must be placed by the choice, which enforces the bounds shared by all
-// nodes. So the source has a single place that sends, and a single one that sends attempts.
+// nodes. So a single place in the source sends, and it is reached only from an attempt.
 func TestOnePlaceSendsToEndpoints(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	require.NoError(t, err)
--- a/fleet/relay/forward/pool_test.go
+++ b/fleet/relay/forward/pool_test.go
@@ -12,7 +12,7 @@
 // once would be lost. The transport makes a connection idle before it reports that, and another call
 // may have taken it by then.
 func TestOnlyIdleConnectionsAreDropped(t *testing.T) {
-	took, rests := true, false
+	took, idle := true, false
 	cases := []struct {
 		name    string
 		uses    []bool // what is reported of it, in order
@@ -20,10 +20,10 @@
 	}{
 		{"no call has used it yet", nil, 0},
 		{"a call uses it", []bool{took}, 0},
-		{"it rests", []bool{took, rests}, 1},
-		{"it was used again and rests", []bool{took, rests, took, rests}, 1},
-		{"another call took it before its rest was told", []bool{took, took, rests}, 0},
-		{"and rests, too", []bool{took, took, rests, rests}, 1},
+		{"it is idle", []bool{took, idle}, 1},
+		{"it was used again and is idle", []bool{took, idle, took, idle}, 1},
+		{"another call took it before its idleness was reported", []bool{took, took, idle}, 0},
+		{"and is idle, too", []bool{took, took, idle, idle}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/fleet/relay/forward/quarantine_test.go
+++ b/fleet/relay/forward/quarantine_test.go
@@ -15,14 +15,14 @@
 
 // endsAll regards each endpoint that interrupted a call as ended.
 type endsAll struct {
-	book  *quarantine.Book
-	asked atomic.Int32
-	under chan quarantine.Suspect
+	tracker *quarantine.Book
+	asked   atomic.Int32
+	under   chan quarantine.Suspect
 }
 
 func (a *endsAll) Verify(e engine.Engine) {
 	a.asked.Add(1)
-	go a.book.Ended(e.Life(), time.Now())
+	go a.tracker.Ended(e.Life(), time.Now())
 }
 
 func (a *endsAll) EndSeen(_ engine.Life, under []quarantine.Suspect) {
@@ -35,14 +35,14 @@
 
 // withQuarantine gives the handler a quarantine that holds a request after the given number of
 // endpoint ends, however close together.
-func (f *fleet) withQuarantine(ends int) (*quarantine.Book, *endsAll) {
+func (f *fleet) withQuarantine(count int) (*quarantine.Book, *endsAll) {
 	rule := quarantine.DefaultRule()
-	rule.Ends, rule.Apart = ends, 0
-	seen := &endsAll{under: make(chan quarantine.Suspect, 100)}
-	seen.book = quarantine.NewBook(rule, seen, func() quarantine.Role { return quarantine.Peer })
-	seen.book.Engines(f.engines, time.Now())
-	f.handler.Quarantine = seen.book
-	return seen.book, seen
+	rule.Ends, rule.Apart = count, 0
+	recorder := &endsAll{under: make(chan quarantine.Suspect, 100)}
+	recorder.tracker = quarantine.NewBook(rule, recorder, func() quarantine.Role { return quarantine.Peer })
+	recorder.tracker.Engines(f.engines, time.Now())
+	f.handler.Quarantine = recorder.tracker
+	return recorder.tracker, recorder
 }
 
 // A call may have ended with its endpoint if its connection closed without a complete answer. It has
@@ -65,11 +65,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, c.script)
-			_, seen := f.withQuarantine(3)
+			_, recorder := f.withQuarantine(3)
 			f.do(t, f.request(t, "GET", c.path, ""))
-			require.EqualValues(t, len(c.progress), seen.asked.Load())
+			require.EqualValues(t, len(c.progress), recorder.asked.Load())
 			for _, progress := range c.progress {
-				suspect := <-seen.under
+				suspect := <-recorder.under
 				assert.Equal(t, progress, suspect.Progress)
 				assert.Equal(t, "t", suspect.Customer)
 			}
@@ -104,11 +104,11 @@
 // would be one too many.
 func TestInterruptedCallIsNotRetriedNearQuarantine(t *testing.T) {
 	f := newFleet(t, 1000, reset, reset, reset, reset)
-	book, _ := f.withQuarantine(3)
+	tracker, _ := f.withQuarantine(3)
 	f.do(t, f.request(t, "GET", "/repeat/", ""))
 	assert.Len(t, f.received(), 2, "there was no suspicion yet")
-	print := quarantine.PrintOf("t", "GET", "h", "/repeat/", nil)
-	require.Eventually(t, func() bool { return book.Wary(print, time.Now()) }, time.Second, time.Millisecond)
+	fingerprint := quarantine.PrintOf("t", "GET", "h", "/repeat/", nil)
+	require.Eventually(t, func() bool { return tracker.Wary(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 	f.do(t, f.request(t, "GET", "/repeat/", "", "Call", "c2"))
 	assert.Len(t, f.received(), 3)
 }
@@ -116,14 +116,14 @@
 // A request that an endpoint answers is no longer suspect.
 func TestAnswerClearsASuspectRequest(t *testing.T) {
 	f := newFleet(t, 1000, reset)
-	book, _ := f.withQuarantine(2)
-	print := quarantine.PrintOf("t", "GET", "h", "/single/", nil)
+	tracker, _ := f.withQuarantine(2)
+	fingerprint := quarantine.PrintOf("t", "GET", "h", "/single/", nil)
 	f.do(t, f.request(t, "GET", "/single/", ""))
-	require.Eventually(t, func() bool { return book.Wary(print, time.Now()) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return tracker.Wary(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 	f.engines = []engine.Engine{f.startEngine(t, "healthy", good("x"))}
 	f.directory.Store(engine.NewDirectory(2, f.engines))
 	require.Equal(t, http.StatusOK, f.do(t, f.request(t, "GET", "/single/", "", "Call", "c2")).status)
-	assert.False(t, book.Wary(print, time.Now()))
+	assert.False(t, tracker.Wary(fingerprint, time.Now()))
 }
 
 // A probe must reach only one endpoint, whatever that answers.
@@ -143,21 +143,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, reset, reset)
-			book, _ := f.withQuarantine(2)
-			print := quarantine.PrintOf("t", "GET", "h", c.path, nil)
+			tracker, _ := f.withQuarantine(2)
+			fingerprint := quarantine.PrintOf("t", "GET", "h", c.path, nil)
 			for _, id := range []string{"c1", "c2"} {
 				f.do(t, f.request(t, "GET", c.path, "", "Call", id))
 			}
-			require.Eventually(t, func() bool { return book.Holds(print, time.Now()) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return tracker.Holds(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 			f.engines = []engine.Engine{f.startEngine(t, "probed", c.script), f.startEngine(t, "another", c.script)}
 			f.directory.Store(engine.NewDirectory(2, f.engines))
-			h, _ := book.Of(print)
-			book.Arm(h)
+			h, _ := tracker.Of(fingerprint)
+			tracker.Arm(h)
 			ran := len(f.received())
 			f.do(t, f.request(t, "GET", c.path, "", "Call", "c3"))
 			assert.Len(t, f.received(), ran+1)
-			assert.False(t, book.Armed(print, time.Now()))
-			assert.Equal(t, c.heldAfter, book.Holds(print, time.Now()))
+			assert.False(t, tracker.Armed(fingerprint, time.Now()))
+			assert.Equal(t, c.heldAfter, tracker.Holds(fingerprint, time.Now()))
 		})
 	}
 }
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -22,9 +22,9 @@
 // on another connection, and no failure of the endpoint is reported.
 func TestResumeOnClosedConnectionUsesAnother(t *testing.T) {
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
-	book := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
-	book.Engines(f.engines)
-	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(book)
+	tracker := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+	tracker.Engines(f.engines)
+	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
 	connects := 0
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if connects++; connects == 2 {
@@ -38,8 +38,8 @@
 		if connects > 1 {
 			assert.Contains(t, w.Body.String(), "id: 5\n")
 			assert.Equal(t, 3, connects, "another connection")
-			for _, word := range book.Words(false, clock.Now()) {
-				assert.NotEqual(t, "e1", word.Endpoint)
+			for _, report := range tracker.Words(false, clock.Now()) {
+				assert.NotEqual(t, "e1", report.Endpoint)
 			}
 			return
 		}
@@ -58,11 +58,11 @@
 		events(0, 3, false)(f, w, r)
 	}
 	f := newFleet(t, 1000, ends, ends)
-	_, seen := f.withQuarantine(3)
+	_, recorder := f.withQuarantine(3)
 	assert.Error(t, f.do(t, f.request(t, "POST", "/resume/", "")).err)
-	assert.Equal(t, quarantine.Begun, (<-seen.under).Progress)
+	assert.Equal(t, quarantine.Begun, (<-recorder.under).Progress)
 	select {
-	case s := <-seen.under:
+	case s := <-recorder.under:
 		assert.Equal(t, quarantine.Nothing, s.Progress)
 	case <-time.After(time.Second):
 		assert.Fail(t, "the second end was not recorded")
--- a/fleet/relay/forward/silence_test.go
+++ b/fleet/relay/forward/silence_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// silenceableListener is a listener whose open connections can be silenced without a reset, while new ones work.
+// silenceableListener is a listener whose open connections can be silenced without a reset, while new
+// ones work.
 type silenceableListener struct {
 	net.Listener
 	mu    sync.Mutex
--- a/fleet/relay/forward/stream.go
+++ b/fleet/relay/forward/stream.go
@@ -100,7 +100,8 @@
 	return j.abandonResume("no other endpoint was reached")
 }
 
-// whyNotResume returns why a broken stream may not be resumed, or "" if it may; then it takes a retry.
+// whyNotResume returns why a broken stream may not be resumed. If it may, it returns "" and counts
+// the retry.
 func (j *job) whyNotResume(ctx context.Context, s *streamRelay) string {
 	switch {
 	case !j.route.Resumable:
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -28,8 +28,8 @@
 	moving  bool // the target may take every call
 }
 
-// NewTrial returns the trial of a service whose endpoints an order has split by version. bad tells
-// whether any node has found the target bad.
+// NewTrial returns the trial of a service whose endpoints an order has split by version; bad is true
+// if any node has found the target bad.
 func NewTrial(l rollout.Lists, bad bool) *Trial {
 	plan := rollout.NewPlan(l.Rollout)
 	if bad {
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -20,12 +20,12 @@
 
 // samples records what is reported of answers.
 type samples struct {
-	mu    sync.Mutex
-	seen  []rollout.Sample
-	sent  int
-	lasts []time.Duration
-	slow  float64 // slowness above which an answer is bad; 0: none is
-	first func()  // called before the next call is sent; may be nil
+	mu       sync.Mutex
+	recorded []rollout.Sample
+	sent     int
+	lasts    []time.Duration
+	slow     float64 // slowness above which an answer is bad; 0: none is
+	first    func()  // called before the next call is sent; may be nil
 }
 
 func (s *samples) Sent(rollout.Sample) {
@@ -48,7 +48,7 @@
 func (s *samples) Sample(one rollout.Sample) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, one)
+	s.recorded = append(s.recorded, one)
 	return one.Failed || s.slow > 0 && one.Slowness > s.slow
 }
 
@@ -70,11 +70,11 @@
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.seen) >= want
+		return len(s.recorded) >= want
 	}, 2*time.Second, time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen
+	return s.recorded
 }
 
 var testOrder = rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Made: 7}
