--- a/fleet/relay/link/meter.go
+++ b/fleet/relay/link/meter.go
@@ -1,5 +1,5 @@
-// Package link measures how full a VM's network link is, by the bytes that its
-// connections carry either way.
+// Package link measures the utilization of a VM's network link by the bytes of its connections in
+// each direction, and paces what is written to it.
 package link
 
 import (
@@ -10,66 +10,66 @@
 
 // Meter counts the bytes of connections. It is safe for concurrent use.
 type Meter struct {
-	perSecond float64 // bytes that the link carries either way; 0 is not known
+	perSecond float64 // capacity of each direction in bytes; 0: unknown
 	in, out   atomic.Int64
 	pacer     *Pacer
 }
 
-// NewMeter returns a meter of a link of so many Mbit/s; 0 is not known.
+// NewMeter returns a meter of a link with a capacity in Mbit/s; 0 means unknown.
 func NewMeter(mbps float64) *Meter {
 	const bytesPerMbit = 1e6 / 8
 	perSecond := mbps * bytesPerMbit
 	return &Meter{perSecond: perSecond, pacer: NewPacer(perSecond)}
 }
 
-// Known is whether the width of the link is known.
+// Known reports whether the capacity of the link is known.
 func (m *Meter) Known() bool { return m.perSecond > 0 }
 
-// Use is which share of a link was used, either way.
-type Use struct{ In, Out float64 }
+// Utilization is the share of a link's capacity that was used in each direction.
+type Utilization struct{ In, Out float64 }
 
-// Fuller is the share of the way that is fuller.
-func (u Use) Fuller() float64 { return max(u.In, u.Out) }
+// Fuller returns the utilization of the busier direction.
+func (u Utilization) Fuller() float64 { return max(u.In, u.Out) }
 
-// Reader tells the use since it was last asked. It is for one goroutine.
+// Reader returns the utilization since its last reading. It is not safe for concurrent use.
 type Reader struct {
 	meter   *Meter
 	in, out int64
 	at      time.Time
 }
 
-// Reader returns a reader whose first reading covers the time from now on.
+// Reader returns a reader whose first reading starts now.
 func (m *Meter) Reader() *Reader {
 	return &Reader{meter: m, in: m.in.Load(), out: m.out.Load(), at: time.Now()}
 }
 
-// Read returns the use since the last reading; none where the width is not known.
-func (r *Reader) Read() Use {
+// Read returns the utilization since the last reading, or zero if the capacity is unknown.
+func (r *Reader) Read() Utilization {
 	now, in, out := time.Now(), r.meter.in.Load(), r.meter.out.Load()
-	could := now.Sub(r.at).Seconds() * r.meter.perSecond
-	u := Use{}
-	if could > 0 {
-		u = Use{In: float64(in-r.in) / could, Out: float64(out-r.out) / could}
+	capacity := now.Sub(r.at).Seconds() * r.meter.perSecond
+	u := Utilization{}
+	if capacity > 0 {
+		u = Utilization{In: float64(in-r.in) / capacity, Out: float64(out-r.out) / capacity}
 	}
 	r.at, r.in, r.out = now, in, out
 	return u
 }
 
-// Waited is how many writes have had to wait for the way out.
+// Waited returns the number of writes that the pacer has delayed.
 func (m *Meter) Waited() int64 { return m.pacer.Waited() }
 
-// Conn counts what a connection carries, and lets what is written to it wait its turn
-// where the way out is full: as answers, unless Classify says otherwise.
+// Conn wraps a connection to count its bytes and pace its writes, which are of class Answers
+// unless Classify sets another.
 func (m *Meter) Conn(c net.Conn) *Conn { return &Conn{Conn: c, meter: m} }
 
-// Conn is a connection whose bytes are counted and paced.
+// Conn is a connection whose bytes are counted and whose writes are paced.
 type Conn struct {
 	net.Conn
 	meter *Meter
 	class atomic.Int32
 }
 
-// Classify says what is written from now on.
+// Classify sets the class of later writes.
 func (c *Conn) Classify(to Class) { c.class.Store(int32(to)) }
 
 // Read implements net.Conn.
@@ -87,8 +87,8 @@
 	return n, err
 }
 
-// CloseWrite ends one way, where the connection can: a server that refuses a call before
-// it has read its body does so, so that the caller reads the answer and no reset.
+// CloseWrite closes the sending side, if the connection supports that. An HTTP server does so when
+// it refuses a call before it has read the body, so that the caller gets the answer and not a reset.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/fleet/relay/link/meter_test.go
+++ b/fleet/relay/link/meter_test.go
@@ -13,7 +13,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/link"
 )
 
-func TestTheUseSinceTheLastReading(t *testing.T) {
+func TestUtilizationSinceTheLastReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		meter := link.NewMeter(8) // 1,000,000 bytes a second
@@ -38,14 +38,14 @@
 	})
 }
 
-func TestALinkOfUnknownWidthIsNeverFull(t *testing.T) {
+func TestLinkOfUnknownCapacityIsNeverFull(t *testing.T) {
 	meter := link.NewMeter(0)
 	assert.False(t, meter.Known())
 	assert.Zero(t, meter.Reader().Read().Fuller())
 }
 
-// A server that ends one way of a connection does so through the meter.
-func TestOneWayIsEnded(t *testing.T) {
+// CloseWrite must reach the wrapped connection: otherwise callers get a reset in place of a refusal.
+func TestCloseWriteReachesTheConnection(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
--- a/fleet/relay/link/pacer.go
+++ b/fleet/relay/link/pacer.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// Class orders what waits for the way out of a full link.
+// Class is the priority of writes that wait for a full link.
 type Class int32
 
-// The classes, the most urgent first. What a node says to the store and to other nodes
-// is of none: it never waits.
+// The classes, most urgent first. Traffic to the store and to other nodes has no class and never
+// waits.
 const (
-	Answers Class = iota // of endpoints to callers, and plain calls: small, and soon late
-	Prompts              // bodies of calls that generate: large, with seconds to go
+	Answers Class = iota // answers to callers and plain calls: small, with short deadlines
+	Prompts              // bodies of calls that generate tokens: large, with seconds to spare
 	classes
 )
 
-// pacedShare is the share of the link that callers and endpoints get: the rest is left to
-// heads, acknowledgements and what nodes and the store say, which so never waits behind a
-// queue of bodies in the link.
+// pacedShare is the share of the link for traffic with callers and endpoints. The rest is left for
+// headers, acknowledgements and traffic with other nodes and the store, which thus never queues
+// behind bodies.
 const pacedShare = 0.85
 
-// pacerBurst is what may leave at once after a pause: less than a link carries in the
-// time that a plain call has to spare.
+// pacerBurst is the burst after an idle period, as time at the paced rate: shorter than the delay
+// that a plain call can afford.
 const pacerBurst = 20 * time.Millisecond
 
-// Pacer lets what is written leave no faster than the link carries it, the most urgent
-// first. It is safe for concurrent use.
+// Pacer limits writes to the capacity of the link and orders them by class. It is safe for
+// concurrent use.
 type Pacer struct {
-	perSecond float64 // bytes; 0: nothing waits
+	perSecond float64 // bytes; 0: no pacing
 	waits     atomic.Int64
 
 	mu      sync.Mutex
-	free    float64 // bytes that may leave now; below 0 what was sent ahead
+	free    float64 // bytes that may be written now; negative after a write that exceeded it
 	at      time.Time
 	waiting [classes][]waiter
-	pumps   bool
+	pumping bool // the pump goroutine runs
 }
 
 type waiter struct {
 	bytes int
-	may   chan struct{}
+	ready chan struct{} // closed when the bytes may be written
 }
 
-// NewPacer returns a pacer of a link of so many bytes a second; 0 is not known.
+// NewPacer returns a pacer for a link with a capacity in bytes per second; 0 means unknown.
 func NewPacer(perSecond float64) *Pacer {
 	paced := perSecond * pacedShare
 	return &Pacer{perSecond: paced, free: pacerBurst.Seconds() * paced, at: time.Now()}
 }
 
-// Waited is how many writes have had to wait.
+// Waited returns the number of writes that have been delayed.
 func (p *Pacer) Waited() int64 { return p.waits.Load() }
 
-// Wait returns when so many bytes of a class may leave.
+// Wait blocks until a number of bytes of a class may be written.
 func (p *Pacer) Wait(bytes int, c Class) {
 	if p.perSecond <= 0 {
 		return
 	}
-	if may := p.enter(bytes, c); may != nil {
+	if ready := p.enter(bytes, c); ready != nil {
 		p.waits.Add(1)
-		<-may
+		<-ready
 	}
 }
 
-// enter takes the bytes, or queues for them: nil says that they may leave now.
+// enter returns nil if the bytes may be written now, and otherwise queues them.
 func (p *Pacer) enter(bytes int, c Class) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refill()
-	if p.free > 0 && !p.anyWaits() {
+	if p.free > 0 && !p.anyWaiting() {
 		p.free -= float64(bytes)
 		return nil
 	}
-	w := waiter{bytes: bytes, may: make(chan struct{})}
+	w := waiter{bytes: bytes, ready: make(chan struct{})}
 	p.waiting[c] = append(p.waiting[c], w)
-	if !p.pumps {
-		p.pumps = true
+	if !p.pumping {
+		p.pumping = true
 		go p.pump()
 	}
-	return w.may
+	return w.ready
 }
 
 func (p *Pacer) refill() {
@@ -88,7 +88,7 @@
 	p.at = now
 }
 
-func (p *Pacer) anyWaits() bool {
+func (p *Pacer) anyWaiting() bool {
 	for _, queue := range p.waiting {
 		if len(queue) > 0 {
 			return true
@@ -97,7 +97,7 @@
 	return false
 }
 
-// pump lets what waits leave, until nothing does.
+// pump releases waiting writes until none is left.
 func (p *Pacer) pump() {
 	for {
 		pause, more := p.release()
@@ -108,7 +108,8 @@
 	}
 }
 
-// release lets go what may leave now, and is how long the rest has to wait.
+// release releases the writes that may proceed now. It returns how long the others have to wait, and
+// false if there are none.
 func (p *Pacer) release() (pause time.Duration, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,16 +117,17 @@
 	for p.free > 0 {
 		w, ok := p.next()
 		if !ok {
-			p.pumps = false
+			p.pumping = false
 			return 0, false
 		}
 		p.free -= float64(w.bytes)
-		close(w.may)
+		close(w.ready)
 	}
-	const leastPause = time.Millisecond // a timer's worth
-	return max(time.Duration(-p.free/p.perSecond*float64(time.Second)), leastPause), true
+	const minPause = time.Millisecond // shorter timers are not worthwhile
+	return max(time.Duration(-p.free/p.perSecond*float64(time.Second)), minPause), true
 }
 
+// next removes the first waiter of the most urgent class.
 func (p *Pacer) next() (waiter, bool) {
 	for c, queue := range p.waiting {
 		if len(queue) > 0 {
--- a/fleet/relay/link/pacer_test.go
+++ b/fleet/relay/link/pacer_test.go
@@ -15,15 +15,15 @@
 
 const tenMbit = 1_250_000 // bytes a second
 
-// However many bodies wait, at five times what the link carries, answers leave at once,
-// and the link is never asked for more than it carries.
+// With prompts at five times the capacity of the link, answers are still not delayed behind them, and
+// the total stays below the capacity.
 func TestAnswersLeaveBeforePrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := link.NewPacer(tenMbit)
 		var mu sync.Mutex
 		var left int
 		var all sync.WaitGroup
-		const body, each = 12_000, 1_920 * time.Microsecond // five times the link
+		const body, each = 12_000, 1_920 * time.Microsecond // five times the link's capacity
 		began := time.Now()
 		for time.Since(began) < 4*time.Second {
 			all.Go(func() {
@@ -49,12 +49,12 @@
 	})
 }
 
-func TestNothingWaitsWhileTheLinkHasRoom(t *testing.T) {
+func TestNothingWaitsWhileTheLinkHasCapacity(t *testing.T) {
 	cases := []struct {
 		name      string
 		perSecond float64
 		every     time.Duration
-	}{{"room", tenMbit, 20 * time.Millisecond}, {"width not known", 0, 0}}
+	}{{"room", tenMbit, 20 * time.Millisecond}, {"unknown capacity", 0, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,22 +72,21 @@
 	}
 }
 
-// wire is a link that carries bytes in the order in which they were written, whoever
-// wrote them, and tells nobody how much waits.
+// wire is a link with one unbounded queue for the writes of all connections.
 type wire struct {
 	net.Conn
 	perSecond float64
 	mu        *sync.Mutex
-	free      *time.Time // when what was written so far has left
+	free      *time.Time // when the queue is empty
 }
 
 func (w wire) Write(b []byte) (int, error) {
-	w.left(len(b))
+	w.delay(len(b))
 	return len(b), nil
 }
 
-// left is how long it takes until bytes that are written now have left.
-func (w wire) left(bytes int) time.Duration {
+// delay queues bytes and returns how long it takes until they have been sent.
+func (w wire) delay(bytes int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -98,9 +97,9 @@
 	return w.free.Sub(now)
 }
 
-// What a node says to the store and to other nodes leaves within half a second, whatever
-// callers and endpoints are sent meanwhile: five times what the link carries.
-func TestControlLeavesSoonWhateverCallersSend(t *testing.T) {
+// Traffic to the store and to other nodes leaves within half a second even if writes to callers and
+// endpoints amount to five times the link's capacity.
+func TestControlTrafficIsNotDelayedByCalls(t *testing.T) {
 	for _, class := range []link.Class{link.Answers, link.Prompts} {
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
@@ -118,7 +117,7 @@
 					assert.NoError(t, err)
 				})
 				time.Sleep(1_920 * time.Microsecond)
-				assert.Less(t, out.left(300), 500*time.Millisecond, "a watch's head")
+				assert.Less(t, out.delay(300), 500*time.Millisecond, "headers of a watch request")
 			}
 			all.Wait()
 			time.Sleep(time.Second) // the pump ends
