--- a/fleet/relay/memory/budget.go
+++ b/fleet/relay/memory/budget.go
@@ -1,24 +1,24 @@
-// Package memory bounds what a node's calls hold, so that a process whose memory is
-// bounded refuses calls that it could not hold rather than ends with all of them.
+// Package memory bounds the memory of a node's calls. A process with a memory limit then refuses
+// calls that do not fit, instead of being killed together with all its calls.
 package memory
 
 import "sync"
 
-// Budget is what calls in progress may hold together. It is safe for concurrent use; a
-// budget of no bound lets everything pass and counts it.
+// Budget bounds the total memory of the calls in progress. A budget without a bound only counts. It is
+// safe for concurrent use.
 type Budget struct {
-	bound int64 // bytes; 0 is no bound
+	bound int64 // bytes; 0: unbounded
 
 	mu    sync.Mutex
-	held  int64
-	peak  int64
-	short int64 // times that something did not fit
+	held  int64 // bytes
+	peak  int64 // bytes
+	short int64 // number of failed takes
 }
 
-// NewBudget returns a budget of so many bytes; 0 is no bound.
+// NewBudget returns a budget with a bound in bytes; 0 means unbounded.
 func NewBudget(bytes int64) *Budget { return &Budget{bound: bytes} }
 
-// Take sets bytes aside, or is false where they do not fit.
+// Take reserves bytes, or returns false if they do not fit.
 func (b *Budget) Take(bytes int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,20 +31,20 @@
 	return true
 }
 
-// Give returns what was taken.
+// Give releases bytes that were taken.
 func (b *Budget) Give(bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.held -= bytes
 }
 
-// State is what a budget holds.
+// State is a snapshot of a budget.
 type State struct {
 	Bound, Held, Peak int64 // bytes
-	Short             int64 // times that something did not fit
+	Short             int64 // number of failed takes
 }
 
-// State is the budget's state, for metrics.
+// State returns the budget's state, for metrics.
 func (b *Budget) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/relay/memory/budget_test.go
+++ b/fleet/relay/memory/budget_test.go
@@ -9,11 +9,11 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/memory"
 )
 
-func TestWhatDoesNotFitIsNotTaken(t *testing.T) {
+func TestTakeFailsBeyondTheBound(t *testing.T) {
 	cases := []struct {
 		name  string
 		bound int64
-		takes []int64 // below 0: given back
+		takes []int64 // negative: released
 		want  []bool
 		state memory.State
 	}{
