--- a/fleet/relay/call/call.go
+++ b/fleet/relay/call/call.go
@@ -1,5 +1,5 @@
-// Package call is one relayed call as a value, and the wire that an adapter
-// speaks towards callers and endpoints.
+// Package call defines the heads of relayed calls and of their answers, and the interface of the
+// adapter that translates them from and to HTTP headers.
 package call
 
 import (
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Part is a piece of a prompt that calls may share, in the prompt's order.
+// Part is a piece of a prompt that calls may share.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Call is what the head of a call says.
+// Call is the head of a call.
 type Call struct {
 	ID          string
-	Key         string        // of the tenant; "" is none
-	Deadline    time.Duration // how long the caller waits from the arrival; 0 is not said
-	PromptMax   int64         // tokens of the prompt
-	OutputMax   int64         // tokens generated at most
-	Parts       []Part
-	LastEventID string // where a caller takes a stream up again
+	Key         string        // API key of the tenant; "": none
+	Deadline    time.Duration // how long the caller waits from the call's arrival; 0: not stated
+	PromptMax   int64         // maximum tokens of the prompt
+	OutputMax   int64         // maximum generated tokens
+	Parts       []Part        // in the prompt's order
+	LastEventID string        // last event that a caller received of a stream that it resumes
 }
 
-// Shared are the parts that other calls may share: the last one is the call's or
-// its session's own.
+// Shared returns the parts that other calls may share: all but the last, which belongs to the call or
+// its session.
 func (c Call) Shared() []Part {
 	if len(c.Parts) == 0 {
 		return nil
@@ -33,66 +33,66 @@
 	return c.Parts[:len(c.Parts)-1]
 }
 
-// Cost is the most tokens that the call can be charged.
+// Cost returns the maximum number of tokens that the call can be charged.
 func (c Call) Cost() int64 { return c.PromptMax + c.OutputMax }
 
-// Send is what the relay adds for one attempt.
+// Send is what the relay adds to the head of an attempt.
 type Send struct {
 	Tenant      string
-	Instance    string        // the endpoint meant
+	Instance    string        // id of the intended endpoint
 	Left        time.Duration // until the deadline
 	Priority    int
 	LastEventID string
-	FetchFrom   string // address of an endpoint from which it takes the parts of the prompt that it lacks; "" is none
+	FetchFrom   string // address of an endpoint from which to fetch missing prompt parts; "": none
 }
 
-// Load is what an endpoint tells of itself in an answer.
+// Load is the load that an endpoint reports in an answer, in calls.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Limit is how many calls a second an endpoint in need says that it takes from all nodes
-// together.
+// Limit is the rate limit that an endpoint under pressure sets in its answers, for the calls of all
+// nodes together.
 type Limit struct {
-	PerSecond float64 // where it is named: 0 or more
+	PerSecond float64 // calls; valid if Named, not negative
 	Said      Said
 }
 
-// Said is what an answer says of a limit.
+// Said tells whether an answer contains a limit.
 type Said int
 
-// What an answer may say.
+// Kinds of limits in an answer.
 const (
-	NoLimit    Said = iota // the endpoint has none
-	Named                  // it has one
-	Unreadable             // something that is no rate: nothing follows
+	NoLimit    Said = iota // the answer contains no limit
+	Named                  // the answer contains a limit
+	Unreadable             // the limit is not a rate and is ignored
 )
 
-// Verdict is what the head of an endpoint's answer says about the attempt.
+// Verdict is the parsed head of an endpoint's answer.
 type Verdict struct {
-	CallID      string // as the endpoint repeats it; "" where it does not
-	NotExecuted bool   // a promise that the call did not run there
-	Moved       bool   // another endpoint has the address
-	Sealed      bool   // the answer is the endpoint's own word
+	CallID      string // echoed by the endpoint; "" if it does not
+	NotExecuted bool   // the endpoint guarantees that the call did not run there
+	Moved       bool   // the address now belongs to another endpoint
+	Sealed      bool   // the answer comes from the endpoint itself
 	Load        Load
 	HasLoad     bool
 	Limit       Limit
 	Notices     []Notice
-	Keeps       time.Duration // for which the endpoint keeps the connection while it rests; 0: it does not say
+	Keeps       time.Duration // how long the endpoint keeps the connection open while idle; 0: not stated
 }
 
-// Wire translates heads. It is filled by an adapter.
+// Wire translates heads from and to HTTP headers. An adapter implements it.
 type Wire interface {
-	// Parse reads the head of a caller's call; an error is the caller's fault.
+	// Parse reads the head of a call; an error means that the head is invalid.
 	Parse(r *http.Request) (Call, error)
-	// Prepare returns the headers of an attempt, from the caller's own.
+	// Prepare returns the headers of an attempt, based on the caller's.
 	Prepare(from http.Header, c Call, s Send) http.Header
 	// Judge reads the head of an endpoint's answer.
 	Judge(resp *http.Response) Verdict
 	// Answer copies the headers of an endpoint's answer for the caller.
 	Answer(to http.Header, resp *http.Response)
-	// Refuse marks a refusal of the relay's own.
+	// Refuse adds the headers of a refusal by the relay itself.
 	Refuse(to http.Header, c Call)
 }
--- a/fleet/relay/call/notice.go
+++ b/fleet/relay/call/notice.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Notice is what an endpoint says in an answer about the calls that it wants: sealed.
+// Notice is a request of an endpoint, in an answer, about the calls that it gets. Leaving and Rest
+// are the only notices.
 type Notice interface{ notice() }
 
-// Leaving says that the endpoint is about to end.
+// Leaving announces that the endpoint is about to stop.
 type Leaving struct{}
 
-// Rest says that the endpoint has turned a call away, and wants nothing from this node for so
-// long.
+// Rest announces that the endpoint has turned a call away and asks this node for no calls for a
+// while.
 type Rest struct{ For time.Duration }
 
 func (Leaving) notice() {}
