--- a/fleet/relay/policy/policy.go
+++ b/fleet/relay/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy is what operators have laid down for relayed calls: routes,
-// services, tenants and bounds, as one immutable value with a version.
+// Package policy defines the operators' configuration for relayed calls: routes, services, tenants
+// and limits, as one immutable value with a version.
 package policy
 
 import (
@@ -15,24 +15,24 @@
 	Services []Service
 	Tenants  []Tenant
 	Limits   Limits
-	Keyed    bool // whether calls need a key
+	Keyed    bool // calls need an API key
 
 	byHost map[string][]int
 	byKey  map[string]int
 	byName map[string]int
 }
 
-// Kind says how often a call may run.
+// Kind tells how often a call may run.
 type Kind int
 
-// The kinds.
+// Kinds of routes.
 const (
-	Once       Kind = iota // may run at most once
-	Repeatable             // may run more than once
-	Streaming              // answered by events; at most once unless Resumable
+	Once       Kind = iota // calls run at most once
+	Repeatable             // calls may run more than once
+	Streaming              // calls are answered by an event stream and run at most once, unless Resumable
 )
 
-// Route sends calls of a host and a path prefix to services.
+// Route maps the calls with a host and a path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
@@ -40,39 +40,39 @@
 	Kind       Kind
 	Resumable  bool
 	Public     bool
-	Timeout    time.Duration // the longest that a call is held; 0 is none
-	Objective  time.Duration // full worth up to here
-	Gap        time.Duration // longest pause between events in time; 0 is none
-	Attempts   int           // endpoints that one call may be sent to
-	Priority   int           // 0 is first
+	Timeout    time.Duration // maximum duration of a call; 0: none
+	Objective  time.Duration // an answer within this time has its full value
+	Gap        time.Duration // maximum pause between events that counts as in time; 0: none
+	Attempts   int           // maximum number of endpoints that a call is sent to
+	Priority   int           // 0 is the highest
 	Splits     []Split
 	PrefixPart bool // calls share parts of their prompts
 	Homes      Homes
 }
 
-// MayRepeat is whether a call of the route may run more than once.
+// MayRepeat reports whether a call of the route may run more than once.
 func (r Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Streaming && r.Resumable
 }
 
-// Split is a share of a route's calls.
+// Split is a service and its weight among the services of a route.
 type Split struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of like endpoints.
+// Service is a group of equivalent endpoints.
 type Service struct {
 	Name           string
-	MaxConnections int   // of one endpoint, for all callers together
-	Stride         int64 // tokens in one event of a stream; 0 where it has no tokens
-	Slots          int
-	KVCapacity     int64   // tokens that an endpoint keeps
-	TokenBytes     int64   // of a kept token, when it is moved between endpoints
-	LinkMbps       float64 // between two endpoints
+	MaxConnections int     // to one endpoint, from all nodes together
+	Stride         int64   // tokens per event of a stream; 0 if it has no tokens
+	Slots          int     // calls that an endpoint runs at a time
+	KVCapacity     int64   // tokens in an endpoint's cache
+	TokenBytes     int64   // size of a cached token in transfers between endpoints
+	LinkMbps       float64 // bandwidth between two endpoints
 
 	ColdStart     time.Duration // how long an endpoint is slow after its start
-	ColdPerSecond float64       // calls that one bears then; 0 is no bound
+	ColdPerSecond float64       // calls per second that it can take during that time; 0: no bound
 }
 
 // Tenant is a customer with keys and a prepaid budget.
@@ -86,17 +86,17 @@
 	Homes       Homes
 }
 
-// Homes are the regions in which a call may run and in which what belongs to it may be
-// kept; none is any.
+// Homes are the regions in which a call may run and its data may be kept. Without any, all are
+// allowed.
 type Homes []string
 
-// Allow is whether a call may run in a region.
+// Allow reports whether a call may run in a region.
 func (h Homes) Allow(region string) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
 
-// With returns the regions that both allow: nil is any, and one that is empty but not nil
-// is none.
+// With returns the regions that both allow. A nil result means any region, an empty one that is not
+// nil means none.
 func (h Homes) With(other Homes) Homes {
 	switch {
 	case len(h) == 0:
@@ -109,7 +109,7 @@
 	return slices.Compact(both)
 }
 
-// Limits bound what callers send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -117,7 +117,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Indexed returns the policy with its look-up tables built.
+// Indexed returns the policy with its lookup tables built.
 func (p Policy) Indexed() *Policy {
 	p.byHost, p.byKey, p.byName = map[string][]int{}, map[string]int{}, map[string]int{}
 	for i, r := range p.Routes {
@@ -134,7 +134,7 @@
 	return &p
 }
 
-// Match finds the route of a call: the longest prefix among those of its host.
+// Match returns the route of a call: the one of its host with the longest matching prefix.
 func (p *Policy) Match(host, path string) (Route, bool) {
 	best := -1
 	for _, i := range p.byHost[strings.ToLower(host)] {
@@ -149,7 +149,7 @@
 	return p.Routes[best], true
 }
 
-// TenantOf finds the tenant that holds a key.
+// TenantOf returns the tenant with a key.
 func (p *Policy) TenantOf(key string) (Tenant, bool) {
 	i, ok := p.byKey[key]
 	if !ok {
@@ -158,7 +158,7 @@
 	return p.Tenants[i], true
 }
 
-// Service finds a service by name.
+// Service returns a service by name.
 func (p *Policy) Service(name string) (Service, bool) {
 	i, ok := p.byName[name]
 	if !ok {
@@ -167,7 +167,7 @@
 	return p.Services[i], true
 }
 
-// Pick chooses a service of the route by weight; draw is uniform.
+// Pick chooses a service of the route by weight; draw is a uniformly distributed number.
 func (r Route) Pick(draw uint64) string {
 	total := uint64(0)
 	for _, s := range r.Splits {
