--- a/fleet/relay/telling/telling.go
+++ b/fleet/relay/telling/telling.go
@@ -1,52 +1,52 @@
-// Package telling is when a node tells others what it knows: at once what is new, and again
-// along with its digests for a while, since datagrams are lost and in a large fleet not all
-// are told at once.
+// Package telling schedules when a node announces what it knows to other nodes: updates at once, and
+// then for a while together with its digests, since datagrams get lost and in a large fleet an
+// announcement does not reach all nodes at once.
 package telling
 
 import "time"
 
 const (
-	along = 1200 * time.Millisecond // for which something is told with the digests
-	again = 10 * time.Second        // between two such times while nothing changes, for those that heard nothing
+	digestPeriod  = 1200 * time.Millisecond // for which something is announced with the digests
+	renewInterval = 10 * time.Second        // between such periods without a change, for nodes that missed the last
 )
 
-// Due is whether one thing is to be told. The zero value is not.
+// Due is the announcement schedule of one thing. The zero value announces nothing.
 type Due struct {
-	news  bool
-	told  time.Time
-	until time.Time
+	updated bool      // to be announced at once
+	started time.Time // start of the last period of announcements with the digests
+	until   time.Time // end of that period
 }
 
-// News has it told at once, and along with the digests.
+// News schedules an announcement at once, and with the digests for a while.
 func (d *Due) News(now time.Time) {
-	d.news = true
-	d.told, d.until = now, now.Add(along)
+	d.updated = true
+	d.started, d.until = now, now.Add(digestPeriod)
 }
 
-// Renew has it told along with the digests, where it was not for long.
+// Renew schedules announcements with the digests, if the last ones were long ago.
 func (d *Due) Renew(now time.Time) {
-	if now.Sub(d.told) >= again {
-		d.told, d.until = now, now.Add(along)
+	if now.Sub(d.started) >= renewInterval {
+		d.started, d.until = now, now.Add(digestPeriod)
 	}
 }
 
-// TakeNews is whether it is to be told at once; true only once.
+// TakeNews reports whether an announcement at once is due, and clears that.
 func (d *Due) TakeNews() bool {
-	news := d.news
-	d.news = false
-	return news
+	updated := d.updated
+	d.updated = false
+	return updated
 }
 
-// Along is whether it is told along with the digests.
+// Along reports whether it is announced with the digests.
 func (d *Due) Along(now time.Time) bool { return now.Before(d.until) }
 
-// Urgent tells that there are news that are not to wait for the digests.
+// Urgent signals that there are updates that must not wait for the digests.
 type Urgent chan struct{}
 
-// NewUrgent returns one that tells of nothing.
+// NewUrgent returns an Urgent without a pending signal.
 func NewUrgent() Urgent { return make(Urgent, 1) }
 
-// Hurry tells it; whoever is about to be told is not told twice.
+// Hurry sends the signal, unless one is already pending.
 func (u Urgent) Hurry() {
 	select {
 	case u <- struct{}{}:
