--- a/fleet/relay/forward/closed_connection_test.go
+++ b/fleet/relay/forward/closed_connection_test.go
@@ -68,12 +68,12 @@
 		<-firstEnded
 	}}))
 	second := f.request(t, "POST", "/once/", "second", "Call", "second")
-	connects := false
+	held := false
 	second = second.WithContext(httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		if connects {
+		if held {
 			return
 		}
-		connects = true
+		held = true
 		close(acquired)
 		<-firstEnded
 	}}))
--- a/fleet/relay/forward/forward_test.go
+++ b/fleet/relay/forward/forward_test.go
@@ -135,7 +135,7 @@
 		last    string   // Last-Event-ID from the caller
 		ids     string
 		whole   bool
-		handed  []string // Last-Event-ID of each attempt
+		lastIDs []string // Last-Event-ID of each attempt
 	}{
 		{"whole", "/stream/", []script{events(0, 3, true)}, "", "0 1 2", true, []string{""}},
 		{"broken, not resumable", "/stream/", []script{events(0, 2, false)}, "", "0 1", false, []string{""}},
@@ -152,11 +152,11 @@
 			assert.Equal(t, 200, got.status)
 			assert.Equal(t, c.whole, got.err == nil, "a broken stream must not look whole: %v", got.err)
 			assert.Equal(t, c.ids, strings.Join(idsOf(got.body), " "))
-			var handed []string
+			var lastIDs []string
 			for _, r := range f.received() {
-				handed = append(handed, r.header.Get("Last"))
+				lastIDs = append(lastIDs, r.header.Get("Last"))
 			}
-			assert.Equal(t, c.handed, handed)
+			assert.Equal(t, c.lastIDs, lastIDs)
 		})
 	}
 }
--- a/fleet/relay/forward/overdue_test.go
+++ b/fleet/relay/forward/overdue_test.go
@@ -14,7 +14,7 @@
 
 // A call whose deadline passed while the VM was suspended is ended as timed out when the VM resumes,
 // since its timer did not run. Its endpoint notices that, and the caller is not told that the call did
-// not run. A call with time left goes on.
+// not run. A call with time left goes on, with less of it.
 func TestOverdueCallsAreEnded(t *testing.T) {
 	t.Cleanup(func() { clock.Suspend(-35 * time.Second) }) // reset for later tests
 	f := newFleet(t, 1000, hang)
--- a/fleet/relay/forward/pool.go
+++ b/fleet/relay/forward/pool.go
@@ -31,8 +31,8 @@
 }
 
 // connUse is one call's use of a connection. Each use has its own write state, since the transport
-// may give the connection to the next call before the previous one has released it: it reports the
-// connection as idle only afterwards.
+// may give the connection to the next call before the previous one has released it. The transport
+// reports it as idle only afterwards.
 type connUse struct {
 	conn  *pooledConn // nil: not from the pool
 	state atomic.Int32
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -148,25 +148,25 @@
 }
 
 func newSlowTimer(after time.Duration, report func() bool) *slowTimer {
-	l := &slowTimer{}
-	l.timer = clock.WaitFor(after, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if !l.over {
-			l.over, l.bad = true, report()
+	s := &slowTimer{}
+	s.timer = clock.WaitFor(after, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if !s.over {
+			s.over, s.bad = true, report()
 		}
 	})
-	return l
+	return s
 }
 
 // settle stops the timer, since the answer has arrived, and returns whether the attempt was
 // reported as bad.
-func (l *slowTimer) settle() bool {
-	l.timer.Stop()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.over = true
-	return l.bad
+func (s *slowTimer) settle() bool {
+	s.timer.Stop()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.over = true
+	return s.bad
 }
 
 // settle stops the timer for slow answers and records whether it reported the attempt as bad.
