--- a/fleet/relay/forward/doubts_test.go
+++ b/fleet/relay/forward/suspicions_test.go
@@ -12,13 +12,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Only an endpoint that ended the connection in place of an answer is told as cutting
-// calls: sound ones fail by other ways now and then, and what is late may be this node.
-func TestFailuresAreToldByTheirKind(t *testing.T) {
+// Only an endpoint that closed the connection instead of answering is reported as interrupting
+// calls: healthy ones occasionally fail in other ways, and a late answer may be this node's fault.
+func TestFailuresAreReportedByKind(t *testing.T) {
 	cases := []struct {
-		name, path string
-		script     script
-		told, cut  bool
+		name, path            string
+		script                script
+		reported, interrupted bool
 	}{
 		{"an answer", "/single/", good("x"), false, false},
 		{"an answer that says so", "/single/", status(500, false), true, false},
@@ -30,15 +30,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			book := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+			tracker := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
 			f := newFleet(t, 1000, c.script)
-			book.Engines(append([]engine.Engine{{ID: "other", Service: "s"}}, f.engines...))
-			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(book)
+			tracker.Engines(append([]engine.Engine{{ID: "other", Service: "s"}}, f.engines...))
+			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
 			require.NoError(t, f.do(t, f.request(t, "GET", c.path, "")).err)
-			words := book.Words(false, time.Now())
-			require.Equal(t, c.told, len(words) == 1)
-			if c.told {
-				assert.Equal(t, c.cut, words[0].Tellers[0].Cut)
+			reports := tracker.Words(false, time.Now())
+			require.Equal(t, c.reported, len(reports) == 1)
+			if c.reported {
+				assert.Equal(t, c.interrupted, reports[0].Tellers[0].Cut)
 			}
 		})
 	}
