--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -6,69 +6,68 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Suspect is a call that ended with its endpoint.
+// Suspect is a call that was interrupted by the end of its endpoint.
 type Suspect struct {
 	Print    Print    `json:"p"`
 	Progress Progress `json:"a,omitempty"`
 	Customer string   `json:"c,omitempty"`
 	Route    string   `json:"r,omitempty"`
-	Answered bool     `json:"w,omitempty"` // the node that tells had answered the request before
+	Answered bool     `json:"w,omitempty"` // the reporting node had answered the request before
 }
 
-// Progress is how far an answer had come when the call was cut.
+// Progress is how much of its answer a call had received when it was interrupted.
 type Progress int
 
-// How far it may have come. An endpoint that ends under a request mostly does so as it
-// begins it.
+// The progress of an answer. A request that ends endpoints mostly does so right at its start.
 const (
-	Nothing  Progress = iota // not a byte
-	Begun                    // a part of it, of late
-	Underway                 // it had been coming for a while
+	Nothing  Progress = iota // no byte received
+	Begun                    // first bytes received less than 500 ms before
+	Underway                 // first bytes received earlier
 )
 
-// begunFor is how long after its first part an answer has only begun.
-const begunFor = 500 * time.Millisecond
+// begunPeriod is how long an answer counts as Begun after its first bytes.
+const begunPeriod = 500 * time.Millisecond
 
-// ProgressOf is how far an answer has come whose first part came some time ago.
+// ProgressOf returns the progress of an answer by the time since its first bytes.
 func ProgressOf(since time.Duration) Progress {
-	if since < begunFor {
+	if since < begunPeriod {
 		return Begun
 	}
 	return Underway
 }
 
-// end is one endpoint's, and what ran there at the time, as far as nodes told.
+// end is the end of one endpoint, with the calls that ran there as far as nodes reported them.
 type end struct {
-	life     engine.Life
-	at       time.Time // when it was first seen
-	suspects map[Print]Suspect
+	incarnation engine.Life
+	at          time.Time // when it was first observed
+	suspects    map[Print]Suspect
 }
 
-// sameEnd is how far words on the end of one life may lie apart where the endpoint does
-// not say when it was born: it takes longer to start again.
-const sameEnd = time.Second
+// sameEndWindow is how far apart reports on one end may lie if the endpoint does not announce its
+// time of birth. Starting again takes longer.
+const sameEndWindow = time.Second
 
-// is whether the end is that of a life, told of for a moment.
-func (e *end) is(life engine.Life, at time.Time) bool {
-	return e.life == life && (life.Born != 0 || at.Sub(e.at).Abs() < sameEnd)
+// matches reports whether e is the end of an incarnation reported for a given time.
+func (e *end) matches(incarnation engine.Life, at time.Time) bool {
+	return e.incarnation == incarnation && (incarnation.Born != 0 || at.Sub(e.at).Abs() < sameEndWindow)
 }
 
-// add takes a suspect in; true where it was not known.
+// add records a suspect and reports whether that changed anything.
 func (e *end) add(s Suspect) bool {
 	if known, ok := e.suspects[s.Print]; ok {
-		news := s.Progress < known.Progress || s.Answered && !known.Answered
+		changed := s.Progress < known.Progress || s.Answered && !known.Answered
 		known.Progress, known.Answered = min(known.Progress, s.Progress), known.Answered || s.Answered
 		e.suspects[s.Print] = known
-		return news
+		return changed
 	}
-	if len(e.suspects) >= mostSuspects && !e.makeRoom(s) {
+	if len(e.suspects) >= maxSuspects && !e.makeRoom(s) {
 		return false
 	}
 	e.suspects[s.Print] = s
 	return true
 }
 
-// makeRoom drops a suspect whose answer had come further.
+// makeRoom drops a suspect with more progress than s, if there is one.
 func (e *end) makeRoom(s Suspect) bool {
 	for print, known := range e.suspects {
 		if s.Progress < known.Progress {
@@ -79,27 +78,27 @@
 	return false
 }
 
-// prime is which suspects the end may be attributed to: those that were not served since, and
-// among them those whose answers had come least far.
-func (e *end) prime(served map[Print]time.Time) []Print {
-	var of [Underway + 1][]Print
+// primeSuspects returns the suspects the end may be attributed to: of those not served since, the ones
+// with the least progress.
+func (e *end) primeSuspects(served map[Print]time.Time) []Print {
+	var byProgress [Underway + 1][]Print
 	for p, s := range e.suspects {
 		if served[p].Before(e.at) {
-			of[s.Progress] = append(of[s.Progress], p)
+			byProgress[s.Progress] = append(byProgress[s.Progress], p)
 		}
 	}
-	for _, prints := range of {
-		if len(prints) > 0 {
-			return prints
+	for _, suspects := range byProgress {
+		if len(suspects) > 0 {
+			return suspects
 		}
 	}
 	return nil
 }
 
-// occasions counts ends, the oldest first, those that lie close together as one.
+// occasions counts ends, given oldest first. Ends that lie close together count as one.
 func occasions(ends []*end, apart time.Duration) int { return len(distinct(ends, apart)) }
 
-// distinct is the first end of each occasion.
+// distinct returns the first end of each occasion.
 func distinct(ends []*end, apart time.Duration) []*end {
 	var first []*end
 	for _, e := range ends {
@@ -110,15 +109,15 @@
 	return first
 }
 
-// What an end counts under a request. Where its answer had been coming for a while five
-// such are as good as three others: streams that last are in many ends of endpoints that
-// go down and up by themselves, and would be held back for it.
+// Weights of an end attributed to a request. Five ends under an answer that was underway count
+// as much as three others: long streams are present at many ends of endpoints that restart on
+// their own and would otherwise be quarantined for them.
 const (
 	endWeight      = 5
 	underwayWeight = 3
 )
 
-// weight is what the ends that are attributed to a request count together.
+// weight returns the total weight of the ends attributed to a request.
 func weight(p Print, ends []*end, apart time.Duration) int {
 	sum := 0
 	for _, e := range distinct(ends, apart) {
--- a/fleet/relay/quarantine/print.go
+++ b/fleet/relay/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests under which endpoints end, whichever id they come
-// under, and says which of them are sent to no endpoint any more.
+// Package quarantine identifies requests that repeatedly end the endpoints they run on, by
+// their content rather than their id, and decides which of them are sent to no endpoint.
 package quarantine
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Print tells a request again that its caller sends under another id. It is a strong
-// hash, so that nobody can make another customer's request look like this one, and
-// nothing of a body is kept or told.
+// Print is the fingerprint of a request. It stays the same when the caller sends the request
+// again under another id. It is a cryptographic hash, so that nobody can make another customer's
+// request look like this one, and no part of a body is kept or sent.
 type Print [printBytes]byte
 
-// printBytes is how much of the hash is kept: 128 bits, more than can be searched.
+// printBytes is the length of the truncated hash: 128 bits are too many for a search.
 const printBytes = 16
 
-// PrintOf is the print of a request: who sent it, how and where to, and its body.
+// PrintOf returns the fingerprint of a request: its customer, method, host, target and body.
 func PrintOf(customer, method, host, target string, body []byte) Print {
 	h := sha256.New()
 	for _, field := range []string{customer, method, host, target} {
@@ -29,7 +29,7 @@
 	return Print(h.Sum(nil)[:printBytes])
 }
 
-// String is the print in hex.
+// String returns the fingerprint in hexadecimal.
 func (p Print) String() string { return hex.EncodeToString(p[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -39,7 +39,7 @@
 func (p *Print) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil || len(data) != printBytes {
-		return errors.Newf("%.40q is no print of a request", text)
+		return errors.Newf("%.40q is not the fingerprint of a request", text)
 	}
 	*p = Print(data)
 	return nil
--- a/fleet/relay/quarantine/print_test.go
+++ b/fleet/relay/quarantine/fingerprint_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request has one print, whatever its id; anything else about it, its customer above
-// all, makes it another request, and fields can't be moved into each other.
-func TestAPrintTellsARequestAgain(t *testing.T) {
+// Guards against requests that share a fingerprint although their customer, method, host, target
+// or body differ, also where bytes move from one field to the next.
+func TestFingerprintIdentifiesARequest(t *testing.T) {
 	print := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
 	assert.Equal(t, print, PrintOf("customer", "POST", "host", "/path/x", []byte("body")))
 	others := []Print{
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAPrintReadsBack(t *testing.T) {
+func TestFingerprintRoundTrip(t *testing.T) {
 	print := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
 	data, err := json.Marshal(print)
 	require.NoError(t, err)
--- a/fleet/relay/quarantine/history.go
+++ b/fleet/relay/quarantine/history.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// mostAnswered is how many requests one generation of a history holds: some tens of kilobytes.
-const mostAnswered = 2048
+// maxAnswered bounds the requests in one generation of an answerHistory: some tens of kilobytes.
+const maxAnswered = 2048
 
-// history is which requests were answered whole of late: the latest few thousand. It is
+// answerHistory is a set of the latest few thousand requests that were answered completely. It is
 // safe for concurrent use.
-type history struct {
-	mu      sync.Mutex
-	current map[Print]struct{}
-	before  map[Print]struct{}
-	since   time.Time // of the current generation
+type answerHistory struct {
+	mu       sync.Mutex
+	current  map[Print]struct{}
+	previous map[Print]struct{}
+	since    time.Time // start of the current generation
 }
 
-// add notes that a request was answered. A request that is asked for again and again stays
-// known, however many others are answered once.
-func (h *history) add(p Print, now time.Time, memory time.Duration) {
+// add records that a request was answered. A request that keeps coming stays known, however
+// many other requests are answered once.
+func (h *answerHistory) add(p Print, now time.Time, memory time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.current == nil || len(h.current) >= mostAnswered || now.Sub(h.since) >= memory {
-		h.before, h.current, h.since = h.current, map[Print]struct{}{}, now
+	if h.current == nil || len(h.current) >= maxAnswered || now.Sub(h.since) >= memory {
+		h.previous, h.current, h.since = h.current, map[Print]struct{}{}, now
 	}
 	h.current[p] = struct{}{}
 }
 
-func (h *history) has(p Print) bool {
+func (h *answerHistory) contains(p Print) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, late := h.current[p]
-	_, before := h.before[p]
+	_, before := h.previous[p]
 	return late || before
 }
--- a/fleet/relay/quarantine/judge.go
+++ b/fleet/relay/quarantine/judge.go
@@ -8,52 +8,52 @@
 	"github.com/samber/lo"
 )
 
-// attribution is the ends that are attributed to each request.
+// attribution maps each request to the ends attributed to it.
 type attribution map[Print][]*end
 
-// attribute attributes each end to those of its suspects that were in most of them: what ran beside a
-// request under which endpoints end was in few of its ends. One that was in as many is
-// named as well. Requests that were in one end only are passed over, but for some: in a
-// loss of many endpoints at once these are all that there are.
-func attribute(ends []*end, served map[Print]time.Time, r Rule, some map[Print]Held) attribution {
-	times := map[Print]int{}
+// attribute attributes each end to those of its suspects that were present at the most ends. A
+// request that merely ran beside a harmful one was present at few of the same ends; one that
+// was present at as many is included. Requests that were present at one end only are skipped,
+// except those in always: when many endpoints are lost at once, nearly all requests are such.
+func attribute(ends []*end, served map[Print]time.Time, r Rule, always map[Print]Held) attribution {
+	presence := map[Print]int{}
 	prime := make([][]Print, len(ends))
 	for i, e := range ends {
-		prime[i] = e.prime(served)
+		prime[i] = e.primeSuspects(served)
 		for _, p := range prime[i] {
-			times[p]++
+			presence[p]++
 		}
 	}
-	in := attribution{}
+	present := attribution{}
 	for i, e := range ends {
 		for _, p := range prime[i] {
-			if _, listed := some[p]; times[p] > 1 || listed {
-				in[p] = append(in[p], e)
+			if _, listed := always[p]; presence[p] > 1 || listed {
+				present[p] = append(present[p], e)
 			}
 		}
 	}
-	most := map[*end]int{}
+	maxCount := map[*end]int{}
 	count := map[Print]int{}
-	for p, of := range in {
+	for p, of := range present {
 		count[p] = occasions(of, r.Apart)
 		for _, e := range of {
-			most[e] = max(most[e], count[p])
+			maxCount[e] = max(maxCount[e], count[p])
 		}
 	}
-	on := attribution{}
+	attributed := attribution{}
 	for p, n := range count {
-		on[p] = lo.Filter(in[p], func(e *end, _ int) bool { return n == most[e] })
+		attributed[p] = lo.Filter(present[p], func(e *end, _ int) bool { return n == maxCount[e] })
 	}
-	return on
+	return attributed
 }
 
-// overLimit lists the requests to which enough ends are attributed. Of those that always met, the
-// first is not held back: if endpoints go on ending it is known to be the one, and the
-// others are not; and if it is served it is cleared.
+// overLimit returns the requests to which enough ends are attributed. Of requests that share
+// exactly the same ends, the first is not quarantined: if endpoints go on ending it is the
+// harmful one and the others are not, and if it is served it is cleared.
 func (o attribution) overLimit(r Rule, needed func(Print) int) map[Print][]*end {
-	found := lo.PickBy(o, func(p Print, ends []*end) bool { return weight(p, ends, r.Apart) >= needed(p) })
-	return lo.OmitBy(found, func(p Print, ends []*end) bool {
-		met := lo.Keys(lo.PickBy(found, func(_ Print, others []*end) bool { return slices.Equal(others, ends) }))
-		return len(met) > 1 && p == slices.MinFunc(met, func(a, b Print) int { return bytes.Compare(a[:], b[:]) })
+	heavy := lo.PickBy(o, func(p Print, ends []*end) bool { return weight(p, ends, r.Apart) >= needed(p) })
+	return lo.OmitBy(heavy, func(p Print, ends []*end) bool {
+		together := lo.Keys(lo.PickBy(heavy, func(_ Print, others []*end) bool { return slices.Equal(others, ends) }))
+		return len(together) > 1 && p == slices.MinFunc(together, func(a, b Print) int { return bytes.Compare(a[:], b[:]) })
 	})
 }
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -10,77 +10,77 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// way is how the request is found.
-type way interface {
-	cut(e int, life int64, under []Suspect, now time.Time)
+// strategy is a strategy to identify the harmful request.
+type strategy interface {
+	interrupt(e int, life int64, under []Suspect, now time.Time)
 	served(p Print, now time.Time)
 	holds(p Print, now time.Time) bool
 }
 
-// counted holds back whatever was in three ends, as a plain count would.
-type counted map[Print]int
+// countStrategy quarantines every request that was present at three ends.
+type countStrategy map[Print]int
 
-func (c counted) cut(_ int, _ int64, under []Suspect, _ time.Time) {
+func (c countStrategy) interrupt(_ int, _ int64, under []Suspect, _ time.Time) {
 	for _, s := range under {
 		c[s.Print]++
 	}
 }
-func (c counted) served(Print, time.Time)         {}
-func (c counted) holds(p Print, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
+func (c countStrategy) served(Print, time.Time)         {}
+func (c countStrategy) holds(p Print, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
 
-// cleared counts likewise, and forgets what was served.
-type cleared struct{ counted }
+// resetStrategy counts likewise but resets the count of a request that was served.
+type resetStrategy struct{ countStrategy }
 
-func (c cleared) served(p Print, _ time.Time) { delete(c.counted, p) }
+func (c resetStrategy) served(p Print, _ time.Time) { delete(c.countStrategy, p) }
 
-// judged is the book.
-type judged struct{ *node }
+// bookStrategy is the strategy of Book.
+type bookStrategy struct{ *node }
 
-func (j judged) cut(e int, life int64, under []Suspect, now time.Time) {
-	of := endpointOf(e, life)
-	j.Engines(append(endpointsOf(e, life), of), now)
+func (j bookStrategy) interrupt(e int, incarnation int64, under []Suspect, now time.Time) {
+	of := endpointOf(e, incarnation)
+	j.Engines(append(endpointsOf(e, incarnation), of), now)
 	for _, s := range under {
 		j.Cut(of, s, now)
 	}
 	j.Ended(of.Life(), now)
 }
-func (j judged) served(p Print, now time.Time)     { j.Served(p, now) }
-func (j judged) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
-
-// play is a service of ten endpoints, some of which end, and callers that come again
-// when their calls are cut.
-type play struct {
-	deadly  time.Duration // between two sends of the deadly request; 0: there is none
-	crash   time.Duration // between two ends without a cause in a request; 0: there are none
-	at      int           // endpoints that end at once then
-	returns int           // times that a caller comes again
-	popular float64       // share of calls that ask for the same as others
+func (j bookStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
+func (j bookStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
+
+// simulation models a service of ten endpoints, some of which end, and callers that retry
+// interrupted calls.
+type simulation struct {
+	deadly  time.Duration // interval between sends of the deadly request; 0: none
+	crash   time.Duration // interval between ends not caused by a request; 0: none
+	at      int           // endpoints that end at once in each crash
+	retries int           // retries of a caller
+	popular float64       // share of calls with the same popular request
 	seed    uint64
 }
 
 // running is one call at an endpoint.
 type running struct {
-	name  string
-	from  time.Time
-	until time.Time
-	left  int
+	name    string
+	from    time.Time
+	until   time.Time
+	retries int
 }
 
-// found is what came of a play.
-type found struct {
-	wrong int // requests held back that end nothing
-	late  int // sends of the deadly request beyond the third end
+// result is the outcome of a simulation.
+type result struct {
+	wrong int // harmless requests that were quarantined
+	late  int // sends of the deadly request after the third end
 }
 
 const (
 	modelStep      = 10 * time.Millisecond
 	modelFor       = 30 * time.Second
 	modelEndpoints = 10
-	modelCalls     = 0.6 // a step: 60 a second
+	modelCalls     = 0.6 // per step: 60 a second
 	modelDown      = 1500 * time.Millisecond
 )
 
-// modelFirst is how long the first part of an answer takes.
+// modelFirst is the time to the first bytes of an answer.
 const modelFirst = 150 * time.Millisecond
 
 func progressOf(ran time.Duration) Progress {
@@ -90,24 +90,24 @@
 	return ProgressOf(ran - modelFirst)
 }
 
-func (m play) run(w way) found {
+func (m simulation) run(w strategy) result {
 	random := rand.New(rand.NewPCG(m.seed, 1))
 	at := make([][]running, modelEndpoints)
-	down, life := make([]time.Time, modelEndpoints), make([]int64, modelEndpoints)
+	down, incarnation := make([]time.Time, modelEndpoints), make([]int64, modelEndpoints)
 	var waiting []running
 	held := map[string]bool{}
-	var f found
+	var f result
 	ends, calls := 0, 0
 	end := func(e int, now time.Time) {
 		under := lo.Map(at[e], func(c running, _ int) Suspect {
-			return Suspect{Print: printed(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
+			return Suspect{Print: printOf(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
 		})
-		life[e]++
+		incarnation[e]++
 		down[e] = now.Add(modelDown)
-		w.cut(e, life[e], under, now)
+		w.interrupt(e, incarnation[e], under, now)
 		for _, c := range at[e] {
-			if c.left > 0 {
-				waiting = append(waiting, running{name: c.name, from: c.from, until: c.until, left: c.left - 1})
+			if c.retries > 0 {
+				waiting = append(waiting, running{name: c.name, from: c.from, until: c.until, retries: c.retries - 1})
 			}
 		}
 		at[e] = nil
@@ -115,7 +115,7 @@
 	place := func(c running, now time.Time) {
 		e := random.IntN(modelEndpoints)
 		switch {
-		case w.holds(printed(c.name), now):
+		case w.holds(printOf(c.name), now):
 			held[c.name] = true
 			return
 		case now.Before(down[e]):
@@ -143,7 +143,7 @@
 			if random.Float64() < m.popular {
 				name = "popular"
 			}
-			place(running{name: name, from: now, until: now.Add(time.Duration(200+random.ExpFloat64()*1200) * time.Millisecond), left: m.returns}, now)
+			place(running{name: name, from: now, until: now.Add(time.Duration(200+random.ExpFloat64()*1200) * time.Millisecond), retries: m.retries}, now)
 		}
 		if m.deadly > 0 && now.Sub(noon)%m.deadly == 0 {
 			place(running{name: "deadly", from: now, until: now}, now)
@@ -158,7 +158,7 @@
 				if now.Before(c.until) {
 					return true
 				}
-				w.served(printed(c.name), now)
+				w.served(printOf(c.name), now)
 				return false
 			})
 		}
@@ -168,40 +168,40 @@
 	return f
 }
 
-// Ways to find the request are compared: how many requests are held back that end
-// nothing, and how often the deadly one is sent on after the third end. Callers that come
-// again, and requests that many ask for, are what a plain count holds back.
-func TestWaysToFindARequest(t *testing.T) {
+// Compares strategies by how many harmless requests they quarantine and how often the deadly one
+// is sent after the third end. A plain count quarantines popular requests and those of callers
+// that retry.
+func TestStrategiesToFindTheDeadlyRequest(t *testing.T) {
 	const seeds = 20
-	plays := []struct {
+	simulations := []struct {
 		name string
-		of   play
+		of   simulation
 	}{
-		{"a deadly request, callers come again once", play{deadly: 800 * time.Millisecond, returns: 1}},
-		{"a deadly request, callers come again ten times", play{deadly: 800 * time.Millisecond, returns: 10}},
-		{"a deadly request beside a popular one", play{deadly: 500 * time.Millisecond, returns: 3, popular: 0.3}},
-		{"endpoints end by themselves, callers come again ten times", play{crash: 700 * time.Millisecond, at: 1, returns: 10}},
-		{"half of the endpoints end at once, beside a popular request", play{crash: 3 * time.Second, at: 5, returns: 10, popular: 0.3}},
+		{"a deadly request, callers retry once", simulation{deadly: 800 * time.Millisecond, retries: 1}},
+		{"a deadly request, callers retry ten times", simulation{deadly: 800 * time.Millisecond, retries: 10}},
+		{"a deadly request beside a popular one", simulation{deadly: 500 * time.Millisecond, retries: 3, popular: 0.3}},
+		{"endpoints end by themselves, callers retry ten times", simulation{crash: 700 * time.Millisecond, at: 1, retries: 10}},
+		{"half of the endpoints end at once, beside a popular request", simulation{crash: 3 * time.Second, at: 5, retries: 10, popular: 0.3}},
 	}
-	ways := []struct {
+	strategies := []struct {
 		name string
-		make func() way
+		make func() strategy
 	}{
-		{"a plain count", func() way { return counted{} }},
-		{"a count, cleared by an answer", func() way { return cleared{counted{}} }},
-		{"ends attributed to who was in most", func() way { return judged{newNode(Peer)} }},
+		{"a plain count", func() strategy { return countStrategy{} }},
+		{"a count reset by an answer", func() strategy { return resetStrategy{countStrategy{}} }},
+		{"ends attributed to requests present at most", func() strategy { return bookStrategy{newNode(Peer)} }},
 	}
-	for _, p := range plays {
-		for _, w := range ways {
-			var sum found
+	for _, p := range simulations {
+		for _, w := range strategies {
+			var sum result
 			for seed := range seeds {
 				p.of.seed = uint64(seed)
 				f := p.of.run(w.make())
 				sum.wrong += f.wrong
 				sum.late += f.late
 			}
-			t.Logf("%s: %s: %d held back wrongly, %d sends after the third end, in %d plays", p.name, w.name, sum.wrong, sum.late, seeds)
-			if w.name == ways[2].name {
+			t.Logf("%s: %s: %d quarantined wrongly, %d sends after the third end, in %d runs", p.name, w.name, sum.wrong, sum.late, seeds)
+			if w.name == strategies[2].name {
 				assert.LessOrEqual(t, sum.wrong, seeds/4, p.name)
 				assert.LessOrEqual(t, sum.late, seeds, p.name)
 			}
--- a/fleet/relay/quarantine/probe.go
+++ b/fleet/relay/quarantine/probe.go
@@ -6,18 +6,18 @@
 	"github.com/samber/lo"
 )
 
-// MostProbes is how many probes there are of a request in a round: the second one where the
-// node of the first gets no call of it, or ends. They stay within what is allowed to be sent
-// after the third end.
+// MostProbes bounds the probes of a request in one round. The second one is for the case that
+// the node with the first probe receives no call of the request, or ends. Both stay within the
+// sends that are allowed after the third end.
 const MostProbes = 2
 
-// ProbeAt is when a request that is held back is to be probed.
+// ProbeAt returns when a quarantined request is due for a probe.
 func (b *Book) ProbeAt(h Held) time.Time { return h.Since.Add(b.rule.probeAfter(h.Round)) }
 
-// MayProbe is whether a request that endpoints had answered before is still held back in a
-// round, and no endpoint has ended under it since its first probe was due. One that was never
-// answered is not worth an endpoint more, nor is one that ended one when it was sent again at the
-// end of its time.
+// MayProbe reports whether a request is still quarantined in a round, was answered before, and
+// no endpoint has ended under it since its first probe was due. A request that was never
+// answered is not worth risking another endpoint, nor is one that ended an endpoint when it was
+// sent again after its hold expired.
 func (b *Book) MayProbe(h Held, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -25,14 +25,14 @@
 	return b.answered(known) && !known.Tried && known.Round == h.Round && b.probeOpen(known, now)
 }
 
-// answered is whether any node told that endpoints had answered a request: with it, or with an
-// end that who held it back did not know of.
+// answered reports whether any node stated that endpoints had answered a request: with its
+// quarantine, or with an end that the node which quarantined it did not know.
 func (b *Book) answered(h Held) bool {
 	return h.Answered || lo.SomeBy(b.ends, func(e *end) bool { return e.suspects[h.Print].Answered })
 }
 
-// probeOpen is whether a request is held back, and no endpoint has ended under it since its
-// first probe was due.
+// probeOpen reports whether a request is quarantined and no endpoint has ended under it since
+// its first probe was due.
 func (b *Book) probeOpen(h Held, now time.Time) bool {
 	due := b.ProbeAt(h)
 	return h.inForce(now) && lo.NoneBy(b.ends, func(e *end) bool {
@@ -41,9 +41,9 @@
 	})
 }
 
-// Arm has the next call of a request that is held back be a probe: it is sent on, to learn
-// whether endpoints bear it. A request that many callers send is under way wherever an
-// endpoint ends, and while it is held back no answer clears it.
+// Arm makes the next call of a quarantined request a probe: it is forwarded, to learn whether
+// an endpoint survives it. A request that many callers send is running wherever an endpoint
+// ends, and while it is quarantined no answer can clear it.
 func (b *Book) Arm(claimed Held) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,19 +53,20 @@
 	}
 }
 
-// Armed is whether the next call of a request is a probe.
+// Armed reports whether the next call of a request is a probe.
 func (b *Book) Armed(p Print, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.armed(b.held[p], now)
 }
 
-// armed is false where an endpoint ended since the claim, under another node's probe.
+// armed returns false if an endpoint has ended since the claim, under another node's probe.
 func (b *Book) armed(h Held, now time.Time) bool {
 	return h.armed && b.probeOpen(h, now)
 }
 
-// Probe is whether a call is a probe, and of which round; no other one is then.
+// Probe takes the armed probe for a call. It returns its round and whether there was one; later
+// calls are not probes.
 func (b *Book) Probe(p Print, now time.Time) (round int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +79,8 @@
 	return h.Round, true
 }
 
-// Unsent gives a probe back that reached no endpoint. It was claimed for one round.
+// Unsent gives back a probe that reached no endpoint. It has no effect in a later round than
+// the one it was claimed for.
 func (b *Book) Unsent(p Print, round int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/relay/quarantine/probe_test.go
+++ b/fleet/relay/quarantine/probe_test.go
@@ -10,48 +10,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holding returns a node that has just begun to hold a request back, and what it holds.
-func holding(t *testing.T) (*node, Held) {
+// quarantinedNode returns a node that has just quarantined a request, and that request.
+func quarantinedNode(t *testing.T) (*node, Held) {
 	n := newNode(Peer)
-	n.Answered(printed("popular"), n.now)
+	n.Answered(printOf("popular"), n.now)
 	for i := range DefaultRule().Ends {
 		n.endUnder(i, suspects(Nothing, "popular")...)
 	}
 	require.True(t, n.holds("popular"))
-	h, _ := n.Of(printed("popular"))
+	h, _ := n.Of(printOf("popular"))
 	return n, h
 }
 
-func (n *node) probes() bool {
-	_, ok := n.Probe(printed("popular"), n.now)
+func (n *node) takesProbe() bool {
+	_, ok := n.Probe(printOf("popular"), n.now)
 	return ok
 }
 
-func TestWhetherARequestMayBeProbed(t *testing.T) {
+func TestMayProbe(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(n *node, h Held)
 		want bool
 	}{
 		{"nothing happened since", func(*node, Held) {}, true},
-		{"an endpoint ended under a call of before", func(n *node, _ Held) { n.endUnder(9, suspects(Nothing, "popular")...) }, true},
+		{"an endpoint ended under an earlier call", func(n *node, _ Held) { n.endUnder(9, suspects(Nothing, "popular")...) }, true},
 		{"an endpoint ended since its probe was due", func(n *node, h Held) {
 			n.now = n.ProbeAt(h)
 			n.endNow(9, suspects(Nothing, "popular")...)
 		}, false},
-		{"one ended under another request", func(n *node, h Held) {
+		{"an endpoint ended under another request", func(n *node, h Held) {
 			n.now = n.ProbeAt(h)
 			n.endNow(9, suspects(Nothing, "another")...)
 		}, true},
-		{"it was let go", func(n *node, h Held) { n.Release(h.Print, n.now) }, false},
-		{"it is held back in a later round", func(n *node, h Held) {
+		{"it was released", func(n *node, h Held) { n.Release(h.Print, n.now) }, false},
+		{"it is quarantined in a later round", func(n *node, h Held) {
 			h.Round++
 			n.Heard(Words{Held: []HeldWord{WordOf(h, n.now)}}, n.now)
 		}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n, h := holding(t)
+			n, h := quarantinedNode(t)
 			c.do(n, h)
 			n.now = n.ProbeAt(h).Add(time.Second)
 			assert.Equal(t, c.want, n.MayProbe(h, n.now))
@@ -59,71 +59,71 @@
 	}
 }
 
-// Guards against a popular request that is held back for all of its time since endpoints
-// ended beside it by chance.
-func TestAProbeThatIsServedLetsTheRequestGo(t *testing.T) {
-	n, h := holding(t)
+// Guards against a popular request that stays quarantined for the whole hold although endpoints
+// ended by chance while it ran.
+func TestServedProbeReleasesTheRequest(t *testing.T) {
+	n, h := quarantinedNode(t)
 	n.now = n.ProbeAt(h)
-	assert.False(t, n.probes(), "none was claimed")
+	assert.False(t, n.takesProbe(), "none was claimed")
 	n.Arm(h)
-	require.True(t, n.probes())
-	assert.False(t, n.probes(), "one call is the probe")
+	require.True(t, n.takesProbe())
+	assert.False(t, n.takesProbe(), "only one call is the probe")
 	n.serve("popular")
 	assert.False(t, n.holds("popular"))
 	assert.True(t, n.judged[len(n.judged)-1].Released)
 }
 
-func TestAProbeUnderWhichAnEndpointEndsLeavesTheRequestHeldBack(t *testing.T) {
-	n, h := holding(t)
+func TestEndUnderAProbeKeepsTheRequestQuarantined(t *testing.T) {
+	n, h := quarantinedNode(t)
 	n.now = n.ProbeAt(h)
 	n.Arm(h)
-	require.True(t, n.probes())
+	require.True(t, n.takesProbe())
 	n.endNow(9, suspects(Nothing, "popular")...)
 	assert.False(t, n.MayProbe(h, n.now))
 	n.now = h.Since.Add(DefaultRule().Hold - time.Second)
 	assert.True(t, n.holds("popular"))
 }
 
-// A request that was never answered costs no endpoint more.
-func TestOnlyARequestThatWasAnsweredIsProbed(t *testing.T) {
+// Guards against risking one more endpoint for a request that was never answered.
+func TestOnlyAnsweredRequestsAreProbed(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		answered string
-		others   int // requests that were answered since
+		others   int // other requests answered since
 		want     bool
 	}{
 		{"it was answered", "deadly", 0, true},
 		{"another one was", "another", 0, false},
-		{"others were since", "deadly", mostAnswered, true},
-		{"too many others were since", "deadly", 2 * mostAnswered, false},
+		{"others were since", "deadly", maxAnswered, true},
+		{"too many others were since", "deadly", 2 * maxAnswered, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(Peer)
-			n.Answered(printed(c.answered), n.now)
+			n.Answered(printOf(c.answered), n.now)
 			for i := range c.others {
-				n.Answered(printed(fmt.Sprint("other", i)), n.now)
+				n.Answered(printOf(fmt.Sprint("other", i)), n.now)
 			}
 			for i := range DefaultRule().Ends {
 				n.endUnder(i, suspects(Nothing, "deadly")...)
 			}
-			h, _ := n.Of(printed("deadly"))
+			h, _ := n.Of(printOf("deadly"))
 			assert.Equal(t, c.want, h.Answered)
 			assert.Equal(t, c.want, n.MayProbe(h, n.ProbeAt(h)))
-			assert.Equal(t, c.want, WordOf(h, n.now).Answered, "others are told")
+			assert.Equal(t, c.want, WordOf(h, n.now).Answered, "reported to other nodes")
 		})
 	}
 }
 
-func TestAProbeThatReachedNoEndpointIsLeftToTheNextCall(t *testing.T) {
-	n, h := holding(t)
+func TestUnsentProbeIsLeftToTheNextCall(t *testing.T) {
+	n, h := quarantinedNode(t)
 	n.Arm(h)
-	n.Unsent(h.Print, n.take(t))
-	assert.True(t, n.probes())
+	n.Unsent(h.Print, n.takeProbe(t))
+	assert.True(t, n.takesProbe())
 }
 
-// Guards against a probe more than was counted: a claim holds for one round, and while no
-// endpoint has ended under another node's probe.
-func TestAClaimThatNoLongerHoldsSendsNothing(t *testing.T) {
+// Guards against more probes than were claimed. A claim is valid for one round, and only until an
+// endpoint ends under another node's probe.
+func TestOutdatedClaimSendsNoProbe(t *testing.T) {
 	again := func(n *node, h Held) {
 		h.Round++
 		n.Heard(Words{Held: []HeldWord{WordOf(h, n.now)}}, n.now)
@@ -134,7 +134,7 @@
 	}
 	cases := []struct {
 		name   string
-		unsent bool // the probe was taken, and is given back after that
+		unsent bool // the probe is taken first and given back afterwards
 		do     func(n *node, h Held)
 		want   bool
 	}{
@@ -147,40 +147,40 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n, h := holding(t)
+			n, h := quarantinedNode(t)
 			n.Arm(h)
 			var round int
 			if c.unsent {
-				round = n.take(t)
+				round = n.takeProbe(t)
 			}
 			c.do(n, h)
 			if c.unsent {
 				n.Unsent(h.Print, round)
 			}
 			assert.Equal(t, c.want, n.Armed(h.Print, n.now))
-			assert.Equal(t, c.want, n.probes())
+			assert.Equal(t, c.want, n.takesProbe())
 		})
 	}
 }
 
-// take has the next call be the probe; it returns the round of the claim.
-func (n *node) take(t *testing.T) int {
+// takeProbe takes the armed probe and returns the round of its claim.
+func (n *node) takeProbe(t *testing.T) int {
 	t.Helper()
-	round, ok := n.Probe(printed("popular"), n.now)
+	round, ok := n.Probe(printOf("popular"), n.now)
 	require.True(t, ok)
 	return round
 }
 
-// A request under which endpoints end now and then is probed later in each round.
-func TestProbesComeLaterInEachRound(t *testing.T) {
+// Guards against probing a request under which endpoints end now and then too often.
+func TestProbeDelayDoublesWithEachRound(t *testing.T) {
 	rule := DefaultRule()
 	assert.Equal(t, 2*rule.Probe, rule.probeAfter(2))
 	assert.Equal(t, 4*rule.Probe, rule.probeAfter(3))
 	assert.LessOrEqual(t, rule.probeAfter(100), rule.MostHold)
 }
 
-// Guards against a node that stands still over a word of a round that no request reaches.
-func TestARoundOfAnySizeIsTimedAtOnce(t *testing.T) {
+// Guards against a node that stalls over a report with an absurdly high round.
+func TestDelaysOfAnyRoundAreComputedAtOnce(t *testing.T) {
 	for name, after := range map[string]func(Rule, int) time.Duration{"probe": Rule.probeAfter, "hold": Rule.holdFor} {
 		t.Run(name, func(t *testing.T) {
 			done := make(chan time.Duration, 1)
@@ -189,22 +189,22 @@
 			case d := <-done:
 				assert.Equal(t, DefaultRule().MostHold, d)
 			case <-time.After(time.Second):
-				t.Fatal("still counting rounds")
+				t.Fatal("the loop over rounds did not end")
 			}
 		})
 	}
 }
 
-// Guards against a request that endpoints bear and that one end is enough to hold back, since it
-// was served only after its time was over.
-func TestARequestThatIsServedAfterItsTimeStartsAnew(t *testing.T) {
+// Guards against a harmless request that a single end quarantines again since it was served only
+// after its hold had expired.
+func TestServedAfterItsHoldARequestNeedsThreeEnds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		served bool
 		want   bool
 	}{{"it was served", true, false}, {"it was not", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			n, h := holding(t)
+			n, h := quarantinedNode(t)
 			n.now = h.Since.Add(h.For)
 			if c.served {
 				n.serve("popular")
@@ -215,19 +215,19 @@
 	}
 }
 
-// Guards against more sends of a deadly request than are allowed where it was answered once: the
-// call that holds it back again when its time is over is one, too.
-func TestADeadlyRequestThatWasAnsweredOnceIsSentNoMoreThanAllowed(t *testing.T) {
-	n, h := holding(t)
+// Guards against too many sends of a deadly request that was answered once. The call that
+// quarantines it again after its hold expired counts as well.
+func TestDeadlyRequestAnsweredOnceIsSentAtMostThreeTimes(t *testing.T) {
+	n, h := quarantinedNode(t)
 	sent := 0
-	const step = 700 * time.Millisecond // no call comes as the time is over to the moment
-	due := 0                            // the round whose probe was claimed
+	const step = 700 * time.Millisecond // so that no call comes exactly when a hold expires
+	due := 0                            // last round with a claimed probe
 	for at := 10; n.now.Sub(h.Since) < time.Hour; n.now = n.now.Add(step) {
 		if now, _ := n.Of(h.Print); now.Round > due && n.now.After(n.ProbeAt(now)) && n.MayProbe(now, n.now) {
 			n.Arm(now)
 			due = now.Round
 		}
-		if !n.holds("popular") || n.probes() {
+		if !n.holds("popular") || n.takesProbe() {
 			sent++
 			n.endNow(at, suspects(Nothing, "popular")...)
 			at++
--- /dev/null
+++ b/fleet/relay/quarantine/report.go
@@ -0,0 +1,265 @@
+package quarantine
+
+import (
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+)
+
+// Words is what one node reports to others of requests under which endpoints end.
+type Words struct {
+	Ends   []EndWord      `json:"ends,omitempty"`   // observed by the sender; for judges
+	Served []ServedReport `json:"served,omitempty"` // suspects that the sender served since; for judges
+	Near   []NearReport   `json:"near,omitempty"`   // suspects one end short of quarantine; for all nodes
+	Held   []HeldWord     `json:"held,omitempty"`   // quarantined and released requests; for all nodes
+}
+
+// None reports whether there is nothing to send.
+func (w Words) None() bool { return len(w.Ends)+len(w.Served)+len(w.Near)+len(w.Held) == 0 }
+
+// EndWord reports the end of an endpoint's incarnation and the sender's calls it interrupted.
+type EndWord struct {
+	Endpoint string    `json:"e"`
+	Born     int64     `json:"b,omitempty"`
+	AgeMs    int64     `json:"ms"`
+	Suspects []Suspect `json:"s"`
+}
+
+func (w EndWord) incarnation() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+
+// ServedReport reports a suspect that the sender served.
+type ServedReport struct {
+	Print Print `json:"p"`
+	AgeMs int64 `json:"ms"`
+}
+
+// NearReport reports a suspect that is one end short of quarantine.
+type NearReport struct {
+	Print    Print  `json:"p"`
+	Customer string `json:"c,omitempty"`
+}
+
+// HeldWord reports a quarantined or released request.
+type HeldWord struct {
+	Print    Print    `json:"p"`
+	Round    int      `json:"n"`
+	Released bool     `json:"free,omitempty"`
+	Why      string   `json:"why,omitempty"`
+	Stored   bool     `json:"kept,omitempty"`
+	Answered bool     `json:"answered,omitempty"` // before endpoints ended under it
+	Tried    bool     `json:"tried,omitempty"`    // after its previous hold expired
+	Probes   int      `json:"probes,omitempty"`   // claimed in this round
+	AgeMs    int64    `json:"ms"`
+	ForMs    int64    `json:"for"`
+	Customer string   `json:"c,omitempty"`
+	Route    string   `json:"r,omitempty"`
+	Ends     []string `json:"ends,omitempty"`
+}
+
+// WordOf returns a request in the form that is sent and stored.
+func WordOf(h Held, now time.Time) HeldWord {
+	return HeldWord{
+		Print: h.Print, Round: h.Round, Released: h.Released, Why: h.Why, Stored: h.Stored, Answered: h.Answered, Tried: h.Tried, Probes: h.Probes, AgeMs: now.Sub(h.Since).Milliseconds(),
+		ForMs: h.For.Milliseconds(), Customer: h.Customer, Route: h.Route, Ends: h.Ends,
+	}
+}
+
+// Bounds of one message.
+const (
+	maxEndReports     = 8
+	maxReportSuspects = 12 // suspects per report; further suspects of an end go into another report
+	maxServedReports  = 16
+	maxNearReports    = 16
+	maxHeldReports    = 8
+	sendCount         = 3 // heartbeats in which a report outside the digests is sent, as datagrams may be lost
+)
+
+// queued is a report that is to be sent some more times.
+type queued[T any] struct {
+	report    T
+	at        time.Time
+	remaining int
+}
+
+// outbox holds what is still to be sent.
+type outbox struct {
+	ends       []queued[EndWord]
+	served     []queued[ServedReport]
+	near       []queued[NearReport]
+	held       map[Print]int // how often each is still to be sent to all nodes
+	nextDigest int           // index of the next request to include in a digest
+	digests    int           // number of digests so far
+}
+
+func newOutbox() outbox { return outbox{held: map[Print]int{}} }
+
+// timedEnd is an end for the outbox. Its age is computed when it is sent.
+type timedEnd struct {
+	report EndWord
+	at     time.Time
+}
+
+func newTimedEnd(incarnation engine.Life, at time.Time, suspects []Suspect) timedEnd {
+	return timedEnd{EndWord{Endpoint: incarnation.ID, Born: incarnation.Born, Suspects: suspects}, at}
+}
+
+func (o *outbox) addEnd(e timedEnd) {
+	for _, some := range lo.Chunk(e.report.Suspects, maxReportSuspects) {
+		if len(o.ends) < maxEnds {
+			o.ends = append(o.ends, queued[EndWord]{EndWord{Endpoint: e.report.Endpoint, Born: e.report.Born, Suspects: some}, e.at, sendCount})
+		}
+	}
+}
+
+func (o *outbox) addServed(p Print, at time.Time) {
+	if len(o.served) < maxServed {
+		o.served = append(o.served, queued[ServedReport]{ServedReport{Print: p}, at, sendCount})
+	}
+}
+
+// addHeld queues a quarantined request once, since the digests repeat it.
+func (o *outbox) addHeld(p Print) { o.held[p] = 1 }
+
+// addReleased queues a released request several times, since no digest contains it.
+func (o *outbox) addReleased(p Print) { o.held[p] = sendCount }
+
+// takeDue takes up to limit reports from the head of a queue. It returns them and the queue that
+// remains, with those that are to be sent again at its tail.
+func takeDue[T any](queue []queued[T], limit int, fill func(T, time.Time) T) (reports []T, remaining []queued[T]) {
+	n := min(len(queue), limit)
+	for _, t := range queue[:n] {
+		reports = append(reports, fill(t.report, t.at))
+		if t.remaining--; t.remaining > 0 {
+			remaining = append(remaining, t)
+		}
+	}
+	return reports, append(queue[n:], remaining...)
+}
+
+// News returns the reports to send now: those for judges and those for all nodes.
+func (b *Book) News(now time.Time) (judges, all Words) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	judges.Ends, b.outbox.ends = takeDue(b.outbox.ends, maxEndReports, func(w EndWord, at time.Time) EndWord {
+		w.AgeMs = now.Sub(at).Milliseconds()
+		return w
+	})
+	judges.Served, b.outbox.served = takeDue(b.outbox.served, maxServedReports, func(w ServedReport, at time.Time) ServedReport {
+		w.AgeMs = now.Sub(at).Milliseconds()
+		return w
+	})
+	all.Near, b.outbox.near = takeDue(b.outbox.near, maxNearReports, func(w NearReport, _ time.Time) NearReport { return w })
+	for p, left := range b.outbox.held {
+		if len(all.Held) == maxHeldReports {
+			break
+		}
+		if h, ok := b.held[p]; ok {
+			all.Held = append(all.Held, WordOf(h, now))
+		}
+		if b.outbox.held[p] = left - 1; left <= 1 {
+			delete(b.outbox.held, p)
+		}
+	}
+	return judges, all
+}
+
+// A request is in each digest while its quarantine is fresh, and in every seventh later: a node
+// that joins knows it from the store or learns it that way. Nodes that draw for others send to a
+// fifth of their zone at each heartbeat and so reach all of it within 35.
+const (
+	freshPeriod   = 30 * time.Second
+	olderInterval = 7
+)
+
+// Digest returns some of the quarantined requests, in rotation, to go along with other messages.
+func (b *Book) Digest(now time.Time) Words {
+	all := b.List(now)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.outbox.digests++
+	if b.outbox.digests%olderInterval != 0 {
+		all = lo.Filter(all, func(h Held, _ int) bool { return now.Sub(h.Since) < freshPeriod })
+	}
+	if len(all) == 0 {
+		return Words{}
+	}
+	n := min(len(all), maxHeldReports)
+	reports := lo.Map(lo.Range(n), func(i, _ int) HeldWord { return WordOf(all[(b.outbox.nextDigest+i)%len(all)], now) })
+	b.outbox.nextDigest = (b.outbox.nextDigest + n) % len(all)
+	return Words{Held: reports}
+}
+
+// Heard processes a report from another node. It returns the requests that were new or changed.
+func (b *Book) Heard(w Words, now time.Time) []Held {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	changed := false
+	if b.role() == Witness {
+		w.Ends, w.Served = nil, nil
+	}
+	for _, n := range w.Near[:min(len(w.Near), maxNearReports)] {
+		if _, known := b.near[n.Print]; known || len(b.near) < maxNear {
+			b.near[n.Print] = nearSuspect{n.Customer, now}
+		}
+	}
+	if len(w.Near) > 0 {
+		b.updateWatched()
+	}
+	for _, e := range w.Ends[:min(len(w.Ends), maxEndReports)] {
+		age := time.Duration(e.AgeMs) * time.Millisecond
+		if e.AgeMs >= 0 && age < b.rule.Memory {
+			changed = b.recordEnd(e.incarnation(), now.Add(-age), e.Suspects[:min(len(e.Suspects), maxSuspects)], now) || changed
+		}
+	}
+	for _, s := range w.Served[:min(len(w.Served), maxServedReports)] {
+		age := time.Duration(s.AgeMs) * time.Millisecond
+		if s.AgeMs >= 0 && age < b.rule.Memory {
+			b.markServed(s.Print, now.Add(-age), now)
+		}
+	}
+	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h HeldWord, _ int) (Held, bool) { return b.learn(h, now) })
+	if changed {
+		b.judge(now)
+	}
+	return learned
+}
+
+// Learn processes the stored state of a request.
+func (b *Book) Learn(w HeldWord, now time.Time) (Held, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.learn(w, now)
+}
+
+func (b *Book) learn(w HeldWord, now time.Time) (Held, bool) {
+	known, ok := b.held[w.Print]
+	h := Held{
+		Print: w.Print, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
+		For: min(time.Duration(w.ForMs)*time.Millisecond, b.rule.MostHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
+	}
+	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*b.rule.MostHold.Milliseconds() {
+		return Held{}, false
+	}
+	if ok && !h.supersedes(known) {
+		if known.sameState(h) {
+			known.Stored, known.Probes = known.Stored || h.Stored, max(known.Probes, h.Probes)
+			known.Answered, known.Tried = known.Answered || h.Answered, known.Tried || h.Tried
+			b.held[w.Print] = known
+		}
+		if known.supersedes(h) && b.role() != Witness {
+			b.outbox.addReleased(w.Print) // the sender missed the release
+		}
+		return Held{}, false
+	}
+	if h.Released {
+		b.served[w.Print] = now
+	}
+	if h.Released && b.role() == Judge {
+		b.outbox.addReleased(w.Print) // its zone may have missed the release
+	}
+	b.put(h, now)
+	b.updateWatched()
+	return h, true
+}
--- a/fleet/relay/quarantine/rule.go
+++ b/fleet/relay/quarantine/rule.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Rule says from when on a request is held back, and for how long.
+// Rule defines when a request is quarantined, and for how long.
 type Rule struct {
-	Ends     int           // occasions on which endpoints ended under it
-	Apart    time.Duration // ends that lie closer together are one occasion: a loss of power, a cut, a rack
+	Ends     int           // occasions on which endpoints ended under the request
+	Apart    time.Duration // ends closer together are one occasion: a power loss, a partition, a rack
 	Memory   time.Duration // how long an end counts
-	Hold     time.Duration // how long a request is held back at first; twice as long each further time
-	MostHold time.Duration // and at the most
-	Doubted  time.Duration // how long a cut call waits for word on whether its endpoint ended
-	Probe    time.Duration // after which a request that is held back is probed; twice as long each further time
+	Hold     time.Duration // length of the first quarantine; doubles each further time
+	MostHold time.Duration // upper bound of Hold
+	Doubted  time.Duration // how long an interrupted call waits for confirmation that its endpoint ended
+	Probe    time.Duration // delay until a quarantined request is probed; doubles each further time
 }
 
-// DefaultRule is the rule in force: the users allow three ends and three sends more. An
-// end is believed by a refused connection within some 20 ms, and else by the endpoint's
-// entry, which lapses some 2.5 s after a crash. A request that comes every few minutes is
-// still told again, and one that the next version of an engine bears is tried once each
-// hold's end. A request that was cut by chance is probed once the word on a third end has
-// reached all nodes.
+// DefaultRule returns the rule in force. The requirements allow three ends and three further
+// sends. An end is confirmed by a refused connection within some 20 ms, or else by the
+// endpoint's entry, which lapses some 2.5 s after a crash. Memory is long enough to recognize a
+// request that comes every few minutes. A request that the next version of an engine can serve
+// is tried once after each hold. A request that was interrupted by chance is probed after the
+// report of a third end has reached all nodes.
 func DefaultRule() Rule {
 	return Rule{
 		Ends: 3, Apart: 200 * time.Millisecond, Memory: 15 * time.Minute,
@@ -26,13 +26,13 @@
 	}
 }
 
-// Bounds of what is kept and told, so that many ends at once, or callers that send many
-// requests, fill neither memory nor links.
+// Bounds of what is kept and sent, so that neither many ends at once nor callers that send many
+// requests fill memory or links.
 const (
-	mostEnds     = 256 // that are known; the oldest go first
-	mostSuspects = 32  // of one end; calls of which nothing was answered come first
-	mostPending  = 64  // endpoints of which it is not known yet whether they ended
-	mostNear     = 128 // suspects that are named to those who don't judge
-	mostServed   = 512 // suspects that were served since
-	mostHeld     = 256 // requests that are held back; the oldest are let go first
+	maxEnds     = 256 // known ends; the oldest are dropped first
+	maxSuspects = 32  // per end; calls with the least progress take precedence
+	maxPending  = 64  // endpoints that may have ended
+	maxNear     = 128 // suspects announced to nodes that do not judge
+	maxServed   = 512 // served suspects
+	maxHeld     = 256 // quarantined requests; the oldest are dropped first
 )
