--- a/fleet/relay/quarantine/fingerprint.go
+++ b/fleet/relay/quarantine/fingerprint.go
@@ -39,7 +39,7 @@
 func (p *Print) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil || len(data) != printBytes {
-		return errors.Newf("%.40q is not the fingerprint of a request", text)
+		return errors.Newf("%.40q is no print of a request", text)
 	}
 	*p = Print(data)
 	return nil
