--- a/fleet/relay/account/allowance.go
+++ b/fleet/relay/account/allowance.go
@@ -10,139 +10,139 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Allowance is one node's part of the budgets: what it may spend without asking
-// anyone. It is safe for concurrent use.
+// Allowance is one node's share of the budgets: what it may spend without asking other nodes
+// or the store. It is safe for concurrent use.
 type Allowance struct {
-	node, life string
-	tuning     Tuning
+	node, incarnation string
+	tuning            Tuning
 
 	mu        sync.Mutex
 	quotas    map[string]*quota
-	revision  store.Revision // newest revision of the ledger that was seen
-	shortfall bool           // a reservation failed since the last proposal that was answered
-	outage    outage         // of the store, that is expected again
+	revision  store.Revision // newest known revision of the ledger
+	shortfall bool           // a reservation has failed since the last completed proposal
+	outage    outage         // expected outage of the store
 }
 
-// quota is the part of one tenant.
+// quota is the share of one tenant's budget.
 type quota struct {
-	prepaid     int64
-	limit       int64 // drawn: the least of what the store may hold for this life
-	granted     int64 // net of what peers gave: counted out here before the message left
-	spent       int64
-	reserved    int64
-	closed      bool // this life's row was closed, or may be: nothing can be spent any more
-	demand      demand
-	shortfall   int64   // tokens that reservations lacked since the last proposal that was answered
-	others      float64 // tokens a second that the other nodes are asked for
-	clients     float64 // of these, what this node draws for
-	clientsFast float64 // the same over the last second or so
-	left        int64   // of the whole budget by the last ledger, at most
-	estimate    int64   // of the whole budget by the last ledger, as estimated: what can still be spent (Account.Remaining)
-	pool        int64   // not drawn by anyone, by the last ledger
-}
-
-// busy is what can't be given back, net of tokens that came from peers.
-func (p *quota) busy() int64 { return p.spent + p.reserved + p.granted }
-
-func (p *quota) free() int64 {
-	if p.closed {
+	prepaid        int64
+	limit          int64 // minimum of what the store may hold as drawn by this incarnation
+	granted        int64 // net of tokens received from peers; deducted before the message is sent
+	spent          int64
+	reserved       int64
+	closed         bool // this incarnation's row was closed, or may be: nothing can be spent any more
+	demand         demand
+	shortfall      int64   // tokens that reservations lacked since the last completed proposal
+	others         float64 // demand on the other nodes in tokens a second
+	dependents     float64 // share of others for which this node draws
+	dependentsFast float64 // same as clients, over about the last second
+	left           int64   // upper bound of the whole budget's remainder, by the last ledger
+	estimate       int64   // estimated remainder of the whole budget, by the last ledger (Account.Remaining)
+	pool           int64   // not drawn by any node, by the last ledger
+}
+
+// busy returns what can't be given back, net of tokens received from peers.
+func (q *quota) busy() int64 { return q.spent + q.reserved + q.granted }
+
+func (q *quota) free() int64 {
+	if q.closed {
 		return 0
 	}
-	return p.limit - p.busy()
+	return q.limit - q.busy()
 }
 
-// NewAllowance returns the empty allowance of one life of a node.
-func NewAllowance(node, life string, t Tuning) *Allowance {
-	return &Allowance{node: node, life: life, tuning: t, quotas: map[string]*quota{}}
+// NewAllowance returns the empty allowance of one incarnation of a node.
+func NewAllowance(node, incarnation string, t Tuning) *Allowance {
+	return &Allowance{node: node, incarnation: incarnation, tuning: t, quotas: map[string]*quota{}}
 }
 
-// Answer is what the allowance says to a reservation.
+// Answer is the result of a reservation.
 type Answer int
 
 // The answers.
 const (
 	Reserved     Answer = iota
-	Insufficient        // this node's part is short, the whole budget may not be
-	Exhausted           // the whole budget can't hold the request
+	Insufficient        // this node's share is too small, the whole budget may not be
+	Exhausted           // the whole budget is too small for the request
 )
 
-// Holding is a tenant's state on this node, for logs: tokens, and tokens a second.
+// Holding is a tenant's state on this node, for logs. Amounts are tokens, rates tokens a second.
 type Holding struct {
 	Tenant   string
 	Prepaid  int64
 	Free     int64 // can be reserved now
 	Reserved int64
-	Pool     int64          // not drawn by anyone, by the last ledger
-	Left     int64          // of the whole budget at most, by the last ledger
+	Pool     int64          // not drawn by any node, by the last ledger
+	Left     int64          // upper bound of the whole budget's remainder, by the last ledger
 	Revision store.Revision // of that ledger
 	Rate     float64
-	Others   float64 // rate of the other nodes together
+	Others   float64 // total rate of the other nodes
 }
 
-// Budget sets the prepaid budgets in force.
+// Budget sets the prepaid budgets by tenant. Tenants that are not listed have none.
 func (p *Allowance) Budget(prepaid map[string]int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for tenant, tokens := range prepaid {
-		k := p.quota(tenant)
-		if k.prepaid != tokens {
-			k.left += tokens - k.prepaid
-			k.estimate += tokens - k.prepaid
-			k.pool = max(k.pool+tokens-k.prepaid, 0)
+		q := p.quota(tenant)
+		if q.prepaid != tokens {
+			q.left += tokens - q.prepaid
+			q.estimate += tokens - q.prepaid
+			q.pool = max(q.pool+tokens-q.prepaid, 0)
 		}
-		k.prepaid = tokens
+		q.prepaid = tokens
 	}
-	for tenant, k := range p.quotas {
+	for tenant, q := range p.quotas {
 		if _, ok := prepaid[tenant]; !ok {
-			k.prepaid = 0
+			q.prepaid = 0
 		}
 	}
 }
 
-func (p *quota) holding(tenant string, now time.Time) Holding {
-	return Holding{Tenant: tenant, Prepaid: p.prepaid, Free: p.free(), Reserved: p.reserved, Pool: p.pool, Left: p.left, Rate: p.demand.rate(now), Others: p.others}
+func (q *quota) holding(tenant string, now time.Time) Holding {
+	return Holding{Tenant: tenant, Prepaid: q.prepaid, Free: q.free(), Reserved: q.reserved, Pool: q.pool, Left: q.left, Rate: q.demand.rate(now), Others: q.others}
 }
 
 func (p *Allowance) quota(tenant string) *quota {
-	k, ok := p.quotas[tenant]
+	q, ok := p.quotas[tenant]
 	if !ok {
-		k = &quota{}
-		p.quotas[tenant] = k
+		q = &quota{}
+		p.quotas[tenant] = q
 	}
-	return k
+	return q
 }
 
-// Reserve sets the most that a call can cost aside.
+// Reserve sets aside the maximum that a call can cost.
 func (p *Allowance) Reserve(tenant string, tokens int64, now time.Time) Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.quota(tenant)
-	k.demand.add(tokens, now)
-	return p.reserve(k, tokens)
+	q := p.quota(tenant)
+	q.demand.add(tokens, now)
+	return p.reserve(q, tokens)
 }
 
-// ReserveAgain is Reserve for a call that was answered Insufficient before: it is not
-// counted as demand once more.
+// ReserveAgain is like Reserve, for a call that got Insufficient before: it does not count as
+// demand a second time.
 func (p *Allowance) ReserveAgain(tenant string, tokens int64) Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reserve(p.quota(tenant), tokens)
 }
 
-func (p *Allowance) reserve(k *quota, tokens int64) Answer {
-	if k.free() >= tokens {
-		k.reserved += tokens
+func (p *Allowance) reserve(q *quota, tokens int64) Answer {
+	if q.free() >= tokens {
+		q.reserved += tokens
 		return Reserved
 	}
-	if k.left < tokens {
+	if q.left < tokens {
 		return Exhausted
 	}
-	k.shortfall = max(k.shortfall, tokens-k.free())
-	p.shortfall = p.shortfall || k.pool > 0
+	q.shortfall = max(q.shortfall, tokens-q.free())
+	p.shortfall = p.shortfall || q.pool > 0
 	return Insufficient
 }
 
-// State tells what decides about a tenant's reservations now.
+// State returns the current state that decides a tenant's reservations.
 func (p *Allowance) State(tenant string) Holding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,37 +151,37 @@
 	return h
 }
 
-// Missing is how many tokens a reservation would lack now.
+// Missing returns how many tokens a reservation would lack now.
 func (p *Allowance) Missing(tenant string, tokens int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(tokens-p.quota(tenant).free(), 0)
 }
 
-// Settle turns a reservation into what was used of it.
+// Settle replaces a reservation by the tokens that were used of it.
 func (p *Allowance) Settle(tenant string, reserved, used int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.quota(tenant)
-	k.reserved -= reserved
-	k.spent += min(used, reserved)
-	k.demand.refund(reserved - min(used, reserved))
+	q := p.quota(tenant)
+	q.reserved -= reserved
+	q.spent += min(used, reserved)
+	q.demand.refund(reserved - min(used, reserved))
 }
 
-// HasShortfall is whether a reservation has failed since the last proposal.
+// HasShortfall reports whether a reservation has failed since the last proposal.
 func (p *Allowance) HasShortfall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.shortfall
 }
 
-// Holdings lists what is held, by tenant.
+// Holdings returns the state of each tenant, sorted by tenant.
 func (p *Allowance) Holdings(now time.Time) []Holding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make([]Holding, 0, len(p.quotas))
-	for tenant, k := range p.quotas {
-		all = append(all, k.holding(tenant, now))
+	for tenant, q := range p.quotas {
+		all = append(all, q.holding(tenant, now))
 	}
 	slices.SortFunc(all, func(a, b Holding) int { return strings.Compare(a.Tenant, b.Tenant) })
 	return all
--- a/fleet/relay/account/encode.go
+++ b/fleet/relay/account/encode.go
@@ -9,23 +9,23 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// A ledger is written by many nodes over narrow links, each write against the
-// newest one: what it takes to carry decides how often writers collide. So lives
-// are named once, rows are numbers, and rows that say nothing are left out.
+// Many nodes write the ledger over narrow links, each replacing the newest one, so its size
+// determines how often writers collide. Incarnations are therefore named once, rows are arrays of
+// numbers, and empty rows are omitted.
 
-// ledgerForm is a ledger as it is stored.
+// ledgerForm is the stored form of a ledger.
 type ledgerForm struct {
-	Lives    [][2]string   `json:"lives"` // node and life
+	Lives    [][2]string   `json:"lives"` // node and incarnation
 	Accounts []accountForm `json:"accounts"`
 	Era      *int64        `json:"era,omitempty"`  // nil: written by an earlier build
 	Base     *[2]int64     `json:"base,omitempty"` // era and number of a revision; nil: none
 }
 
-// origin is where in the store's history the ledger was written.
+// origin returns where in the store's history the ledger was written.
 func (f ledgerForm) origin() Origin {
 	var o Origin
 	if f.Era != nil {
-		o.Told, o.Era = true, *f.Era
+		o.Recorded, o.Era = true, *f.Era
 	}
 	if f.Base != nil {
 		o.Base = store.At(f.Base[0], f.Base[1])
@@ -33,7 +33,7 @@
 	return o
 }
 
-// accountForm is an account as it is stored.
+// accountForm is the stored form of an account.
 type accountForm struct {
 	Tenant string    `json:"t"`
 	Closed [3]int64  `json:"c"`           // drawn, spent, granted
@@ -41,15 +41,15 @@
 	Rows   []rowForm `json:"r,omitempty"`
 }
 
-// rowForm is a row as it is stored: the index of its life, drawn, spent, granted.
+// rowForm is the stored form of a row: the index of its incarnation, drawn, spent, granted.
 type rowForm [4]int64
 
-// mostTokens bounds each number of a ledger, so that sums of them don't overflow.
-const mostTokens = 1 << 50
+// maxTokens bounds each number of a ledger, so that sums of them don't overflow.
+const maxTokens = 1 << 50
 
-// check says why a ledger is none that nodes wrote: what it says would free tokens that
-// are spent, or whose they are is not certain. A row alone may have drawn less than
-// nothing: a life that was handed tokens by others gives back what others drew.
+// check returns an error if nodes can't have written the ledger: it would free spent tokens, or
+// it is ambiguous whose they are. A single row may have a negative amount drawn, since an
+// incarnation that received grants gives back what others drew.
 func (f ledgerForm) check() error {
 	if f.Accounts == nil {
 		return errors.New("it has no accounts")
@@ -61,11 +61,11 @@
 		}
 		tenants[a.Tenant] = true
 		drawn := a.Closed[0]
-		if !areTokens(a.Closed) {
+		if !validTokens(a.Closed) {
 			return errors.Newf("the account of %.80q has closed %d", a.Tenant, a.Closed)
 		}
 		for _, r := range a.Rows {
-			if !areTokens([3]int64(r[1:])) {
+			if !validTokens([3]int64(r[1:])) {
 				return errors.Newf("a row of %.80q says %d", a.Tenant, r)
 			}
 			drawn += r[1]
@@ -77,16 +77,16 @@
 	return nil
 }
 
-// areTokens is whether numbers can be tokens drawn, spent and granted.
-func areTokens(n [3]int64) bool {
-	return n[1] >= 0 && !slices.ContainsFunc(n[:], func(tokens int64) bool { return tokens > mostTokens || tokens < -mostTokens })
+// validTokens reports whether numbers are valid amounts of tokens drawn, spent and granted.
+func validTokens(n [3]int64) bool {
+	return n[1] >= 0 && !slices.ContainsFunc(n[:], func(tokens int64) bool { return tokens > maxTokens || tokens < -maxTokens })
 }
 
-// Follows says why a ledger can't be a later one than another: no account is taken away,
-// and what was reported as spent never becomes less.
-func (b Ledger) Follows(before Ledger) error {
-	spent := make(map[string]int64, len(b.Accounts))
-	for _, a := range b.Accounts {
+// Follows returns an error if the ledger can't be a later version of another one: accounts are
+// never removed, and what was reported as spent never decreases.
+func (l Ledger) Follows(before Ledger) error {
+	spent := make(map[string]int64, len(l.Accounts))
+	for _, a := range l.Accounts {
 		spent[a.Tenant] = a.Spent()
 	}
 	for _, a := range before.Accounts {
@@ -98,37 +98,37 @@
 }
 
 // MarshalJSON implements json.Marshaler.
-func (b Ledger) MarshalJSON() ([]byte, error) {
-	form := ledgerForm{Lives: [][2]string{}, Accounts: make([]accountForm, 0, len(b.Accounts))}
+func (l Ledger) MarshalJSON() ([]byte, error) {
+	form := ledgerForm{Lives: [][2]string{}, Accounts: make([]accountForm, 0, len(l.Accounts))}
 	index := map[[2]string]int64{}
-	for _, a := range b.Accounts {
+	for _, a := range l.Accounts {
 		f := accountForm{Tenant: a.Tenant, Closed: [3]int64{a.ClosedDrawn, a.ClosedSpent, a.ClosedGranted}, Rate: a.Rate}
 		for _, r := range a.Rows {
 			if r.Drawn == 0 && r.Spent == 0 && r.Granted == 0 {
 				continue
 			}
-			life := [2]string{r.Node, r.Life}
-			at, ok := index[life]
+			incarnation := [2]string{r.Node, r.Life}
+			at, ok := index[incarnation]
 			if !ok {
 				at = int64(len(form.Lives))
-				index[life] = at
-				form.Lives = append(form.Lives, life)
+				index[incarnation] = at
+				form.Lives = append(form.Lives, incarnation)
 			}
 			f.Rows = append(f.Rows, rowForm{at, r.Drawn, r.Spent, r.Granted})
 		}
 		form.Accounts = append(form.Accounts, f)
 	}
-	if b.Origin.Told {
-		form.Era = &b.Origin.Era
+	if l.Origin.Recorded {
+		form.Era = &l.Origin.Era
 	}
-	if base := b.Origin.Base; base != 0 {
+	if base := l.Origin.Base; base != 0 {
 		form.Base = &[2]int64{base.Era(), base.Number()}
 	}
 	return json.Marshal(form)
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (b *Ledger) UnmarshalJSON(data []byte) error {
+func (l *Ledger) UnmarshalJSON(data []byte) error {
 	var form ledgerForm
 	if err := json.Unmarshal(data, &form); err != nil {
 		return errors.Wrap(err, "ledger")
@@ -138,16 +138,16 @@
 	}
 	accounts := make([]Account, 0, len(form.Accounts))
 	for _, f := range form.Accounts {
-		a := Account{Tenant: f.Tenant, ClosedDrawn: f.Closed[0], ClosedSpent: f.Closed[1], ClosedGranted: f.Closed[2], Rate: min(max(f.Rate, 0), mostTokens)}
+		a := Account{Tenant: f.Tenant, ClosedDrawn: f.Closed[0], ClosedSpent: f.Closed[1], ClosedGranted: f.Closed[2], Rate: min(max(f.Rate, 0), maxTokens)}
 		for _, r := range f.Rows {
 			if r[0] < 0 || r[0] >= int64(len(form.Lives)) {
 				return errors.Newf("ledger: a row of %s names life %d of %d", f.Tenant, r[0], len(form.Lives))
 			}
-			life := form.Lives[r[0]]
-			a.Rows = append(a.Rows, Row{Node: life[0], Life: life[1], Drawn: r[1], Spent: r[2], Granted: r[3]})
+			incarnation := form.Lives[r[0]]
+			a.Rows = append(a.Rows, Row{Node: incarnation[0], Life: incarnation[1], Drawn: r[1], Spent: r[2], Granted: r[3]})
 		}
 		accounts = append(accounts, a)
 	}
-	b.Accounts, b.Origin = accounts, form.origin()
+	l.Accounts, l.Origin = accounts, form.origin()
 	return nil
 }
--- a/fleet/relay/account/encode_test.go
+++ b/fleet/relay/account/encode_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestALedgerComesBackAsItWasStored(t *testing.T) {
+func TestLedgerRoundTrip(t *testing.T) {
 	full := Ledger{Accounts: []Account{
 		{Tenant: "a", ClosedDrawn: 5, ClosedSpent: 3, ClosedGranted: -1, Rows: []Row{{Node: "n", Life: "l1", Drawn: 9, Spent: 4, Granted: 2}, {Node: "m", Life: "l2", Drawn: 1}}},
 		{Tenant: "b", Rows: []Row{{Node: "n", Life: "l1", Drawn: 7}}},
 		{Tenant: "c"},
 	}}
-	silent := Ledger{Accounts: []Account{{Tenant: "a", Rows: []Row{{Node: "n", Life: "l1"}}}}}
+	empty := Ledger{Accounts: []Account{{Tenant: "a", Rows: []Row{{Node: "n", Life: "l1"}}}}}
 	cases := []struct {
 		name     string
 		in, want Ledger
 	}{
 		{"empty", Ledger{}, Ledger{Accounts: []Account{}}},
 		{"full", full, full},
-		{"rows that say nothing", silent, Ledger{Accounts: []Account{{Tenant: "a"}}}},
+		{"empty rows", empty, Ledger{Accounts: []Account{{Tenant: "a"}}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestALedgerThatIsTornIsRefused(t *testing.T) {
+func TestInvalidLedgerIsRejected(t *testing.T) {
 	for _, data := range []string{
 		`{"lives":[],"accounts":[{"t":"a","c":[0,0,0],"r":[[0,1,1,0]]}]}`,
 		`{"lives":[["n","l"]],"accounts":[{"t":"a","c":[0,0,0],"r":[[-1,1,1,0]]}]}`,
@@ -55,19 +55,18 @@
 		`{"lives":[["n","l"]],"accounts":[{"t":"a","c":[5,0,0],"r":[[0,9000000000000000000,0,0]]}]}`,
 		`[]`,
 	} {
-		var b Ledger
-		assert.Error(t, json.Unmarshal([]byte(data), &b), data)
+		var ledger Ledger
+		assert.Error(t, json.Unmarshal([]byte(data), &ledger), data)
 	}
 }
 
-// A row alone may have drawn less than nothing, and a life that was handed tokens closes
-// its row so: what others wrote is told apart by what can't be, the tokens spent becoming
-// less among it.
-func TestALedgerOfOthersIsToldFromALaterOne(t *testing.T) {
+// Guards against taking a ledger that lost accounts or spending for a later one, and against
+// rejecting negative amounts drawn, which incarnations leave that received grants.
+func TestFollowsRejectsLostSpending(t *testing.T) {
 	read := func(text string) Ledger {
-		var b Ledger
-		require.NoError(t, json.Unmarshal([]byte(text), &b))
-		return b
+		var ledger Ledger
+		require.NoError(t, json.Unmarshal([]byte(text), &ledger))
+		return ledger
 	}
 	before := read(`{"lives":[["n","l"],["m","k"]],"accounts":[{"t":"a","c":[100,50,0],"r":[[0,900,30,600],[1,-400,20,-500]]}]}`)
 	cases := []struct {
@@ -75,27 +74,27 @@
 		later       bool
 	}{
 		{"the same", `{"lives":[["n","l"],["m","k"]],"accounts":[{"t":"a","c":[100,50,0],"r":[[0,900,30,600],[1,-400,20,-500]]}]}`, true},
-		{"one that was handed tokens ended", `{"lives":[["n","l"]],"accounts":[{"t":"a","c":[-300,70,-500],"r":[[0,900,30,600]]}]}`, true},
+		{"an incarnation that received grants ended", `{"lives":[["n","l"]],"accounts":[{"t":"a","c":[-300,70,-500],"r":[[0,900,30,600]]}]}`, true},
 		{"less spent", `{"lives":[["n","l"],["m","k"]],"accounts":[{"t":"a","c":[100,50,0],"r":[[0,900,30,600],[1,-400,0,-500]]}]}`, false},
-		{"a row lost", `{"lives":[["n","l"]],"accounts":[{"t":"a","c":[100,50,0],"r":[[0,900,30,600]]}]}`, false},
-		{"the account lost", `{"lives":[],"accounts":[]}`, false},
+		{"a row is missing", `{"lives":[["n","l"]],"accounts":[{"t":"a","c":[100,50,0],"r":[[0,900,30,600]]}]}`, false},
+		{"the account is missing", `{"lives":[],"accounts":[]}`, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.later, read(c.after).Follows(before) == nil) })
 	}
 }
 
-// The size of a ledger decides how often writers collide: some 25 bytes a row.
-func TestALedgerIsSmall(t *testing.T) {
-	b := Ledger{}
+// Guards against large ledgers, whose writers collide more often: some 25 bytes a row.
+func TestLedgerIsSmall(t *testing.T) {
+	ledger := Ledger{}
 	for i := range 24 {
 		a := Account{Tenant: fmt.Sprint("tenant", i)}
 		for n := range 16 {
 			a.Rows = append(a.Rows, Row{Node: fmt.Sprint("edge-zone-", n), Life: "4e6562df-87ec-4098-b210-0ec94e3290ce", Drawn: 1_234_567, Spent: 987_654, Granted: 54_321})
 		}
-		b = b.WithAccount(a)
+		ledger = ledger.WithAccount(a)
 	}
-	data, err := json.Marshal(b)
+	data, err := json.Marshal(ledger)
 	require.NoError(t, err)
 	assert.Less(t, len(data), 14_000)
 }
@@ -104,15 +103,15 @@
 	f.Add([]byte(`{"lives":[["n","l"]],"accounts":[{"t":"a","c":[1,2,3],"r":[[0,4,5,6]]}]}`))
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var b Ledger
-		if json.Unmarshal(data, &b) != nil {
+		var ledger Ledger
+		if json.Unmarshal(data, &ledger) != nil {
 			return
 		}
-		again, err := json.Marshal(b)
+		again, err := json.Marshal(ledger)
 		require.NoError(t, err)
 		var second Ledger
 		require.NoError(t, json.Unmarshal(again, &second))
-		for _, a := range b.Accounts {
+		for _, a := range ledger.Accounts {
 			_ = a.Pool(1000)
 		}
 		third, err := json.Marshal(second)
--- a/fleet/relay/account/fleet.go
+++ b/fleet/relay/account/fleet.go
@@ -7,95 +7,94 @@
 	"github.com/samber/lo"
 )
 
-// BudgetReport is what a node tells its peers about one budget: tokens, and tokens a
-// second. All and Left are told by nodes that write the ledger for others.
+// BudgetReport is what a node sends to its peers about one budget, in tokens and tokens a
+// second. Only nodes that write the ledger for others send All and Left.
 type BudgetReport struct {
-	Free int64   `json:"f,omitempty"` // that it could give
-	Rate float64 `json:"r,omitempty"` // that it is asked for
-	Fast float64 `json:"q,omitempty"` // the same over the last second or so, where that is more
-	All  float64 `json:"a,omitempty"` // that all nodes it heard of are asked for
-	Left int64   `json:"l,omitempty"` // of the whole budget at most
+	Free int64   `json:"f,omitempty"` // tokens the node could grant
+	Rate float64 `json:"r,omitempty"` // demand on the node
+	Fast float64 `json:"q,omitempty"` // demand over about the last second, where that is more
+	All  float64 `json:"a,omitempty"` // demand on all nodes known to it
+	Left int64   `json:"l,omitempty"` // upper bound of the whole budget's remainder
 }
 
-// BudgetReports lists what this node could give and is asked for, by tenant.
+// BudgetReports returns what this node could grant and its demand, by tenant.
 func (p *Allowance) BudgetReports(now time.Time) map[string]BudgetReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reports := make(map[string]BudgetReport, len(p.quotas))
-	for tenant, k := range p.quotas {
-		o := BudgetReport{Free: max(k.free(), 0), Rate: math.Round(k.demand.steady(now))}
-		if fast := math.Round(k.demand.fast); fast > o.Rate {
-			o.Fast = fast
+	for tenant, q := range p.quotas {
+		report := BudgetReport{Free: max(q.free(), 0), Rate: math.Round(q.demand.steady(now))}
+		if fast := math.Round(q.demand.fast); fast > report.Rate {
+			report.Fast = fast
 		}
-		if o != (BudgetReport{}) {
-			reports[tenant] = o
+		if report != (BudgetReport{}) {
+			reports[tenant] = report
 		}
 	}
 	return reports
 }
 
-// Fleet is what a node knows of the others' part in one budget.
+// Fleet is what a node knows of the other nodes' share in one budget. Rates are tokens a second.
 type Fleet struct {
-	Others  float64 // tokens a second that they are asked for, by those this node heard
-	All     float64 // the same with this node's own, as nodes that hear all of them told
-	Clients float64 // of the others, what this node draws for
-	Fast    float64 // the same over the last second or so
-	Left    int64   // of the whole budget at most, by a node that reads the ledger; 0 is not known
+	Others  float64 // demand on the other nodes, by the reports received here
+	All     float64 // demand on all nodes, as reported by nodes that receive all reports
+	Clients float64 // share of Others for which this node draws
+	Fast    float64 // same as Clients, over about the last second
+	Left    int64   // upper bound of the whole budget's remainder, by a reader of the ledger; 0 is unknown
 }
 
 // Fleets sets what is known of the other nodes, by tenant.
 func (p *Allowance) Fleets(fleets map[string]Fleet, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for tenant, k := range p.quotas {
+	for tenant, q := range p.quotas {
 		f := fleets[tenant]
-		own := k.demand.steady(now)
-		k.others, k.clients, k.clientsFast = max(f.Others, f.All-own), f.Clients, f.Fast
+		own := q.demand.steady(now)
+		q.others, q.dependents, q.dependentsFast = max(f.Others, f.All-own), f.Clients, f.Fast
 		if f.Left > 0 && p.revision == 0 {
-			k.left, k.estimate = f.Left, f.Left
+			q.left, q.estimate = f.Left, f.Left
 		}
 	}
 }
 
-// aheadPart is the part of a node's target that it acquires ahead: the nodes that
-// draw for it hold the rest.
-const aheadPart = 4
+// aheadDivisor is the divisor of a node's target for what it acquires ahead. The nodes that draw for
+// it hold the rest.
+const aheadDivisor = 4
 
-// askAhead is for how long the calls to come are asked for together with one that
-// lacks tokens, so that a node which is asked for much does not ask for each.
-const askAhead = 250 * time.Millisecond
+// aheadPeriod is the period of future demand that is requested together with the tokens that a call
+// lacks, so that a node with much demand does not send a request for each call.
+const aheadPeriod = 250 * time.Millisecond
 
-// Ahead is what the calls of the next moment will need of a budget.
+// Ahead returns what the calls of the next 250 ms will need of a budget.
 func (p *Allowance) Ahead(tenant string, now time.Time) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return int64(p.quota(tenant).demand.rate(now) * askAhead.Seconds())
+	return int64(p.quota(tenant).demand.rate(now) * aheadPeriod.Seconds())
 }
 
-// worthHolding is how many calls a holding must be good for, in a fleet in which
-// some nodes draw for the others: less is better held together by these.
-const worthHolding = 4
+// minHoldingCalls is the minimum size of a holding, in calls, where some nodes draw for the others.
+// Smaller amounts are better pooled by those nodes.
+const minHoldingCalls = 4
 
-// Deficits lists by tenant what a node that does not write the ledger should
-// acquire ahead: what its holding is short of its target, where that is much and
-// the target is worth holding apart.
+// Deficits returns by tenant what a node that does not write the ledger should acquire ahead: the
+// gap to its target, where the gap is large and the target is worth a holding of its own.
 func (p *Allowance) Deficits(nodes int, fraction float64, now time.Time) map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	deficits := map[string]int64{}
-	for tenant, k := range p.quotas {
-		target := p.tuning.target(k, nodes, p.outage.expected(now), now) / aheadPart
-		if k.demand.known && target >= worthHolding*k.demand.typical() && float64(k.free()) < fraction*float64(target) {
-			deficits[tenant] = target - k.free()
+	for tenant, q := range p.quotas {
+		target := p.tuning.target(q, nodes, p.outage.expected(now), now) / aheadDivisor
+		if q.demand.known && target >= minHoldingCalls*q.demand.typicalCall() && float64(q.free()) < fraction*float64(target) {
+			deficits[tenant] = target - q.free()
 		}
 	}
 	return deficits
 }
 
-// HoldsRow is whether this life's row may say that it has drawn something: a node
-// that no longer draws gives it back.
+// HoldsRow reports whether this incarnation's row may show tokens drawn. A node that no longer
+// draws gives them back.
 func (p *Allowance) HoldsRow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return lo.SomeBy(lo.Values(p.quotas), func(k *quota) bool { return k.limit > 0 })
+	return lo.SomeBy(lo.Values(p.quotas), func(q *quota) bool { return q.limit > 0 })
 }
--- a/fleet/relay/account/fleet_test.go
+++ b/fleet/relay/account/fleet_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// asked returns an allowance that was asked for so many tokens a second, for long.
-func asked(perSecond int64) (*Allowance, time.Time) {
+// allowanceWithDemand returns an allowance after 20 s of steady demand in tokens a second.
+func allowanceWithDemand(perSecond int64) (*Allowance, time.Time) {
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	p.Budget(map[string]int64{modelTenant: 1_000_000})
 	now := testStart
@@ -19,14 +19,14 @@
 	return p, now
 }
 
-func TestWhoDrawsNoLongerGivesBack(t *testing.T) {
-	p, now := asked(1000)
+func TestNodeThatNoLongerDrawsGivesBack(t *testing.T) {
+	p, now := allowanceWithDemand(1000)
 	ledger, worth := p.Propose(Ledger{}, Round{Nodes: 8, Now: now})
 	assert.False(t, worth, "a node that does not draw has no row")
 	assert.Zero(t, ledger.Account(modelTenant).Drawn())
-	ledger, _ = p.Propose(ledger, Round{Nodes: 8, Now: now, All: true})
+	ledger, _ = p.Propose(ledger, Round{Nodes: 8, Now: now, Draws: true})
 	p.Saw(ledger, 1)
-	p.Answered()
+	p.ShortfallProposed()
 	assert.True(t, p.HoldsRow())
 	ledger, worth = p.Propose(ledger, Round{Nodes: 8, Now: now})
 	assert.True(t, worth)
@@ -35,17 +35,17 @@
 	assert.False(t, p.HoldsRow())
 }
 
-func TestAPoolThatRunsLowIsSharedByDemand(t *testing.T) {
+func TestLowPoolIsSharedByDemand(t *testing.T) {
 	cases := []struct {
 		name string
 		own  float64
 		part float64
 	}{
-		{"most of it", 900, 0.9}, {"little of it: as the nodes count", 10, 0.25},
+		{"most of the demand", 900, 0.9}, {"little demand: an equal share", 10, 0.25},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p, now := asked(int64(c.own))
+			p, now := allowanceWithDemand(int64(c.own))
 			p.Fleets(map[string]Fleet{modelTenant: {All: 1000}}, now)
 			got := p.tuning.share(p.quotas[modelTenant], 10_000, 4, 1_000_000, now)
 			assert.InDelta(t, c.part*10_000, float64(got), 100)
@@ -53,22 +53,22 @@
 	}
 }
 
-// What a node has granted to others that do not report counts as gone where it is
-// weighed how much of the rest may be held, and not where 402 is decided.
-func TestWhatWasGrantedIsNotHeldAgainst(t *testing.T) {
+// Tokens granted to nodes that do not report count as spent in the estimate that bounds
+// holdings, but not in the remainder that decides on 402.
+func TestGrantedTokensReduceOnlyTheEstimate(t *testing.T) {
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	p.Budget(map[string]int64{modelTenant: 10_000})
-	b := Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Life: "n/1", Drawn: 9000, Spent: 1000, Granted: 6000}}}}}
-	p.Saw(b, 1)
+	ledger := Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Life: "n/1", Drawn: 9000, Spent: 1000, Granted: 6000}}}}}
+	p.Saw(ledger, 1)
 	assert.Equal(t, int64(9000), p.State(modelTenant).Left)
 	assert.Equal(t, int64(3000), p.quotas[modelTenant].estimate)
-	closed := b.Account(modelTenant).WithClosed(func(Row) bool { return true })
+	closed := ledger.Account(modelTenant).WithClosed(func(Row) bool { return true })
 	assert.Equal(t, int64(6000), closed.ClosedGranted)
 }
 
-// What lives that ended had drawn and not spent is lost: it is not counted as left, or
-// as much more would be held again, and lost with the next ones.
-func TestWhatWasLostIsNotHeldAgainst(t *testing.T) {
+// Guards against holding more because tokens lost with ended incarnations count as remaining:
+// those holdings would be lost with the next ones.
+func TestLostTokensReduceTheEstimate(t *testing.T) {
 	live := Row{Node: "n", Life: "n/1", Drawn: 3000, Spent: 500, Granted: 1500}
 	cases := []struct {
 		name    string
@@ -76,11 +76,11 @@
 		want    int64
 	}{
 		{"nothing drawn", Account{}, 10000},
-		{"a life that goes on", Account{Rows: []Row{live}}, 8000},
-		{"one that ended and lost what it had not spent", Account{ClosedDrawn: 4000, ClosedSpent: 1000}, 6000},
-		{"one that ended and had handed it on", Account{ClosedDrawn: 4000, ClosedSpent: 1000, ClosedGranted: 3000}, 6000},
+		{"a running incarnation", Account{Rows: []Row{live}}, 8000},
+		{"an ended one that lost what it had not spent", Account{ClosedDrawn: 4000, ClosedSpent: 1000}, 6000},
+		{"an ended one that had granted it", Account{ClosedDrawn: 4000, ClosedSpent: 1000, ClosedGranted: 3000}, 6000},
 		{"both", Account{ClosedDrawn: 4000, ClosedSpent: 1000, Rows: []Row{live}}, 4000},
-		{"more drawn than a budget that was lowered", Account{ClosedDrawn: 12000, ClosedSpent: 2000}, 0},
+		{"more drawn than the lowered budget", Account{ClosedDrawn: 12000, ClosedSpent: 2000}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -93,12 +93,12 @@
 	}
 }
 
-// A node that starts near the end of a budget, after a loss of all nodes, draws a part of
-// what is left, not of the whole: a next loss would take most of the rest.
-func TestAStartNearTheEndDrawsAPartOfWhatIsLeft(t *testing.T) {
+// Guards against a node that starts near the end of a budget, after a loss of all nodes, and draws
+// a share of the whole budget: the next loss would take most of the remainder.
+func TestFirstDrawIsAShareOfTheRemainder(t *testing.T) {
 	cases := []struct {
 		name   string
-		closed int64 // drawn by lives that ended
+		closed int64 // drawn by ended incarnations
 		want   int64
 	}{
 		{"a first start", 0, 2000},
--- a/fleet/relay/account/ledger.go
+++ b/fleet/relay/account/ledger.go
@@ -1,9 +1,9 @@
-// Package account keeps prepaid budgets for nodes that keep nothing: a ledger in
-// the store says what each life of a node has drawn, an allowance on the node says
-// what it has spent of that, and a syncer moves tokens between the two.
+// Package account enforces prepaid budgets on nodes without persistent state. A ledger in
+// the store records what each incarnation of a node has drawn, an allowance on the node
+// records what it has spent of that, and a syncer moves tokens between the two.
 //
-// What a life has drawn and not given back counts as spent for ever, so that no
-// loss of nodes, however many at once, lets a budget be exceeded.
+// What an incarnation has drawn and not given back counts as spent forever, so that no loss
+// of nodes, however many at once, lets a budget be exceeded.
 package account
 
 import (
@@ -12,35 +12,35 @@
 	"github.com/samber/lo"
 )
 
-// Ledger is what the store keeps: an immutable value, tokens everywhere.
+// Ledger is the stored state of all budgets. It is an immutable value; all amounts are tokens.
 type Ledger struct {
 	Accounts []Account
-	Origin   Origin // of the store's history in which it was written
+	Origin   Origin // where in the store's history it was written
 }
 
-// Account is the part of a ledger for one tenant.
+// Account is the section of a ledger for one tenant.
 type Account struct {
 	Tenant        string
-	ClosedDrawn   int64 // by lives that have ended: spent for ever
-	ClosedSpent   int64 // of it, what they had reported as spent
-	ClosedGranted int64 // and what they had handed to other nodes, less what they took
-	Rate          int64 // tokens a second that all nodes together were asked for, as the last writer knew
+	ClosedDrawn   int64 // drawn by ended incarnations: spent forever
+	ClosedSpent   int64 // share of ClosedDrawn they had reported as spent
+	ClosedGranted int64 // tokens they had granted to other nodes, less those received
+	Rate          int64 // demand on all nodes in tokens a second, as known to the last writer
 	Rows          []Row
 }
 
-// Row is what one life of a node has drawn. Only that life writes it, until it
+// Row is what one incarnation of a node has drawn. Only that incarnation writes it, until it
 // has ended.
 type Row struct {
 	Node    string
 	Life    string
 	Drawn   int64
 	Spent   int64 // as of the last report; at most Drawn
-	Granted int64 // handed to other nodes, less what was taken from them, as of the last report
+	Granted int64 // granted to other nodes, less those received from them, as of the last report
 }
 
-// Account finds a tenant's account; an empty one where there is none.
-func (b Ledger) Account(tenant string) Account {
-	a, ok := lo.Find(b.Accounts, func(a Account) bool { return a.Tenant == tenant })
+// Account returns a tenant's account, or an empty one if there is none.
+func (l Ledger) Account(tenant string) Account {
+	a, ok := lo.Find(l.Accounts, func(a Account) bool { return a.Tenant == tenant })
 	if !ok {
 		return Account{Tenant: tenant}
 	}
@@ -48,21 +48,21 @@
 }
 
 // WithAccount returns the ledger with one account replaced.
-func (b Ledger) WithAccount(a Account) Ledger {
-	accounts := slices.Clone(b.Accounts)
+func (l Ledger) WithAccount(a Account) Ledger {
+	accounts := slices.Clone(l.Accounts)
 	i := slices.IndexFunc(accounts, func(x Account) bool { return x.Tenant == a.Tenant })
 	if i < 0 {
-		b.Accounts = append(accounts, a)
-		return b
+		l.Accounts = append(accounts, a)
+		return l
 	}
 	accounts[i] = a
-	b.Accounts = accounts
-	return b
+	l.Accounts = accounts
+	return l
 }
 
-// Row finds the row of a life.
-func (a Account) Row(life string) (Row, bool) {
-	return lo.Find(a.Rows, func(r Row) bool { return r.Life == life })
+// Row returns the row of an incarnation.
+func (a Account) Row(incarnation string) (Row, bool) {
+	return lo.Find(a.Rows, func(r Row) bool { return r.Life == incarnation })
 }
 
 // WithRow returns the account with one row replaced or added.
@@ -78,8 +78,8 @@
 	return a
 }
 
-// WithClosed returns the account with the rows of ended lives moved to what is
-// closed: all they had drawn counts as spent.
+// WithClosed returns the account with the rows of ended incarnations added to the closed
+// amounts: all they had drawn counts as spent.
 func (a Account) WithClosed(ended func(Row) bool) Account {
 	rows := make([]Row, 0, len(a.Rows))
 	for _, r := range a.Rows {
@@ -95,27 +95,27 @@
 	return a
 }
 
-// Drawn is all that was drawn and not given back.
+// Drawn returns what was drawn and not given back.
 func (a Account) Drawn() int64 {
 	return a.ClosedDrawn + lo.SumBy(a.Rows, func(r Row) int64 { return r.Drawn })
 }
 
-// Spent is what was reported as spent: at most what was spent in truth.
+// Spent returns what was reported as spent, which is at most what was really spent.
 func (a Account) Spent() int64 {
 	return a.ClosedSpent + lo.SumBy(a.Rows, func(r Row) int64 { return r.Spent })
 }
 
-// Remaining is what can still be spent, as far as the ledger tells: what nobody has
-// drawn, and what lives that go on hold. What an ended life had drawn beyond its
-// spending is lost: counted as left, it would have as much more held, and lost in turn.
+// Remaining returns what can still be spent as far as the ledger shows: the pool and what
+// running incarnations hold. What an ended incarnation had drawn beyond its spending is lost.
+// Counting it as remaining would raise what nodes hold, and that could be lost in turn.
 func (a Account) Remaining(prepaid int64) int64 {
 	return a.Pool(prepaid) + a.held()
 }
 
-// held is what lives hold of what they have drawn, as far as they reported.
+// held returns what incarnations still hold of what they have drawn, as far as reported.
 func (a Account) held() int64 {
 	return lo.SumBy(a.Rows, func(r Row) int64 { return max(r.Drawn-r.Spent-r.Granted, 0) })
 }
 
-// Pool is what can still be drawn.
+// Pool returns what can still be drawn.
 func (a Account) Pool(prepaid int64) int64 { return max(prepaid-a.Drawn(), 0) }
--- a/fleet/relay/account/model_test.go
+++ b/fleet/relay/account/model_test.go
@@ -15,53 +15,53 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// The model check drives allowances, one ledger and a lossy network through random
-// interleavings, and holds after each step that what all lives together have
-// spent and reserved is within the budget.
+// The model test drives allowances, one ledger and a lossy network through random interleavings.
+// After each step it checks that what all incarnations together have spent and reserved is within
+// the budget.
 
 const modelTenant = "tenant"
 
 // testStart is when the tests' clocks begin.
 var testStart = time.Unix(0, 0)
 
-// world is the whole of what the model knows.
+// world is the state of the model.
 type world struct {
-	random   *rand.Rand
-	now      time.Time
-	prepaid  int64
-	ledger   Ledger
-	revision store.Revision
-	late     []latePut
-	nodes    []*modelNode
-	grants   []modelGrant
-	dead     int64            // spent by lives that have ended; their reservations count as spent
-	closed   map[string]bool  // lives whose rows were closed
-	missing  int64            // for how much less rows were closed than their lives had taken
-	ended    map[string]int64 // what lives that have ended had spent, reserved and granted of what they drew
-	trail    []string
-	unread   error // why a ledger that was written would not be taken for a later one
+	random       *rand.Rand
+	now          time.Time
+	prepaid      int64
+	ledger       Ledger
+	revision     store.Revision
+	delayed      []delayedPut
+	nodes        []*modelNode
+	grants       []modelGrant
+	spentByEnded int64            // spent by ended incarnations; their reservations count as spent
+	closed       map[string]bool  // incarnations whose rows were closed
+	underClosed  int64            // tokens in use by incarnations beyond the amount their rows were closed with
+	ended        map[string]int64 // tokens spent, reserved and granted by ended incarnations
+	steps        []string         // steps taken
+	invalid      error            // set if a written ledger would not be accepted as a later one
 }
 
 type modelNode struct {
-	name      string
-	life      int
-	allowance *Allowance
-	seen      Ledger
-	revision  store.Revision
-	calls     []int64
-	leaving   bool
+	name        string
+	incarnation int
+	allowance   *Allowance
+	read        Ledger
+	revision    store.Revision
+	calls       []int64
+	leaving     bool
 }
 
-type latePut struct {
+type delayedPut struct {
 	base   store.Revision
 	ledger Ledger
-	closes string // the life that closes itself with it; "" is none
+	closes string // incarnation that closes itself with this write, or ""
 }
 
 type modelGrant struct {
-	to     *modelNode
-	life   int
-	tokens int64
+	to          *modelNode
+	incarnation int
+	tokens      int64
 }
 
 func newWorld(seed uint64) *world {
@@ -70,7 +70,7 @@
 		ended: map[string]int64{}, closed: map[string]bool{},
 	}
 	if seed%2 == 1 {
-		w.prepaid *= 100 // so much that reserves are never out
+		w.prepaid *= 100 // so that the reserve never runs out
 	}
 	for i := range 4 {
 		n := &modelNode{name: fmt.Sprint("node-", i)}
@@ -81,10 +81,10 @@
 }
 
 func (w *world) start(n *modelNode) {
-	n.life++
-	n.allowance = NewAllowance(n.name, fmt.Sprint(n.name, "/", n.life), DefaultTuning())
+	n.incarnation++
+	n.allowance = NewAllowance(n.name, fmt.Sprint(n.name, "/", n.incarnation), DefaultTuning())
 	n.allowance.Budget(map[string]int64{modelTenant: w.prepaid})
-	n.seen, n.revision, n.calls, n.leaving = Ledger{}, 0, nil, false
+	n.read, n.revision, n.calls, n.leaving = Ledger{}, 0, nil, false
 	w.read(n)
 }
 
@@ -98,7 +98,7 @@
 		do     func(*modelNode)
 	}{
 		{30, "reserve", w.reserve}, {30, "settle", w.settle}, {12, "write", w.write}, {6, "read", w.read}, {8, "acquire", w.acquire},
-		{6, "grant", w.deliver}, {2, "grant lost", w.loseGrant}, {3, "late write", w.applyLate}, {2, "kill", w.kill},
+		{6, "grant", w.deliver}, {2, "grant lost", w.loseGrant}, {3, "late write", w.applyDelayed}, {2, "kill", w.kill},
 		{1, "leave", w.leave}, {1, "raise", w.raise}, {1, "kill all", w.killAll}, {2, "wait", w.wait}, {4, "burst", w.burst},
 	}
 	total := 0
@@ -108,7 +108,7 @@
 	draw := w.random.IntN(total)
 	for _, s := range steps {
 		if draw < s.weight {
-			w.trail = append(w.trail, s.name+" "+n.name)
+			w.steps = append(w.steps, s.name+" "+n.name)
 			s.do(n)
 			return
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-// burst takes all that a node may spend.
+// burst reserves everything that a node may spend.
 func (w *world) burst(n *modelNode) {
 	for range 30 {
 		w.reserve(n)
@@ -141,53 +141,53 @@
 }
 
 func (w *world) read(n *modelNode) {
-	n.seen, n.revision = w.ledger, w.revision
+	n.read, n.revision = w.ledger, w.revision
 	n.allowance.Saw(w.ledger, w.revision)
 }
 
-// write makes a conditional write, whose effect or answer may be lost or late.
+// write makes a conditional write. The write may be lost or delayed, or its answer lost.
 func (w *world) write(n *modelNode) {
-	next, worth := n.allowance.Propose(n.seen, Round{Nodes: len(w.nodes), Now: w.now, All: true, Leaving: n.leaving})
+	next, worth := n.allowance.Propose(n.read, Round{Nodes: len(w.nodes), Now: w.now, Draws: true, Leaving: n.leaving})
 	if !worth && !n.leaving {
 		return
 	}
-	put := latePut{base: n.revision, ledger: next}
+	put := delayedPut{base: n.revision, ledger: next}
 	if n.allowance.quota(modelTenant).closed {
-		put.closes = n.allowance.life
+		put.closes = n.allowance.incarnation
 	}
 	switch w.random.IntN(8) {
-	case 0: // never arrives
-	case 1: // arrives later
-		w.late = append(w.late, put)
-	case 2: // takes effect, the answer is lost
+	case 0: // lost
+	case 1: // delayed
+		w.delayed = append(w.delayed, put)
+	case 2: // takes effect, but the answer is lost
 		w.put(put)
 	default:
 		if w.put(put) {
-			n.allowance.Answered()
+			n.allowance.ShortfallProposed()
 			w.read(n)
 		}
 	}
 }
 
-func (w *world) put(p latePut) bool {
+func (w *world) put(p delayedPut) bool {
 	if p.base != w.revision {
 		return false
 	}
 	before := w.ledger.Account(modelTenant)
-	w.unread = errors.CombineErrors(w.unread, isLater(w.ledger, p.ledger))
+	w.invalid = errors.CombineErrors(w.invalid, isLater(w.ledger, p.ledger))
 	w.ledger, w.revision = p.ledger, w.revision+1
 	after := w.ledger.Account(modelTenant)
-	w.missing += w.underClosed(p, before, after)
+	w.underClosed += w.closedShort(p, before, after)
 	return true
 }
 
-func (w *world) applyLate(*modelNode) {
-	if len(w.late) == 0 {
+func (w *world) applyDelayed(*modelNode) {
+	if len(w.delayed) == 0 {
 		return
 	}
-	i := w.random.IntN(len(w.late))
-	p := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	i := w.random.IntN(len(w.delayed))
+	p := w.delayed[i]
+	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	w.put(p)
 }
 
@@ -198,7 +198,7 @@
 	}
 	need := int64(w.random.IntN(4000) + 1)
 	if tokens := from.allowance.Grant(modelTenant, need, 3*need); tokens > 0 {
-		w.grants = append(w.grants, modelGrant{to: n, life: n.life, tokens: tokens})
+		w.grants = append(w.grants, modelGrant{to: n, incarnation: n.incarnation, tokens: tokens})
 	}
 }
 
@@ -213,7 +213,7 @@
 }
 
 func (w *world) deliver(*modelNode) {
-	if g, ok := w.takeGrant(); ok && g.life == g.to.life {
+	if g, ok := w.takeGrant(); ok && g.incarnation == g.to.incarnation {
 		g.to.allowance.Receive(modelTenant, g.tokens)
 	}
 }
@@ -221,12 +221,12 @@
 func (w *world) loseGrant(*modelNode) { w.takeGrant() }
 
 func (w *world) kill(n *modelNode) {
-	w.dead += n.spent()
-	w.ended[n.allowance.life] = n.busy()
+	w.spentByEnded += n.spent()
+	w.ended[n.allowance.incarnation] = n.busy()
 	w.start(n)
 }
 
-// wait passes some seconds in which nothing happens.
+// wait advances the clock by some seconds.
 func (w *world) wait(*modelNode) { w.now = w.now.Add(time.Duration(w.random.IntN(6)) * time.Second) }
 
 func (w *world) killAll(*modelNode) {
@@ -238,7 +238,7 @@
 	}
 }
 
-// leave is a planned stop: some time later the life ends.
+// leave begins a planned stop, or ends the incarnation if it has already begun.
 func (w *world) leave(n *modelNode) {
 	if n.leaving {
 		w.kill(n)
@@ -257,42 +257,42 @@
 	}
 }
 
-// spent is what the life has spent, with its open calls at their most.
+// spent returns what the incarnation has spent, with open calls counted at their maximum.
 func (n *modelNode) spent() int64 {
 	n.allowance.mu.Lock()
 	defer n.allowance.mu.Unlock()
-	k := n.allowance.quota(modelTenant)
-	return k.spent + k.reserved
+	q := n.allowance.quota(modelTenant)
+	return q.spent + q.reserved
 }
 
 func (w *world) spent() int64 {
-	total := w.dead
+	total := w.spentByEnded
 	for _, n := range w.nodes {
 		total += n.spent()
 	}
 	return total
 }
 
-// busy is what the life has taken of what it drew.
+// busy returns the tokens in use of what the incarnation drew.
 func (n *modelNode) busy() int64 {
 	n.allowance.mu.Lock()
 	defer n.allowance.mu.Unlock()
 	return n.allowance.quota(modelTenant).busy()
 }
 
-// busyOf is what a life has taken of what it drew.
-func (w *world) busyOf(life string) int64 {
+// busyOf returns the tokens in use of what an incarnation, running or ended, drew.
+func (w *world) busyOf(incarnation string) int64 {
 	for _, n := range w.nodes {
-		if n.allowance.life == life {
+		if n.allowance.incarnation == incarnation {
 			return n.busy()
 		}
 	}
-	return w.ended[life]
+	return w.ended[incarnation]
 }
 
-// underClosed is by how much rows that a write closed were closed for less than
-// their lives had taken.
-func (w *world) underClosed(p latePut, before, after Account) int64 {
+// closedShort returns how many tokens in use exceed the amounts with which a write closed their
+// rows.
+func (w *world) closedShort(p delayedPut, before, after Account) int64 {
 	taken := int64(0)
 	for _, r := range before.Rows {
 		if _, open := after.Row(r.Life); !open {
@@ -307,7 +307,7 @@
 	return max(taken-(after.ClosedDrawn-before.ClosedDrawn), 0)
 }
 
-// isLater is why a ledger, as it is stored, can't be a later one than another.
+// isLater returns an error if a ledger, in its stored form, can't be a later version of another.
 func isLater(before, after Ledger) error {
 	data, err := json.Marshal(after)
 	if err != nil {
@@ -320,22 +320,21 @@
 	return read.Follows(before)
 }
 
-// check fails the test where the budget was exceeded, or where rows were closed
-// for less than their lives had taken.
+// check fails the test if the budget was exceeded, or rows were closed with less than their
+// incarnations had in use.
 func (w *world) check(t *testing.T, seed uint64, step int) {
 	t.Helper()
-	require.NoErrorf(t, w.unread, "seed %d, step %d: a ledger that nodes wrote is not taken", seed, step)
+	require.NoErrorf(t, w.invalid, "seed %d, step %d: a ledger written by nodes is rejected", seed, step)
 	account := w.ledger.Account(modelTenant)
-	if w.spent() <= w.prepaid && account.Drawn() <= w.prepaid && w.missing == 0 {
+	if w.spent() <= w.prepaid && account.Drawn() <= w.prepaid && w.underClosed == 0 {
 		return
 	}
-	from := max(len(w.trail)-40, 0)
-	require.Failf(t, "budget exceeded", "seed %d, step %d: spent %d, drawn %d of %d, closed for %d less than was taken\nlast steps: %v",
-		seed, step, w.spent(), account.Drawn(), w.prepaid, w.missing, w.trail[from:])
+	from := max(len(w.steps)-40, 0)
+	require.Failf(t, "budget exceeded", "seed %d, step %d: spent %d, drawn %d of %d, rows closed with %d too little\nlast steps: %v",
+		seed, step, w.spent(), account.Drawn(), w.prepaid, w.underClosed, w.steps[from:])
 }
 
-// modelSteps is how many steps a run takes in all; LYNXSHED_MODEL_STEPS asks
-// for a longer run by hand.
+// modelSteps returns the number of steps of a test run. LYNXSHED_MODEL_STEPS overrides it.
 func modelSteps() int {
 	if n, err := strconv.Atoi(os.Getenv("LYNXSHED_MODEL_STEPS")); err == nil {
 		return n
--- a/fleet/relay/account/propose.go
+++ b/fleet/relay/account/propose.go
@@ -7,80 +7,79 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Saw takes in the ledger as the store holds it. Only a newer revision tells what
-// became of proposals: until then the least of them bounds what is spent.
-func (p *Allowance) Saw(b Ledger, revision store.Revision) {
+// Saw applies the ledger that the store holds. Only a newer revision shows the outcome of
+// proposals: until then the lowest of them bounds what may be spent.
+func (p *Allowance) Saw(l Ledger, revision store.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if revision <= p.revision {
 		return
 	}
 	p.revision = revision
-	for tenant, k := range p.quotas {
-		a := b.Account(tenant)
-		row, _ := a.Row(p.life)
-		k.limit = row.Drawn
-		k.pool = a.Pool(k.prepaid)
-		k.left = k.prepaid - a.Spent()
-		k.estimate = a.Remaining(k.prepaid)
+	for tenant, q := range p.quotas {
+		a := l.Account(tenant)
+		row, _ := a.Row(p.incarnation)
+		q.limit = row.Drawn
+		q.pool = a.Pool(q.prepaid)
+		q.left = q.prepaid - a.Spent()
+		q.estimate = a.Remaining(q.prepaid)
 	}
 }
 
-// Round is what a proposal depends on beside the ledger and the allowance.
+// Round is what a proposal depends on besides the ledger and the allowance.
 type Round struct {
-	Nodes   int // that draw from the ledger
+	Nodes   int // nodes that draw from the ledger
 	Now     time.Time
-	All     bool // this node draws; else it only gives back what it drew before
-	Leaving bool // it is about to end: all that is not in use goes back
-	Waits   bool // nothing is drawn yet: others may have drawn what the ledger does not say
+	Draws   bool // this node draws; otherwise it only gives back what it drew before
+	Leaving bool // the node is about to stop: everything that is not in use is given back
+	Paused  bool // nothing may be drawn yet: the ledger may lack what others have drawn
 }
 
-// Propose returns the ledger as this node would have it, and whether that is
-// worth a write. What it gives back is out of the allowance from now on, whatever
-// becomes of the write.
-func (p *Allowance) Propose(b Ledger, r Round) (Ledger, bool) {
+// Propose returns the ledger that this node wants to write, and whether that is worth a write.
+// What it gives back is removed from the allowance at once, whether or not the write succeeds.
+func (p *Allowance) Propose(l Ledger, r Round) (Ledger, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	worth := false
+	worthWrite := false
 	for _, tenant := range p.tenants() {
-		k := p.quotas[tenant]
-		a := b.Account(tenant).WithClosed(p.isEarlierLife)
-		before, known := a.Row(p.life)
-		if k.closed && !known || !r.All && !known {
+		q := p.quotas[tenant]
+		a := l.Account(tenant).WithClosed(p.isEarlierIncarnation)
+		before, known := a.Row(p.incarnation)
+		if q.closed && !known || !r.Draws && !known {
 			continue
 		}
-		after := Row{Node: p.node, Life: p.life, Spent: k.spent, Granted: k.granted}
-		after.Drawn = p.wanted(k, a, before.Drawn, r)
-		matters := p.matters(k, before, after)
+		after := Row{Node: p.node, Life: p.incarnation, Spent: q.spent, Granted: q.granted}
+		after.Drawn = p.wantedDrawn(q, a, before.Drawn, r)
+		worthIt := p.worthWriting(q, before, after)
 		if after == before && !r.Leaving || !known && after.Drawn == 0 {
 			continue
 		}
-		worth = worth || matters
-		k.limit = min(k.limit, after.Drawn)
+		worthWrite = worthWrite || worthIt
+		q.limit = min(q.limit, after.Drawn)
 		a = a.WithRow(after)
-		a.Rate = k.asked(r.Now)
-		if r.Leaving && k.reserved == 0 {
-			k.closed = true
-			a = a.WithClosed(func(r Row) bool { return r.Life == p.life })
+		a.Rate = q.fleetRate(r.Now)
+		if r.Leaving && q.reserved == 0 {
+			q.closed = true
+			a = a.WithClosed(func(r Row) bool { return r.Life == p.incarnation })
 		}
-		b = b.WithAccount(a)
+		l = l.WithAccount(a)
 	}
-	return b, worth
+	return l, worthWrite
 }
 
-// asked is how many tokens a second all nodes together are asked for, as far as is known.
-func (p *quota) asked(now time.Time) int64 {
-	return int64(max(p.demand.steady(now)+p.others, p.demand.fast+p.clientsFast))
+// fleetRate returns the known demand on all nodes together, in tokens a second.
+func (q *quota) fleetRate(now time.Time) int64 {
+	return int64(max(q.demand.steady(now)+q.others, q.demand.fast+q.dependentsFast))
 }
 
-// Answered notes that what reservations lacked was proposed, and the proposal
-// written or not worth a write.
-func (p *Allowance) Answered() {
+// ShortfallProposed resets the shortfall: it was proposed, and the proposal was written or not worth a
+// write.
+func (p *Allowance) ShortfallProposed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.shortfall = false
-	for _, k := range p.quotas {
-		k.shortfall = 0
+	for _, q := range p.quotas {
+		q.shortfall = 0
 	}
 }
 
@@ -93,46 +92,48 @@
 	return names
 }
 
-// isEarlierLife is true for rows of this VM's lives before this one: they have
+// isEarlierIncarnation reports whether a row belongs to an earlier incarnation on this VM. Those have
 // ended, since a VM runs one process at a time.
-func (p *Allowance) isEarlierLife(r Row) bool { return r.Node == p.node && r.Life != p.life }
+func (p *Allowance) isEarlierIncarnation(r Row) bool {
+	return r.Node == p.node && r.Life != p.incarnation
+}
 
-// wanted is what the row should say as drawn.
-func (p *Allowance) wanted(k *quota, a Account, drawn int64, r Round) int64 {
-	busy := k.busy()
+// wantedDrawn returns the amount drawn that the row should show.
+func (p *Allowance) wantedDrawn(q *quota, a Account, drawn int64, r Round) int64 {
+	busy := q.busy()
 	if r.Leaving {
 		return busy
 	}
-	target := k.shortfall
-	if r.All {
-		target += p.tuning.target(k, r.Nodes, p.outage.expected(r.Now), r.Now)
+	target := q.shortfall
+	if r.Draws {
+		target += p.tuning.target(q, r.Nodes, p.outage.expected(r.Now), r.Now)
 	}
 	free := drawn - busy
-	pool := a.Pool(k.prepaid)
+	pool := a.Pool(q.prepaid)
 	switch {
-	case free < target && r.Waits:
+	case free < target && r.Paused:
 		return drawn
 	case free < target:
-		return drawn + max(p.tuning.share(k, pool, r.Nodes, target-free, r.Now), min(k.shortfall, pool))
-	case over(a, k.prepaid) > 0:
-		return max(busy, drawn-over(a, k.prepaid))
-	case float64(free) > p.tuning.Surplus*float64(target) && free-target >= k.demand.typical():
+		return drawn + max(p.tuning.share(q, pool, r.Nodes, target-free, r.Now), min(q.shortfall, pool))
+	case overdrawn(a, q.prepaid) > 0:
+		return max(busy, drawn-overdrawn(a, q.prepaid))
+	case float64(free) > p.tuning.Surplus*float64(target) && free-target >= q.demand.typicalCall():
 		return busy + target
 	default:
 		return drawn
 	}
 }
 
-// over is how much more is drawn than a budget that was lowered holds.
-func over(a Account, prepaid int64) int64 { return max(a.Drawn()-prepaid, 0) }
+// overdrawn returns how much the amount drawn exceeds a budget that was lowered.
+func overdrawn(a Account, prepaid int64) int64 { return max(a.Drawn()-prepaid, 0) }
 
-// matters is whether a change of a row is worth a write.
-func (p *Allowance) matters(k *quota, before, after Row) bool {
+// worthWriting reports whether a change of a row is worth a write.
+func (p *Allowance) worthWriting(q *quota, before, after Row) bool {
 	if after.Drawn < before.Drawn {
 		return true
 	}
 	drawn := after.Drawn - before.Drawn
-	free := before.Drawn - k.busy()
-	return drawn > 0 && (k.shortfall > 0 || float64(drawn) > p.tuning.Step*float64(max(free+drawn, 1)) && drawn >= k.demand.typical()/2) ||
-		float64(after.Spent-before.Spent+after.Granted-before.Granted) > p.tuning.Report*float64(max(k.prepaid, 1))
+	free := before.Drawn - q.busy()
+	return drawn > 0 && (q.shortfall > 0 || float64(drawn) > p.tuning.MinDraw*float64(max(free+drawn, 1)) && drawn >= q.demand.typicalCall()/2) ||
+		float64(after.Spent-before.Spent+after.Granted-before.Granted) > p.tuning.MinReport*float64(max(q.prepaid, 1))
 }
--- a/fleet/relay/account/restoring.go
+++ b/fleet/relay/account/restoring.go
@@ -9,118 +9,118 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// How long nothing is drawn after the store came back from a copy.
+// How long nothing is drawn after the store was restored from a copy.
 const (
-	writeBackWait = time.Second     // for nodes that know more than the ledger says, once it was written back
-	unclaimedWait = 2 * time.Second // for a ledger that no node has written back, at a node that knows nothing of it
+	writeBackDelay = time.Second     // for other nodes to write back what they know
+	unclaimedDelay = 2 * time.Second // on a node without a known ledger, if no node has written it back
 )
 
-// newEra is whether the store came back from a copy since this node last read the ledger.
-func (k *Syncer) newEra() bool {
-	return store.Revision(k.lastRead.Load()).IsOfEraBefore(store.At(k.era(), 0))
+// newEra reports whether the store was restored from a copy since this node last read the ledger.
+func (s *Syncer) newEra() bool {
+	return store.Revision(s.lastRead.Load()).IsOfEraBefore(store.At(s.era(), 0))
 }
 
-// sawNone takes in that the store has no ledger.
-func (k *Syncer) sawNone() error {
-	if at := store.At(k.era(), 0); k.revision.Era() < at.Era() {
-		k.take(Ledger{}, at)
+// receiveNone records that the store has no ledger.
+func (s *Syncer) receiveNone() error {
+	if at := store.At(s.era(), 0); s.revision.Era() < at.Era() {
+		s.apply(Ledger{}, at)
 		return nil
 	}
-	k.ledger, k.shown, k.revision, k.fresh = Ledger{}, Ledger{}, store.At(k.era(), 0), true
-	k.lastRead.Store(int64(k.revision))
+	s.ledger, s.stored, s.revision, s.fresh = Ledger{}, Ledger{}, store.At(s.era(), 0), true
+	s.lastRead.Store(int64(s.revision))
 	return nil
 }
 
-// take takes in the ledger that the store holds.
-func (k *Syncer) take(b Ledger, at store.Revision) {
-	if k.revision.IsOfEraBefore(at) {
-		k.restored(b, at)
+// apply applies the ledger that the store holds.
+func (s *Syncer) apply(l Ledger, at store.Revision) {
+	if s.revision.IsOfEraBefore(at) {
+		s.restored(l, at)
 	}
-	if k.revision == 0 {
-		k.firstSeen(b, at)
+	if s.revision == 0 {
+		s.firstRead(l, at)
 	}
-	k.shown = b
-	if k.earlier.Revision > 0 {
-		b = k.withEarlier(b, at)
+	s.stored = l
+	if s.earlier.Revision > 0 {
+		l = s.mergeEarlier(l, at)
 	}
-	k.ledger, k.revision, k.fresh = b, at, true
-	k.lastRead.Store(int64(at))
-	k.allowance.Saw(b, at)
+	s.ledger, s.revision, s.fresh = l, at, true
+	s.lastRead.Store(int64(at))
+	s.allowance.Saw(l, at)
 }
 
-// firstSeen has a node that knows nothing of a ledger which went through a copy wait for
-// those that know more.
-func (k *Syncer) firstSeen(b Ledger, at store.Revision) {
+// firstRead delays draws where the first ledger that this node reads went through a copy, so that
+// nodes that know more can write it back.
+func (s *Syncer) firstRead(l Ledger, at store.Revision) {
 	switch {
-	case b.Origin.isCopy(at):
-		k.waits = clock.Now().Add(unclaimedWait)
-		k.log.WithFields(k.originFields(b, at)).Warn("accounts: the ledger comes from a copy, and this node knows nothing of what was drawn since: nothing is drawn until others had the time to write it back")
-	case b.Origin.Base > 0:
-		k.waits = clock.Now().Add(writeBackWait)
+	case l.Origin.isCopy(at):
+		s.pausedUntil = clock.Now().Add(unclaimedDelay)
+		s.log.WithFields(s.originFields(l, at)).Warn("accounts: ledger was restored from a copy and this node has no newer one: drawing is paused so that other nodes can write theirs back")
+	case l.Origin.Base > 0:
+		s.pausedUntil = clock.Now().Add(writeBackDelay)
 	}
 }
 
-// restored notes that the store came back from a copy since the ledger was last seen.
-func (k *Syncer) restored(b Ledger, at store.Revision) {
-	if k.earlier.Revision == 0 { // else what was known before is in the ledger, and not written back yet
-		k.earlier.Revision = k.revision
+// restored records that the store was restored from a copy since the ledger was last read.
+func (s *Syncer) restored(l Ledger, at store.Revision) {
+	if s.earlier.Revision == 0 { // otherwise the ledger contains what was known before, not written back yet
+		s.earlier.Revision = s.revision
 	}
-	k.earlier.Ledger = k.ledger
-	k.waits = clock.Now().Add(writeBackWait)
-	k.log.WithFields(k.originFields(b, at)).WithField("known", k.revision.Number()).WithField("knownEra", k.revision.Era()).
-		WithField("included", b.Includes(k.earlier, at)).Warn("accounts: the store came back from a copy, what this node knows is written back")
+	s.earlier.Ledger = s.ledger
+	s.pausedUntil = clock.Now().Add(writeBackDelay)
+	s.log.WithFields(s.originFields(l, at)).WithField("known", s.revision.Number()).WithField("knownEra", s.revision.Era()).
+		WithField("included", l.Includes(s.earlier, at)).Warn("accounts: store was restored from a copy: writing back the ledger known to this node")
 }
 
-func (k *Syncer) originFields(b Ledger, at store.Revision) log.Fields {
+func (s *Syncer) originFields(l Ledger, at store.Revision) log.Fields {
 	return log.Fields{
-		"revision": at.Number(), "era": at.Era(), "writtenInEra": b.Origin.Era, "told": b.Origin.Told, "base": b.Origin.Base.Number(), "baseEra": b.Origin.Base.Era(),
+		"revision": at.Number(), "era": at.Era(), "writtenInEra": l.Origin.Era, "told": l.Origin.Recorded, "base": l.Origin.Base.Number(), "baseEra": l.Origin.Base.Era(),
 	}
 }
 
-// withEarlier returns the ledger with what this node knows of an era that is over, which is
-// forgotten once the store's ledger holds it.
-func (k *Syncer) withEarlier(b Ledger, at store.Revision) Ledger {
-	limits := k.allowance.Limits()
-	if b.Origin.Told && b.Origin.Era == at.Era() && b.Includes(k.earlier, at) && b.holds(k.allowance.life, limits) {
-		k.earlier = Known{}
-		return b
+// mergeEarlier returns the ledger merged with what this node knows of an earlier era. That is
+// dropped once the store's ledger contains it.
+func (s *Syncer) mergeEarlier(l Ledger, at store.Revision) Ledger {
+	limits := s.allowance.Limits()
+	if l.Origin.Recorded && l.Origin.Era == at.Era() && l.Includes(s.earlier, at) && l.showsLimits(s.allowance.incarnation, limits) {
+		s.earlier = KnownLedger{}
+		return l
 	}
-	return b.With(k.earlier, at).WithHeld(k.allowance.node, k.allowance.life, limits)
+	return l.Merge(s.earlier, at).WithLimits(s.allowance.node, s.allowance.incarnation, limits)
 }
 
-// holds is whether a ledger says what a life may spend.
-func (b Ledger) holds(life string, limits map[string]int64) bool {
+// showsLimits reports whether a ledger shows the limits of an incarnation.
+func (l Ledger) showsLimits(incarnation string, limits map[string]int64) bool {
 	for tenant, limit := range limits {
-		if row, known := b.Account(tenant).Row(life); !row.says(limit, known) {
+		if row, known := l.Account(tenant).Row(incarnation); !row.shows(limit, known) {
 			return false
 		}
 	}
 	return true
 }
 
-// writesBack is whether the ledger is to be written though nothing is to be drawn: the
-// store's lacks what this node knows, or nobody has written it since it came from a copy.
-func (k *Syncer) writesBack(now time.Time) bool {
-	if k.earlier.Revision > 0 {
+// writesBack reports whether the ledger is to be written even if nothing is to be drawn: it lacks
+// what this node knows, or no node has written it since it was restored from a copy.
+func (s *Syncer) writesBack(now time.Time) bool {
+	if s.earlier.Revision > 0 {
 		return true
 	}
-	return k.isCopy() && !now.Before(k.waits)
+	return s.isCopy() && !now.Before(s.pausedUntil)
 }
 
-// claimed is the ledger on which this node's proposal rests.
-func (k *Syncer) claimed(now time.Time) Ledger {
-	if k.earlier.Revision > 0 || !k.isCopy() || now.Before(k.waits) {
-		return k.ledger
+// proposalBase returns the ledger on which this node bases its proposal.
+func (s *Syncer) proposalBase(now time.Time) Ledger {
+	if s.earlier.Revision > 0 || !s.isCopy() || now.Before(s.pausedUntil) {
+		return s.ledger
 	}
-	b := k.ledger.Unclaimed(k.allowance.tuning)
-	k.log.WithFields(k.originFields(b, k.revision)).WithField("tokens", b.beyond(k.ledger)).Warn("accounts: no node has written the ledger back: what may have been drawn since the copy was made counts as spent")
-	return b
+	l := s.ledger.WithUnclaimed(s.allowance.tuning)
+	s.log.WithFields(s.originFields(l, s.revision)).WithField("tokens", l.drawnBeyond(s.ledger)).Warn("accounts: no node has written the ledger back: tokens possibly drawn since the copy count as spent")
+	return l
 }
 
-// beyond is how much more of each budget a ledger says was drawn than another.
-func (b Ledger) beyond(other Ledger) map[string]int64 {
+// drawnBeyond returns by tenant how much more the ledger shows as drawn than another one.
+func (l Ledger) drawnBeyond(other Ledger) map[string]int64 {
 	more := map[string]int64{}
-	for _, a := range b.Accounts {
+	for _, a := range l.Accounts {
 		if tokens := a.Drawn() - other.Account(a.Tenant).Drawn(); tokens > 0 {
 			more[a.Tenant] = tokens
 		}
@@ -128,12 +128,12 @@
 	return more
 }
 
-// isCopy is whether nobody has written the ledger since it came from a copy.
-func (k *Syncer) isCopy() bool {
-	return k.shown.Origin.isCopy(k.revision)
+// isCopy reports whether no node has written the ledger since it was restored from a copy.
+func (s *Syncer) isCopy() bool {
+	return s.stored.Origin.isCopy(s.revision)
 }
 
-// mayNotDraw is whether other nodes may have drawn what the ledger does not say.
-func (k *Syncer) mayNotDraw(now time.Time) bool {
-	return now.Before(k.waits) || k.earlier.Revision > 0
+// drawingPaused reports whether drawing is paused, since the ledger may lack what others have drawn.
+func (s *Syncer) drawingPaused(now time.Time) bool {
+	return now.Before(s.pausedUntil) || s.earlier.Revision > 0
 }
--- a/fleet/relay/account/turns_test.go
+++ b/fleet/relay/account/slots_test.go
@@ -7,31 +7,31 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// In a cycle each writer has one turn, nobody two, and none has another's.
-func TestTurns(t *testing.T) {
+// Guards against slots that overlap, and against a writer that waits for more than one cycle.
+func TestSlots(t *testing.T) {
 	const length = 75 * time.Millisecond
 	cases := []struct {
 		name string
 		of   int
-	}{{"nobody else", 1}, {"two", 2}, {"twelve", 12}, {"forty", 40}}
+	}{{"no others", 1}, {"two", 2}, {"twelve", 12}, {"forty", 40}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for at := time.Duration(0); at < time.Duration(c.of)*length; at += time.Millisecond {
 				now := testStart.Add(at)
-				turns := 0
+				begun := 0
 				for i := range c.of {
-					turn := Turn{Word: testStart, After: i, Of: c.of, Length: length}
-					wait := turn.wait(now)
+					slot := Turn{Word: testStart, After: i, Of: c.of, Length: length}
+					wait := slot.wait(now)
 					assert.LessOrEqual(t, wait, time.Duration(c.of)*length)
 					if wait == 0 {
-						turns++
+						begun++
 					}
-					assert.Zero(t, turn.wait(now.Add(wait)), "it is its turn then")
+					assert.Zero(t, slot.wait(now.Add(wait)), "the slot has begun")
 				}
-				assert.LessOrEqual(t, turns, 1)
+				assert.LessOrEqual(t, begun, 1)
 			}
 		})
 	}
 	assert.Zero(t, Turn{}.wait(testStart))
-	assert.Zero(t, Turn{After: 5, Of: 12, Length: length}.wait(testStart), "nobody wrote yet")
+	assert.Zero(t, Turn{After: 5, Of: 12, Length: length}.wait(testStart), "no write yet")
 }
--- a/fleet/relay/account/syncer.go
+++ b/fleet/relay/account/syncer.go
@@ -16,120 +16,121 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Where the ledger lies.
+// Kind and name of the ledger in the store.
 const (
 	Kind       = "lynxshed-accounts"
-	ledgerName = "book" // the stored name is older than the type's: budgets lie under it, so it stays
+	ledgerName = "book" // can't change: existing budgets are stored under it
 )
 
-// How often a syncer looks at the allowance and writes the ledger: the more nodes
-// write, the longer each waits, since all write one object.
+// How often a syncer checks the allowance and writes the ledger. Intervals grow with the number of
+// nodes, since all write one object.
 const (
-	tick          = 150 * time.Millisecond
-	calmPace      = 1100 * time.Millisecond // between writes that no request waits for, at least
-	calmPerNode   = 250 * time.Millisecond
-	lowPace       = 500 * time.Millisecond // where a holding is far below its target
-	lowPerNode    = 80 * time.Millisecond
-	urgentPace    = 300 * time.Millisecond // where requests lacked tokens lately
-	urgentPerNode = 50 * time.Millisecond
-	askedPace     = 100 * time.Millisecond // where one waits
-	askedPerNode  = 10 * time.Millisecond
-	conflictPause = 5 * time.Millisecond // for each node that writes, at most
-	conflicts     = 3                    // tries in a row before the syncer pauses, out of turn
+	checkInterval   = 150 * time.Millisecond
+	idleInterval    = 1100 * time.Millisecond // minimum between writes that no request waits for
+	idlePerNode     = 250 * time.Millisecond
+	lowInterval     = 500 * time.Millisecond // while a holding is far below its target
+	lowPerNode      = 80 * time.Millisecond
+	urgentInterval  = 300 * time.Millisecond // after requests lacked tokens
+	urgentPerNode   = 50 * time.Millisecond
+	waitingInterval = 100 * time.Millisecond // while a request waits
+	waitingPerNode  = 10 * time.Millisecond
+	conflictPause   = 5 * time.Millisecond // maximum, per writing node
+	maxConflicts    = 3                    // attempts in a row before the syncer pauses, outside of slots
 )
 
-// Bounds of the syncer's waits.
+// Timeouts and limits of the syncer.
 const (
 	callTimeout = 700 * time.Millisecond
-	drawWait    = 60 * time.Millisecond // that a request waits for a draw
-	waitingAsks = 64
-	always      = time.Minute // longer than a round
-	backoffMax  = 2 * time.Second
+	drawTimeout = 60 * time.Millisecond // how long a request waits for a draw
+	maxWaiting  = 64                    // requests that may wait for a draw
+	noLimit     = time.Minute           // longer than a round
+	maxBackoff  = 2 * time.Second
 
-	unreadablePause = time.Second // before a ledger that can't be read is read again
+	unreadablePause = time.Second // before an unreadable ledger is read again
 )
 
-// Writers are the other nodes that write the ledger. Each write but the first after
-// another's would conflict, only to learn of that one, so they tell each other.
+// Writers connects the nodes that write the ledger. Without it, each write after another node's
+// write would conflict just to learn of that one.
 type Writers interface {
-	// Newer returns the ledger's object where another writer has a newer one.
+	// Newer returns the ledger's object if another writer has a newer one.
 	Newer(ctx context.Context, revision store.Revision) (store.Object, bool)
-	// Wrote tells the others of a newer one, and keeps it for them.
+	// Wrote announces a newer object to the other writers and keeps it for them.
 	Wrote(o store.Object)
 }
 
 // Syncer moves tokens between the store's ledger and an allowance.
 type Syncer struct {
-	store     store.Store
-	allowance *Allowance
-	nodes     func() int
-	writes    func() bool // whether this node draws every budget, or acquires from those that do
-	writers   Writers
-	turn      func() Turn
-	heard     <-chan struct{} // another writer wrote: turns begin anew
-	again     atomic.Int64    // ns from its begin in which a round that was overtaken is to end
-	health    *store.Health
-	log       log.Interface
-	faults    *store.Faults
-
-	asks chan chan struct{} // of requests that wait for a draw
-
-	stop     context.Context // ends when the node leaves, and with it a round that is under way
-	stopped  context.CancelFunc
-	rounds   sync.Mutex // one at a time
-	leaving  bool       // the node is leaving
-	ledger   Ledger     // as the store last showed it, with what this node knows of earlier eras
-	revision store.Revision
-	fresh    bool         // ledger and revision are as the store last showed them
-	era      func() int64 // of the store, the newest that is known
-	earlier  Known        // of an era that is over, until the store's ledger holds it
-	shown    Ledger       // as the store last showed it
-	waits    time.Time    // until then nothing is drawn: other nodes write back what they had drawn
-	last     time.Time
-	dropped  store.Dropped
-	answered time.Time    // when the store last answered, or this node last had nothing to ask
-	out      atomic.Bool  // the store does not answer
-	lastRead atomic.Int64 // revision, for whoever does not make the round
+	store       store.Store
+	allowance   *Allowance
+	nodes       func() int
+	writes      func() bool // whether this node draws from the ledger or acquires from nodes that do
+	writers     Writers
+	slot        func() Turn
+	written     <-chan struct{} // signals that another writer wrote, which resets the slots
+	retryWithin atomic.Int64    // ns from its start within which a round may retry after a conflict
+	health      *store.Health
+	log         log.Interface
+	faults      *store.Faults
+
+	draws chan chan struct{} // requests that wait for a draw
+
+	stop        context.Context // ends when the node leaves, which also ends a running round
+	cancel      context.CancelFunc
+	rounds      sync.Mutex // held during a round
+	leaving     bool       // the node is leaving
+	ledger      Ledger     // last read from the store, merged with what this node knows of earlier eras
+	revision    store.Revision
+	fresh       bool         // ledger and revision are as last read from the store
+	era         func() int64 // newest known era of the store
+	earlier     KnownLedger  // ledger of an earlier era, until the store's ledger contains it
+	stored      Ledger       // last read from the store
+	pausedUntil time.Time    // end of the pause in which other nodes write back what they had drawn
+	lastRound   time.Time    // start of the last round
+	dropped     store.Dropped
+	answered    time.Time    // when the store last answered, or this node last had nothing to request
+	unavailable atomic.Bool  // the store does not answer
+	lastRead    atomic.Int64 // revision, for use outside of a round
 }
 
-// NewSyncer returns a syncer; nodes tells how many nodes share the budgets, and
-// writes whether this one draws from the ledger.
-func NewSyncer(s store.Store, p *Allowance, nodes func() int, writes func() bool, health *store.Health, l log.Interface) *Syncer {
-	stop, stopped := context.WithCancel(context.Background())
-	k := &Syncer{
-		store: s, allowance: p, nodes: nodes, writes: writes, writers: noWriters{}, turn: func() Turn { return Turn{} }, health: health, log: l, faults: store.NewFaults(l, nil),
-		asks: make(chan chan struct{}, waitingAsks), stop: stop, stopped: stopped, answered: clock.Now(), dropped: store.Dropped{Log: l}, era: func() int64 { return 0 },
+// NewSyncer returns a syncer. The function nodes returns how many nodes share the budgets, and
+// writes reports whether this one draws from the ledger.
+func NewSyncer(backend store.Store, p *Allowance, nodes func() int, writes func() bool, health *store.Health, l log.Interface) *Syncer {
+	stop, cancel := context.WithCancel(context.Background())
+	s := &Syncer{
+		store: backend, allowance: p, nodes: nodes, writes: writes, writers: noWriters{}, slot: func() Turn { return Turn{} }, health: health, log: l, faults: store.NewFaults(l, nil),
+		draws: make(chan chan struct{}, maxWaiting), stop: stop, cancel: cancel, answered: clock.Now(), dropped: store.Dropped{Log: l}, era: func() int64 { return 0 },
 	}
-	k.again.Store(int64(always))
-	return k
+	s.retryWithin.Store(int64(noLimit))
+	return s
 }
 
-// WithFaults has a ledger that can't be read told of together with the node's other entries.
-func (k *Syncer) WithFaults(f *store.Faults) *Syncer {
-	k.faults = f
-	return k
+// WithFaults reports an unreadable ledger together with the node's other faulty entries.
+func (s *Syncer) WithFaults(f *store.Faults) *Syncer {
+	s.faults = f
+	return s
 }
 
-// WithEras has the ledger written back where the store came back from a copy, before Run.
-func (k *Syncer) WithEras(e *store.Eras) *Syncer {
-	k.era = e.Newest
-	return k
+// WithEras enables writing the ledger back after the store was restored from a copy. Call it
+// before Run.
+func (s *Syncer) WithEras(e *store.Eras) *Syncer {
+	s.era = e.Newest
+	return s
 }
 
-// WithWriters has the syncer tell the other writers of the ledger, and hear of theirs.
-func (k *Syncer) WithWriters(w Writers) *Syncer {
-	k.writers = w
-	return k
+// WithWriters announces writes to the other writers of the ledger and receives theirs.
+func (s *Syncer) WithWriters(w Writers) *Syncer {
+	s.writers = w
+	return s
 }
 
-// WithTurns has the syncer write when it is this node's turn, unless a request waits;
-// heard tells that turns have changed.
-func (k *Syncer) WithTurns(turn func() Turn, heard <-chan struct{}) *Syncer {
-	k.turn, k.heard = turn, heard
-	return k
+// WithTurns restricts writes to this node's slots, unless a request waits. The channel written
+// signals that the slots have changed.
+func (s *Syncer) WithTurns(slot func() Turn, written <-chan struct{}) *Syncer {
+	s.slot, s.written = slot, written
+	return s
 }
 
-// noWriters is no other writer.
+// noWriters is used where there are no other writers.
 type noWriters struct{}
 
 func (noWriters) Newer(context.Context, store.Revision) (store.Object, bool) {
@@ -138,66 +139,66 @@
 func (noWriters) Wrote(store.Object) {}
 
 // Run keeps the allowance filled until ctx ends.
-func (k *Syncer) Run(ctx context.Context) {
-	timer := time.NewTimer(store.Jittered(tick))
+func (s *Syncer) Run(ctx context.Context) {
+	timer := time.NewTimer(store.Jittered(checkInterval))
 	defer timer.Stop()
 	backoff := time.Duration(0)
 	for ctx.Err() == nil {
-		var asks []chan struct{}
+		var draws []chan struct{}
 		select {
 		case <-ctx.Done():
 			return
-		case done := <-k.asks:
-			asks = k.waiting(done)
-		case <-k.heard:
+		case done := <-s.draws:
+			draws = s.collectDraws(done)
+		case <-s.written:
 		case <-timer.C:
-			timer.Reset(store.Jittered(tick))
+			timer.Reset(store.Jittered(checkInterval))
 		}
-		switch now, asked := clock.Now(), len(asks) > 0; {
-		case k.newEra() && backoff == 0: // out of turn, and whether or not there is something to draw
-			k.last = now
-			backoff = k.inTurn(ctx, now, backoff, true)
-		case now.Sub(k.last) < max(k.pace(asked), backoff):
-		case !asked && k.turn().wait(now) > 0:
-			timer.Reset(k.turn().wait(now))
+		switch now, waiting := clock.Now(), len(draws) > 0; {
+		case s.newEra() && backoff == 0: // outside of the slot, and even if there is nothing to draw
+			s.lastRound = now
+			backoff = s.runInSlot(ctx, now, backoff, true)
+		case now.Sub(s.lastRound) < max(s.writeInterval(waiting), backoff):
+		case !waiting && s.slot().wait(now) > 0:
+			timer.Reset(s.slot().wait(now))
 		default:
-			k.last = now
-			backoff = k.inTurn(ctx, now, backoff, asked)
+			s.lastRound = now
+			backoff = s.runInSlot(ctx, now, backoff, waiting)
 		}
-		for _, done := range asks {
+		for _, done := range draws {
 			close(done)
 		}
 	}
 }
 
-// waiting takes all requests that wait for a draw.
-func (k *Syncer) waiting(first chan struct{}) []chan struct{} {
-	pauseBriefly() // others may come with it
-	asks := []chan struct{}{first}
+// collectDraws collects all requests that wait for a draw.
+func (s *Syncer) collectDraws(first chan struct{}) []chan struct{} {
+	pauseBriefly() // more may arrive together with it
+	draws := []chan struct{}{first}
 	for {
 		select {
-		case done := <-k.asks:
-			asks = append(asks, done)
+		case done := <-s.draws:
+			draws = append(draws, done)
 		default:
-			return asks
+			return draws
 		}
 	}
 }
 
-// Draw has the ledger written now for a request that lacks a tenant's tokens, where
-// this node draws them, the store answers and there is something left to draw. It
-// returns when that is done, and soon where it takes long.
-func (k *Syncer) Draw(ctx context.Context, tenant string) {
-	if k.Out() || k.allowance.State(tenant).Pool <= 0 || !k.writes() {
+// Draw triggers a write of the ledger for a request that lacks a tenant's tokens, if this node
+// draws them, the store answers and the pool is not empty. It returns when the write is done, or
+// after a short timeout.
+func (s *Syncer) Draw(ctx context.Context, tenant string) {
+	if s.Out() || s.allowance.State(tenant).Pool <= 0 || !s.writes() {
 		return
 	}
 	done := make(chan struct{})
 	select {
-	case k.asks <- done:
-	default: // too many wait
+	case s.draws <- done:
+	default: // too many requests wait
 		return
 	}
-	timer := time.NewTimer(drawWait)
+	timer := time.NewTimer(drawTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -206,243 +207,244 @@
 	}
 }
 
-// pace is the time between writes: the more nodes write, the longer, so that
-// they seldom collide.
-func (k *Syncer) pace(asked bool) time.Duration {
+// writeInterval returns the interval between writes. It grows with the number of nodes, so that they
+// seldom collide.
+func (s *Syncer) writeInterval(waiting bool) time.Duration {
 	switch {
-	case asked:
-		return askedPace + time.Duration(k.nodes())*askedPerNode
-	case k.allowance.HasShortfall():
-		return urgentPace + time.Duration(k.nodes())*urgentPerNode
-	case k.allowance.Low(k.nodes(), clock.Now()):
-		return lowPace + time.Duration(k.nodes())*lowPerNode
+	case waiting:
+		return waitingInterval + time.Duration(s.nodes())*waitingPerNode
+	case s.allowance.HasShortfall():
+		return urgentInterval + time.Duration(s.nodes())*urgentPerNode
+	case s.allowance.Low(s.nodes(), clock.Now()):
+		return lowInterval + time.Duration(s.nodes())*lowPerNode
 	default:
-		return max(calmPace, time.Duration(k.nodes())*calmPerNode)
+		return max(idleInterval, time.Duration(s.nodes())*idlePerNode)
 	}
 }
 
-// inTurn makes one round. A write that was overtaken in its turn waits for the next one:
-// tried again at once it would overtake that of whoever has its turn now. One that a
-// request waits for is tried again where that may end while the request waits.
-func (k *Syncer) inTurn(ctx context.Context, now time.Time, backoff time.Duration, asked bool) time.Duration {
-	again := time.Duration(0)
+// runInSlot runs one round. A write that conflicts in its slot waits for the next slot, since an
+// immediate retry would conflict with the writer whose slot it is now. A write that a request
+// waits for is retried if that can finish while the request waits.
+func (s *Syncer) runInSlot(ctx context.Context, now time.Time, backoff time.Duration, waiting bool) time.Duration {
+	retryWithin := time.Duration(0)
 	switch {
-	case k.turn().cycle() == 0:
-		again = always
-	case asked:
-		again = drawWait
+	case s.slot().cycle() == 0:
+		retryWithin = noLimit
+	case waiting:
+		retryWithin = drawTimeout
 	}
-	k.again.Store(int64(again))
-	return k.round(ctx, now, backoff)
+	s.retryWithin.Store(int64(retryWithin))
+	return s.round(ctx, now, backoff)
 }
 
-func (k *Syncer) round(ctx context.Context, now time.Time, backoff time.Duration) time.Duration {
-	if k.stop.Err() != nil {
-		return 0 // the node is leaving, which may take its time
+func (s *Syncer) round(ctx context.Context, now time.Time, backoff time.Duration) time.Duration {
+	if s.stop.Err() != nil {
+		return 0 // Leave runs the last round
 	}
-	k.rounds.Lock()
-	defer k.rounds.Unlock()
-	if k.leaving || !k.writes() && !k.allowance.HoldsRow() && !k.Out() { // a node that is out goes on asking, to learn when it is not
-		k.answered = now // one that asks nothing can't tell of an outage
+	s.rounds.Lock()
+	defer s.rounds.Unlock()
+	// A node that gets no answer goes on, to notice the end of the outage.
+	if s.leaving || !s.writes() && !s.allowance.HoldsRow() && !s.Out() {
+		s.answered = now // a node without requests can't observe an outage
 		return 0
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(k.stop, cancel)()
-	err := k.settle(ctx, now, false)
+	defer context.AfterFunc(s.stop, cancel)()
+	err := s.sync(ctx, now, false)
 	unreadable := errors.Is(err, errUnreadable)
-	if err == nil || unreadable || errors.Is(err, store.ErrConflict) { // a conflict is an answer too
-		k.tell(false, nil)
-		k.answered = now
+	if err == nil || unreadable || errors.Is(err, store.ErrConflict) { // a conflict is an answer as well
+		s.setUnavailable(false, nil)
+		s.answered = now
 		return lo.Ternary(unreadable, unreadablePause, 0)
 	}
-	if k.health.Stood(now) {
-		return urgentPace // the round's time was over while the process stood still: the store is asked again first
+	if s.health.Stood(now) {
+		return urgentInterval // the round timed out because the process stalled: try the store again first
 	}
-	k.tell(true, err)
-	return min(max(2*backoff, urgentPace), backoffMax)
+	s.setUnavailable(true, err)
+	return min(max(2*backoff, urgentInterval), maxBackoff)
 }
 
-// Out is whether the store did not answer when it was last asked.
-func (k *Syncer) Out() bool { return k.out.Load() }
+// Out reports whether the store did not answer the last time.
+func (s *Syncer) Out() bool { return s.unavailable.Load() }
 
-// tell logs when the store is lost or reconnected.
-func (k *Syncer) tell(out bool, err error) {
-	if k.out.Swap(out) == out {
+// setUnavailable records whether the store is unavailable, and logs changes.
+func (s *Syncer) setUnavailable(unavailable bool, err error) {
+	if s.unavailable.Swap(unavailable) == unavailable {
 		return
 	}
-	entry := k.log.WithField("dependency", "store").WithField("revision", k.revision.Number())
-	if out {
-		k.health.Lost(Kind)
+	entry := s.log.WithField("dependency", "store").WithField("revision", s.revision.Number())
+	if unavailable {
+		s.health.Lost(Kind)
 		entry.WithError(err).Warn("accounts: store lost")
 		return
 	}
-	outage := clock.Since(k.answered)
-	k.allowance.StoreBack(outage, clock.Now())
+	outage := clock.Since(s.answered)
+	s.allowance.StoreBack(outage, clock.Now())
 	entry.WithField("outageMs", outage.Milliseconds()).Info("accounts: store reconnected")
-	k.health.Reconnected(Kind)
+	s.health.Reconnected(Kind)
 }
 
-// Leave gives back all that is not in use, and draws nothing any more. A round that
-// is under way ends at once, whatever the store does.
-func (k *Syncer) Leave(ctx context.Context) error {
-	k.stopped()
-	k.rounds.Lock()
-	defer k.rounds.Unlock()
-	k.leaving = true
-	return k.settle(ctx, clock.Now(), true)
+// Leave gives back everything that is not in use and ends drawing. A running round is canceled at
+// once, even if the store hangs.
+func (s *Syncer) Leave(ctx context.Context) error {
+	s.cancel()
+	s.rounds.Lock()
+	defer s.rounds.Unlock()
+	s.leaving = true
+	return s.sync(ctx, clock.Now(), true)
 }
 
-func (k *Syncer) settle(ctx context.Context, now time.Time, leaving bool) error {
+func (s *Syncer) sync(ctx context.Context, now time.Time, leaving bool) error {
 	var err error
-	k.catchUp(ctx)
-	if k.newEra() {
-		k.fresh = false
+	s.catchUp(ctx)
+	if s.newEra() {
+		s.fresh = false
 	}
 	began := clock.Now()
-	for range conflicts {
-		if !k.fresh {
-			if err = k.read(ctx); err != nil {
+	for range maxConflicts {
+		if !s.fresh {
+			if err = s.read(ctx); err != nil {
 				return err
 			}
 		}
-		next, worth := k.allowance.Propose(k.claimed(now), Round{Nodes: k.nodes(), Now: now, All: k.writes(), Leaving: leaving, Waits: k.mayNotDraw(now)})
-		if !worth && !leaving && !k.writesBack(now) {
-			k.allowance.Answered()
+		next, worth := s.allowance.Propose(s.proposalBase(now), Round{Nodes: s.nodes(), Now: now, Draws: s.writes(), Leaving: leaving, Paused: s.drawingPaused(now)})
+		if !worth && !leaving && !s.writesBack(now) {
+			s.allowance.ShortfallProposed()
 			return nil
 		}
 		tried := clock.Now()
-		if err = k.write(ctx, next); err == nil {
-			k.allowance.Answered()
+		if err = s.write(ctx, next); err == nil {
+			s.allowance.ShortfallProposed()
 			return nil
 		}
 		if !errors.Is(err, store.ErrConflict) {
 			return err
 		}
-		if !leaving && clock.Since(began)+clock.Since(tried) > time.Duration(k.again.Load()) {
+		if !leaving && clock.Since(began)+clock.Since(tried) > time.Duration(s.retryWithin.Load()) {
 			return err
 		}
-		k.pauseAfterConflict()
+		s.pauseAfterConflict()
 	}
 	return err
 }
 
-// catchUp takes in what another writer wrote meanwhile, where one told of it. An object
-// that can't be read is passed over: the store's own answer to a write decides.
-func (k *Syncer) catchUp(ctx context.Context) {
-	o, newer := k.writers.Newer(ctx, k.revision)
-	if !newer || o.Revision <= k.revision {
+// catchUp applies what another writer has written and announced meanwhile. An unreadable object is
+// ignored: the store's own answer to a write decides.
+func (s *Syncer) catchUp(ctx context.Context) {
+	o, newer := s.writers.Newer(ctx, s.revision)
+	if !newer || o.Revision <= s.revision {
 		return
 	}
-	if err := k.saw(o); err != nil && !errors.Is(err, errUnreadable) { // that was told
-		k.log.WithField("revision", o.Revision.Number()).WithError(err).Warn("accounts: a peer's ledger is not understood")
+	if err := s.receive(o); err != nil && !errors.Is(err, errUnreadable) { // already reported
+		s.log.WithField("revision", o.Revision.Number()).WithError(err).Warn("accounts: cannot use the ledger of a peer")
 	}
 }
 
 func pauseBriefly() { time.Sleep(time.Duration(2+rand.IntN(10)) * time.Millisecond) }
 
-// pauseAfterConflict lets the other writers go first, the longer the more there are.
-func (k *Syncer) pauseAfterConflict() {
-	time.Sleep(conflictPause + rand.N(time.Duration(max(k.nodes(), 1))*conflictPause))
+// pauseAfterConflict lets other writers go first. The pause grows with their number.
+func (s *Syncer) pauseAfterConflict() {
+	time.Sleep(conflictPause + rand.N(time.Duration(max(s.nodes(), 1))*conflictPause))
 }
 
-func (k *Syncer) read(ctx context.Context) error {
+func (s *Syncer) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o, err := k.store.Get(ctx, Kind, ledgerName)
+	o, err := s.store.Get(ctx, Kind, ledgerName)
 	if errors.Is(err, store.ErrNotFound) {
-		return k.sawNone()
+		return s.receiveNone()
 	}
 	if err != nil {
 		return errors.Wrap(err, "read accounts")
 	}
-	return k.saw(o)
+	return s.receive(o)
 }
 
-func (k *Syncer) saw(o store.Object) error {
-	if o.Revision < k.revision && o.Readable() == nil { // else its revision may be unreadable, too
-		k.dropped.Tell(Kind, "ledger", o.Revision, k.revision)
-		return errors.Newf("accounts at revision %s are older than %s", o.Revision, k.revision)
+func (s *Syncer) receive(o store.Object) error {
+	if o.Revision < s.revision && o.Readable() == nil { // otherwise its revision may be unreadable, too
+		s.dropped.Tell(Kind, "ledger", o.Revision, s.revision)
+		return errors.Newf("accounts at revision %s are older than %s", o.Revision, s.revision)
 	}
-	b, err := k.readable(o)
+	l, err := s.decode(o)
 	if err != nil {
 		o.Kind = Kind
-		k.faults.Tell(o, "accounts", "nothing is drawn until it can be read", err)
+		s.faults.Tell(o, "accounts", "nothing is drawn until it can be read", err)
 		return errors.Mark(errors.Wrap(err, "accounts"), errUnreadable)
 	}
-	k.faults.Read(o)
-	k.take(b, o.Revision)
+	s.faults.Read(o)
+	s.apply(l, o.Revision)
 	return nil
 }
 
-// errUnreadable says that the store answered with a ledger that can't be read. What nodes
-// hold goes on being spent; nothing is drawn and nothing written over it, since any other
-// reading of it could free tokens that are spent.
+// errUnreadable marks a ledger from the store that can't be read. Nodes go on spending what they
+// hold, but nothing is drawn and the ledger is not overwritten, since any guess at its content
+// could free spent tokens.
 var errUnreadable = errors.New("accounts: the ledger can't be read")
 
-func (k *Syncer) readable(o store.Object) (Ledger, error) {
-	var b Ledger
+func (s *Syncer) decode(o store.Object) (Ledger, error) {
+	var l Ledger
 	if err := o.Readable(); err != nil {
-		return b, err
+		return l, err
 	}
-	if err := json.Unmarshal(o.Data, &b); err != nil {
-		return b, err
+	if err := json.Unmarshal(o.Data, &l); err != nil {
+		return l, err
 	}
-	if o.Revision.Era() != k.revision.Era() {
-		return b, nil // what was reported after the copy was made is gone
+	if o.Revision.Era() != s.revision.Era() {
+		return l, nil // what was reported after the copy was made is missing
 	}
-	return b, b.Follows(k.shown)
+	return l, l.Follows(s.stored)
 }
 
-func (k *Syncer) write(ctx context.Context, next Ledger) error {
-	next.Origin = next.Origin.in(k.revision)
+func (s *Syncer) write(ctx context.Context, next Ledger) error {
+	next.Origin = next.Origin.in(s.revision)
 	data, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "accounts")
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.fresh = false
-	o, err := k.store.Put(ctx, store.Object{Kind: Kind, Name: ledgerName, Revision: k.revision, Data: data})
-	if errors.Is(err, store.ErrConflict) && o.Revision > k.revision {
-		return errors.CombineErrors(k.saw(o), err)
+	s.fresh = false
+	o, err := s.store.Put(ctx, store.Object{Kind: Kind, Name: ledgerName, Revision: s.revision, Data: data})
+	if errors.Is(err, store.ErrConflict) && o.Revision > s.revision {
+		return errors.CombineErrors(s.receive(o), err)
 	}
 	if err != nil {
 		return errors.Wrap(err, "write accounts")
 	}
-	k.logMoves(next)
-	k.earlier = Known{} // the store's ledger holds it now
-	if err := k.saw(o); err != nil {
+	s.logMoves(next)
+	s.earlier = KnownLedger{} // the store's ledger contains it now
+	if err := s.receive(o); err != nil {
 		return err
 	}
-	k.writers.Wrote(o)
+	s.writers.Wrote(o)
 	return nil
 }
 
-// logMoves tells what a write that took effect has moved, one line for all tenants.
-func (k *Syncer) logMoves(next Ledger) {
+// logMoves logs the tokens moved by a successful write, in one line for all tenants.
+func (s *Syncer) logMoves(next Ledger) {
 	moves := map[string]int64{}
 	pools := map[string]int64{}
-	for _, h := range k.allowance.Holdings(clock.Now()) {
-		before, _ := k.ledger.Account(h.Tenant).Row(k.allowance.life)
-		after, _ := next.Account(h.Tenant).Row(k.allowance.life)
+	for _, h := range s.allowance.Holdings(clock.Now()) {
+		before, _ := s.ledger.Account(h.Tenant).Row(s.allowance.incarnation)
+		after, _ := next.Account(h.Tenant).Row(s.allowance.incarnation)
 		if after.Drawn != before.Drawn {
 			moves[h.Tenant] = after.Drawn - before.Drawn
 			pools[h.Tenant] = next.Account(h.Tenant).Pool(h.Prepaid)
 		}
 	}
-	if lost := k.lost(next); len(lost) > 0 && !k.leaving {
-		k.log.WithField("revision", k.revision.Number()).WithField("tokens", lost).Warn("accounts: an earlier life of this node ended with tokens that it had drawn and not reported as spent")
+	if lost := s.lostTokens(next); len(lost) > 0 && !s.leaving {
+		s.log.WithField("revision", s.revision.Number()).WithField("tokens", lost).Warn("accounts: an earlier life of this node ended with tokens that it had drawn and not reported as spent")
 	}
-	k.log.WithField("revision", k.revision.Number()).WithField("tokens", moves).WithField("pools", pools).Info("accounts: written")
+	s.log.WithField("revision", s.revision.Number()).WithField("tokens", moves).WithField("pools", pools).Info("accounts: written")
 }
 
-// lost lists, by tenant, what rows that the next ledger closes had drawn beyond
-// what they had reported as spent.
-func (k *Syncer) lost(next Ledger) map[string]int64 {
+// lostTokens returns by tenant what the rows closed by the next ledger had drawn beyond what they had
+// reported as spent.
+func (s *Syncer) lostTokens(next Ledger) map[string]int64 {
 	lost := map[string]int64{}
 	for _, after := range next.Accounts {
-		before := k.ledger.Account(after.Tenant)
+		before := s.ledger.Account(after.Tenant)
 		tokens := (after.ClosedDrawn - after.ClosedSpent) - (before.ClosedDrawn - before.ClosedSpent)
 		if tokens > 0 {
 			lost[after.Tenant] = tokens
--- a/fleet/relay/account/transfer.go
+++ b/fleet/relay/account/transfer.go
@@ -1,24 +1,24 @@
 package account
 
-// Grant counts tokens out for a peer before they are sent: what it needs, or all
-// that is free if that is less, and of what it wants beyond that so much as
-// leaves this node its half.
+// Grant deducts tokens for a peer before they are sent and returns their number: what the peer
+// needs, or all that is free if that is less, and up to what it wants as long as half of the free
+// tokens stay on this node.
 func (p *Allowance) Grant(tenant string, need, want int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.quota(tenant)
-	free := max(k.free(), 0)
+	q := p.quota(tenant)
+	free := max(q.free(), 0)
 	tokens := max(min(free, max(need, min(want, free/2))), 0)
-	k.granted += tokens
-	if tokens < need || k.clients > 0 && tokens < want/2 {
-		k.shortfall = max(k.shortfall, want-tokens)
-		p.shortfall = p.shortfall || k.pool > 0
+	q.granted += tokens
+	if tokens < need || q.dependents > 0 && tokens < want/2 {
+		q.shortfall = max(q.shortfall, want-tokens)
+		p.shortfall = p.shortfall || q.pool > 0
 	}
 	return tokens
 }
 
-// Take counts tokens in that a peer has given. The caller sees to it that each
-// grant is counted once.
+// Receive adds tokens that a peer has granted. The caller must ensure that each grant is counted
+// only once.
 func (p *Allowance) Receive(tenant string, tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/relay/account/writers_test.go
+++ b/fleet/relay/account/writers_test.go
@@ -14,7 +14,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// sharedObject is a store of one object that many write, each call taking a moment.
+// sharedObject is a store of one object with many writers and some latency.
 type sharedObject struct {
 	store.Store
 	mu              sync.Mutex
@@ -48,7 +48,7 @@
 	return o, nil
 }
 
-// newest is what writers tell each other, a moment after it was written.
+// newest holds the newest object announced by any writer.
 type newest struct {
 	mu     sync.Mutex
 	object store.Object
@@ -69,29 +69,29 @@
 	return n.object, n.object.Revision > revision
 }
 
-// Writers that tell each other what they wrote seldom collide: under two in ten writes,
-// where each but the first after another's conflicts without that.
-func TestWritersThatTellEachOtherSeldomCollide(t *testing.T) {
+// Guards against conflicts of writers that announce their writes: under two in ten writes. Without
+// announcements each write but the first after another node's conflicts.
+func TestAnnouncedWritesSeldomCollide(t *testing.T) {
 	const writers = 8
 	cases := []struct {
 		name        string
-		tell        bool
-		least, most float64 // conflicts of a write that took effect
-	}{{"alone", false, 0.8, 5}, {"told", true, 0, 0.2}}
+		announce    bool
+		least, most float64 // conflicts per successful write
+	}{{"not announced", false, 0.8, 5}, {"announced", true, 0, 0.2}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, told := &sharedObject{}, &newest{}
+				s, shared := &sharedObject{}, &newest{}
 				ctx, cancel := context.WithCancel(t.Context())
 				for i := range writers {
 					node := string(rune('a' + i))
 					p := NewAllowance(node, node+"/1", DefaultTuning())
 					p.Budget(map[string]int64{modelTenant: 1 << 40})
-					k := NewSyncer(s, p, func() int { return writers }, func() bool { return true }, store.NewHealth(), quiet())
-					if c.tell {
-						k.WithWriters(told)
+					syncer := NewSyncer(s, p, func() int { return writers }, func() bool { return true }, store.NewHealth(), quiet())
+					if c.announce {
+						syncer.WithWriters(shared)
 					}
-					go k.Run(ctx)
+					go syncer.Run(ctx)
 					go func() {
 						for ctx.Err() == nil {
 							p.Reserve(modelTenant, 500, time.Now())
@@ -101,7 +101,7 @@
 				}
 				time.Sleep(time.Minute)
 				cancel()
-				time.Sleep(time.Second) // until all have ended
+				time.Sleep(time.Second) // until all goroutines have ended
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				rate := float64(s.conflicts) / float64(s.puts-s.conflicts)
@@ -112,104 +112,104 @@
 	}
 }
 
-// What a peer tells that can't be read changes nothing: the store decides.
-func TestALedgerOfAPeerThatIsNotUnderstoodIsPassedOver(t *testing.T) {
+// Guards against an unreadable ledger of a peer that stops the syncer: the store decides.
+func TestUnreadableLedgerOfAPeerIsIgnored(t *testing.T) {
 	s := &sharedObject{}
-	told := &newest{object: store.Object{Kind: Kind, Name: ledgerName, Revision: 99, Data: []byte("not JSON")}}
+	peer := &newest{object: store.Object{Kind: Kind, Name: ledgerName, Revision: 99, Data: []byte("not JSON")}}
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	p.Budget(map[string]int64{modelTenant: 1000})
-	k := NewSyncer(s, p, func() int { return 1 }, func() bool { return true }, store.NewHealth(), quiet()).WithWriters(told)
-	assert.False(t, errors.Is(k.settle(t.Context(), testStart, false), store.ErrConflict))
+	syncer := NewSyncer(s, p, func() int { return 1 }, func() bool { return true }, store.NewHealth(), quiet()).WithWriters(peer)
+	assert.False(t, errors.Is(syncer.sync(t.Context(), testStart, false), store.ErrConflict))
 	assert.Equal(t, 1, s.puts)
 	assert.Positive(t, p.State(modelTenant).Free)
 }
 
-// farStore is a store of one object at some distance from those that write it.
-type farStore struct {
+// distantStore is a sharedObject with network latency.
+type distantStore struct {
 	*sharedObject
-	way time.Duration
+	latency time.Duration
 }
 
-func (s farStore) Put(ctx context.Context, o store.Object) (store.Object, error) {
-	time.Sleep(s.way)
+func (s distantStore) Put(ctx context.Context, o store.Object) (store.Object, error) {
+	time.Sleep(s.latency)
 	o, err := s.sharedObject.Put(ctx, o)
-	time.Sleep(s.way)
+	time.Sleep(s.latency)
 	return o, err
 }
 
-// farWord is what writers tell each other over a distance, as one of them hears it.
-type farWord struct {
-	all    *newest
-	own    int
-	others []*farWord
-	way    time.Duration
-	lost   func() bool // whether a word does not arrive
-	news   chan struct{}
+// remoteWriter is one writer's end of the announcements, with network latency and losses.
+type remoteWriter struct {
+	all     *newest
+	own     int
+	others  []*remoteWriter
+	latency time.Duration
+	lost    func() bool // reports whether an announcement is lost
+	updates chan struct{}
 
-	mu     sync.Mutex
-	heard  store.Revision
-	writer int
-	at     time.Time
+	mu       sync.Mutex
+	received store.Revision
+	writer   int
+	at       time.Time
 }
 
-func (w *farWord) hear(revision store.Revision, writer int) {
+func (w *remoteWriter) receive(revision store.Revision, writer int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if revision > w.heard {
-		w.heard, w.writer, w.at = revision, writer, time.Now()
+	if revision > w.received {
+		w.received, w.writer, w.at = revision, writer, time.Now()
 		select {
-		case w.news <- struct{}{}:
+		case w.updates <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (w *farWord) Wrote(o store.Object) {
+func (w *remoteWriter) Wrote(o store.Object) {
 	w.all.Wrote(o)
-	w.hear(o.Revision, w.own)
+	w.receive(o.Revision, w.own)
 	for _, other := range w.others {
 		if !w.lost() {
-			time.AfterFunc(w.way, func() { other.hear(o.Revision, w.own) })
+			time.AfterFunc(w.latency, func() { other.receive(o.Revision, w.own) })
 		}
 	}
 }
 
-func (w *farWord) Newer(ctx context.Context, revision store.Revision) (store.Object, bool) {
+func (w *remoteWriter) Newer(ctx context.Context, revision store.Revision) (store.Object, bool) {
 	w.mu.Lock()
-	newer := w.heard > revision
+	newer := w.received > revision
 	w.mu.Unlock()
 	if !newer {
 		return store.Object{}, false
 	}
-	time.Sleep(2 * w.way)
+	time.Sleep(2 * w.latency)
 	return w.all.Newer(ctx, revision)
 }
 
-func (w *farWord) turn(length time.Duration, of int) Turn {
+func (w *remoteWriter) slot(length time.Duration, of int) Turn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return Turn{Word: w.at, After: (w.own - w.writer - 1 + of) % of, Of: of, Length: length}
 }
 
-// Twelve writers that are short of tokens write in turn: few writes are refused, also 12 ms
-// from the store and from each other, and each still writes as often as it needs to.
-func TestWritersInTurnSeldomCollide(t *testing.T) {
+// Guards against conflicts of twelve writers that are short of tokens, also 12 ms from the store and
+// from each other. With slots few writes are refused and each still writes often enough.
+func TestWritersWithSlotsSeldomCollide(t *testing.T) {
 	const writers = 12
 	cases := []struct {
-		name        string
-		turn, way   time.Duration
-		lost        float64 // share of words that do not arrive
-		least, most float64 // refused writes of one that took effect
+		name          string
+		slot, latency time.Duration
+		lost          float64 // share of lost announcements
+		least, most   float64 // refused writes per successful one
 	}{
-		{"no turns", 0, 12 * time.Millisecond, 0, 0.25, 9},
-		{"in turn", 100 * time.Millisecond, 12 * time.Millisecond, 0, 0, 0.15},
-		{"in turn, near", 35 * time.Millisecond, time.Millisecond, 0, 0, 0.15},
-		{"a fifth of the words are lost", 100 * time.Millisecond, 12 * time.Millisecond, 0.2, 0, 0.5},
+		{"no slots", 0, 12 * time.Millisecond, 0, 0.25, 9},
+		{"slots", 100 * time.Millisecond, 12 * time.Millisecond, 0, 0, 0.15},
+		{"slots, little latency", 35 * time.Millisecond, time.Millisecond, 0, 0, 0.15},
+		{"slots, a fifth of the announcements lost", 100 * time.Millisecond, 12 * time.Millisecond, 0.2, 0, 0.5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, all := farStore{&sharedObject{}, c.way}, &newest{}
+				s, all := distantStore{&sharedObject{}, c.latency}, &newest{}
 				drawn := rand.New(rand.NewPCG(1, 2))
 				var mu sync.Mutex
 				lost := func() bool {
@@ -217,26 +217,26 @@
 					defer mu.Unlock()
 					return drawn.Float64() < c.lost
 				}
-				var words []*farWord
+				var remotes []*remoteWriter
 				for i := range writers {
-					words = append(words, &farWord{all: all, own: i, way: c.way, lost: lost, news: make(chan struct{}, 1)})
+					remotes = append(remotes, &remoteWriter{all: all, own: i, latency: c.latency, lost: lost, updates: make(chan struct{}, 1)})
 				}
-				for _, w := range words {
-					w.others = words
+				for _, w := range remotes {
+					w.others = remotes
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				for i := range writers {
 					node := string(rune('a' + i))
 					p := NewAllowance(node, node+"/1", DefaultTuning())
 					p.Budget(map[string]int64{modelTenant: 1 << 40})
-					k := NewSyncer(s, p, func() int { return writers }, func() bool { return true }, store.NewHealth(), quiet()).WithWriters(words[i])
-					if c.turn > 0 {
-						k.WithTurns(func() Turn { return words[i].turn(c.turn, writers) }, words[i].news)
+					syncer := NewSyncer(s, p, func() int { return writers }, func() bool { return true }, store.NewHealth(), quiet()).WithWriters(remotes[i])
+					if c.slot > 0 {
+						syncer.WithTurns(func() Turn { return remotes[i].slot(c.slot, writers) }, remotes[i].updates)
 					}
-					go k.Run(ctx)
+					go syncer.Run(ctx)
 					go func() {
 						for at := int64(1); ctx.Err() == nil; at++ {
-							p.Reserve(modelTenant, 500*at*at, time.Now()) // each more than is held
+							p.Reserve(modelTenant, 500*at*at, time.Now()) // always more than is held
 							time.Sleep(50 * time.Millisecond)
 						}
 					}()
@@ -249,8 +249,8 @@
 				done := s.puts - s.conflicts
 				rate := float64(s.conflicts) / float64(done)
 				assert.GreaterOrEqual(t, rate, c.least)
-				assert.LessOrEqual(t, rate, c.most, "%d refused, %d took effect", s.conflicts, done)
-				assert.GreaterOrEqual(t, done, 30*writers*2/5, "each writes every 2.5 s at least")
+				assert.LessOrEqual(t, rate, c.most, "%d refused, %d successful", s.conflicts, done)
+				assert.GreaterOrEqual(t, done, 30*writers*2/5, "each writes at least every 2.5 s")
 			})
 		})
 	}
