--- a/fleet/relay/overload/gate.go
+++ b/fleet/relay/overload/gate.go
@@ -1,6 +1,6 @@
-// Package overload tells when a node takes more calls than its processor and link
-// carry, and which calls are to go to other nodes then: those of the customers that
-// send most, early, while another node can still serve them in time.
+// Package overload detects that a node receives more calls than its processor and link can
+// handle, and selects the calls to redirect to other nodes: those of the customers with the
+// most calls, early enough for another node to serve them in time.
 package overload
 
 import (
@@ -10,30 +10,30 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// Rule says when a node is overloaded and how it goes back to what it carries.
+// Rule defines when a node is overloaded and how it adjusts the share of calls it keeps.
 type Rule struct {
-	Wait      time.Duration // mean wait of runnable goroutines for the processor that is too long
-	Body      time.Duration // time for a call's body to come in that is too long
-	BodyShare float64       // share of the bodies that took so long which is too many
-	Steps     int           // overloaded readings in a row before calls are handed on, so that one burst changes nothing
-	Cut       float64       // of the kept share, at each overloaded reading
-	Grow      float64       // added to the kept share at each other reading
-	Least     float64       // share of the calls that is kept in any case
-	Heavy     float64       // share of the calls from which a customer counts as heavy
+	MaxWait      time.Duration // maximum mean wait of runnable goroutines for the processor
+	MaxBodyTime  time.Duration // maximum time to receive a call's body
+	MaxSlowShare float64       // maximum share of bodies that exceed MaxBodyTime
+	Readings     int           // overloaded readings in a row before calls are redirected; ignores a single burst
+	Decrease     float64       // factor on the kept share at each overloaded reading
+	Increase     float64       // added to the kept share at each other reading
+	MinKept      float64       // minimum share of calls that is kept
+	HeavyShare   float64       // minimum share of the calls of a heavy customer
 }
 
-// DefaultRule is what measurements led to; docs/design/09-scale.md.
+// DefaultRule returns the measured defaults; see docs/design/09-scale.md.
 func DefaultRule() Rule {
 	return Rule{
-		Wait: 8 * time.Millisecond, Body: 50 * time.Millisecond, BodyShare: 0.5,
-		Steps: 2, Cut: 0.75, Grow: 0.03, Least: 0.15, Heavy: 0.25,
+		MaxWait: 8 * time.Millisecond, MaxBodyTime: 50 * time.Millisecond, MaxSlowShare: 0.5,
+		Readings: 2, Decrease: 0.75, Increase: 0.03, MinKept: 0.15, HeavyShare: 0.25,
 	}
 }
 
-// Bounds below which a reading says nothing.
+// Minimum samples for a reading to count.
 const (
-	leastBodies = 8 // of the link
-	leastCalls  = 4 // of the calls: what else the node does makes it wait
+	minBodies = 8 // for the link
+	minCalls  = 4 // for the processor: with fewer calls, other work of the node causes the waits
 )
 
 // Gate decides which calls a node keeps. It is safe for concurrent use.
@@ -42,9 +42,9 @@
 
 	mu         sync.Mutex
 	kept       float64 // share of the calls that is kept
-	over       int     // overloaded readings in a row
+	overloaded int     // overloaded readings in a row
 	calls      census  // since the last reading
-	before     census  // of the reading before
+	previous   census  // of the previous reading
 	bodies     int
 	slowBodies int
 }
@@ -60,18 +60,18 @@
 	return &Gate{rule: r, kept: 1, calls: census{byCustomer: map[string]int{}}}
 }
 
-// Body notes how long the body of a call took to come in.
+// Body records how long it took to receive the body of a call.
 func (g *Gate) Body(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.bodies++
-	if took > g.rule.Body {
+	if took > g.rule.MaxBodyTime {
 		g.slowBodies++
 	}
 }
 
-// Keep counts a call of a customer and is whether this node keeps it. The key, a
-// hash of the call's id, draws among the calls of one customer.
+// Keep counts a call of a customer and reports whether this node keeps it. The key, a hash of
+// the call's id, selects among the calls of one customer.
 func (g *Gate) Keep(customer string, key uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,31 +85,31 @@
 	return draw >= g.refusedShare(customer)
 }
 
-// Heaviest names the customer that sent most calls between the last two readings, and
-// its share of them; none where too few came to tell.
+// Heaviest returns the customer that sent the most calls between the last two readings, and its
+// share of them. It returns none if there were too few calls.
 func (g *Gate) Heaviest() (customer string, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.before.total < leastCalls {
+	if g.previous.total < minCalls {
 		return "", 0
 	}
-	for name, calls := range g.before.byCustomer {
+	for name, calls := range g.previous.byCustomer {
 		if name == "" {
-			continue // of no customer
+			continue // calls without a customer
 		}
-		if of := float64(calls) / float64(g.before.total); of > share {
+		if of := float64(calls) / float64(g.previous.total); of > share {
 			customer, share = name, of
 		}
 	}
 	return customer, share
 }
 
-// refusedShare is the share of a customer's calls that go to other nodes: the whole
-// excess is taken from the heavy customers, where there are any.
+// refusedShare returns the share of a customer's calls that go to other nodes. If there are heavy
+// customers, the whole excess is taken from them.
 func (g *Gate) refusedShare(customer string) float64 {
 	heavy := 0.0
-	for _, calls := range g.before.byCustomer {
-		if share := float64(calls) / float64(g.before.total); share >= g.rule.Heavy {
+	for _, calls := range g.previous.byCustomer {
+		if share := float64(calls) / float64(g.previous.total); share >= g.rule.HeavyShare {
 			heavy += share
 		}
 	}
@@ -117,46 +117,46 @@
 	switch {
 	case heavy == 0:
 		return excess
-	case float64(g.before.byCustomer[customer]) < g.rule.Heavy*float64(g.before.total):
+	case float64(g.previous.byCustomer[customer]) < g.rule.HeavyShare*float64(g.previous.total):
 		return 0
 	default:
-		return min(excess/heavy, 1-g.rule.Least)
+		return min(excess/heavy, 1-g.rule.MinKept)
 	}
 }
 
-// State is what a gate does after a reading, for the log.
+// State is the result of a reading, for the log.
 type State struct {
-	Kept    float64       // share of the calls that is kept
-	Changed bool          // it began or ceased to hand calls on
-	Wait    time.Duration // for the processor, as read
-	Slow    int           // bodies that came in slowly
-	Bodies  int           // of so many
-	Calls   int
+	Kept       float64       // share of the calls that is kept
+	Changed    bool          // the gate began or ceased to redirect calls
+	Wait       time.Duration // mean wait for the processor
+	SlowBodies int           // bodies received slowly
+	Bodies     int           // all bodies received
+	Calls      int
 }
 
-// Read takes in a reading of the waits for the processor, and begins the next one.
+// Read processes a reading of the mean wait for the processor and begins the next interval.
 func (g *Gate) Read(wait time.Duration) State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := State{Wait: wait, Slow: g.slowBodies, Bodies: g.bodies, Calls: g.calls.total}
-	full := g.kept
-	busy := wait > g.rule.Wait && g.calls.total >= leastCalls
-	choked := g.bodies >= leastBodies && float64(g.slowBodies) > g.rule.BodyShare*float64(g.bodies)
-	g.adjust(busy || choked)
-	g.before, g.calls = g.calls, census{byCustomer: map[string]int{}}
+	s := State{Wait: wait, SlowBodies: g.slowBodies, Bodies: g.bodies, Calls: g.calls.total}
+	before := g.kept
+	longWaits := wait > g.rule.MaxWait && g.calls.total >= minCalls
+	slowLink := g.bodies >= minBodies && float64(g.slowBodies) > g.rule.MaxSlowShare*float64(g.bodies)
+	g.adjust(longWaits || slowLink)
+	g.previous, g.calls = g.calls, census{byCustomer: map[string]int{}}
 	g.bodies, g.slowBodies = 0, 0
-	s.Kept, s.Changed = g.kept, (full < 1) != (g.kept < 1)
+	s.Kept, s.Changed = g.kept, (before < 1) != (g.kept < 1)
 	return s
 }
 
 func (g *Gate) adjust(overloaded bool) {
 	if !overloaded {
-		g.over = 0
-		g.kept = min(g.kept+g.rule.Grow, 1)
+		g.overloaded = 0
+		g.kept = min(g.kept+g.rule.Increase, 1)
 		return
 	}
-	g.over++
-	if g.over >= g.rule.Steps {
-		g.kept = max(g.kept*g.rule.Cut, g.rule.Least)
+	g.overloaded++
+	if g.overloaded >= g.rule.Readings {
+		g.kept = max(g.kept*g.rule.Decrease, g.rule.MinKept)
 	}
 }
--- a/fleet/relay/overload/intake.go
+++ b/fleet/relay/overload/intake.go
@@ -2,101 +2,109 @@
 
 import "sync"
 
-// IntakeRule says when a node asks the balancer for no new connections, since one
-// customer's callers fill its link: the balancer sends a customer's new connections to
-// one node, and to another one only while that node is not ready. What a node refuses
-// comes back to it.
+// IntakeRule defines when a node asks the balancer for no new connections because one customer's
+// callers fill its link. The balancer sends all new connections of a customer to one node, and to another
+// one only while that node is not ready. Connections that a node refuses come back to it.
 type IntakeRule struct {
-	Full  float64 // share of the link, smoothed, from which no new connection is welcome
-	Room  float64 // share below which they are again
-	Heavy float64 // share of the calls that one customer sends at least: where many customers fill a node, the others are as full
-	Stay  int     // readings for which no connection is welcome at least, so that the balancer notices it
-	Part  float64 // of a new reading in the smoothed share
-	Sends int     // of the heaviest customer's connections that are closed between two readings at most, so that callers don't arrive elsewhere at one moment
+	// CloseAbove is the smoothed share of the link above which the node asks for no new connections.
+	CloseAbove float64
+	// OpenBelow is the smoothed share of the link below which it accepts them again.
+	OpenBelow float64
+	// HeavyShare is the minimum share of the calls from one customer. Where many customers fill a
+	// node, the other nodes are as full.
+	HeavyShare float64
+	// Stay is the minimum number of readings for which the intake stays closed, so that the
+	// balancer notices it.
+	Stay int
+	// Smoothing is the weight of a new reading in the smoothed share.
+	Smoothing float64
+	// MaxClosed is the maximum number of the heaviest customer's connections that are closed between
+	// two readings, so that its callers don't all arrive elsewhere at once.
+	MaxClosed int
 }
 
-// DefaultIntakeRule is what measurements led to; docs/design/14-hot-customers.md.
+// DefaultIntakeRule returns the measured defaults; see docs/design/14-hot-customers.md.
 func DefaultIntakeRule() IntakeRule {
-	return IntakeRule{Full: 0.6, Room: 0.4, Heavy: 0.4, Stay: 11, Part: 0.5, Sends: 20}
+	return IntakeRule{CloseAbove: 0.6, OpenBelow: 0.4, HeavyShare: 0.4, Stay: 11, Smoothing: 0.5, MaxClosed: 20}
 }
 
-// Intake decides whether new connections are welcome. It is safe for concurrent use.
+// Intake decides whether a node accepts new connections. It is safe for concurrent use.
 type Intake struct {
 	rule IntakeRule
 
-	mu       sync.Mutex
-	closed   bool
-	share    float64 // of the link, smoothed
-	held     int     // readings since the last change
-	customer string  // that sent most calls, as of the last reading
-	sends    int     // connections that may still be closed until the next reading
+	mu        sync.Mutex
+	closed    bool
+	share     float64 // smoothed share of the link in use
+	unchanged int     // readings since the last change
+	customer  string  // customer with the most calls, as of the last reading
+	closable  int     // connections that may still be closed before the next reading
 }
 
-// NewIntake returns an intake that welcomes new connections.
-func NewIntake(r IntakeRule) *Intake { return &Intake{rule: r, held: r.Stay} }
+// NewIntake returns an intake that accepts new connections.
+func NewIntake(r IntakeRule) *Intake { return &Intake{rule: r, unchanged: r.Stay} }
 
-// Open is whether new connections are welcome.
+// Open reports whether new connections are accepted.
 func (i *Intake) Open() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return !i.closed
 }
 
-// Share is the smoothed share of the link that is used, as of the last reading.
+// Share returns the smoothed share of the link in use, as of the last reading.
 func (i *Intake) Share() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.share
 }
 
-// Send is whether a connection that brought a call of a customer is to be closed with its
-// answer, so that the next call arrives at another node: only of the heaviest customer,
-// and only once the balancer has surely noticed that no connection is welcome here, since
-// it would send the next one here again before.
+// Send reports whether a connection with a call of a customer is to be closed with its answer, so
+// that the next call arrives at another node. This applies to the heaviest customer only, and only
+// after the balancer must have noticed that the intake is closed: before, it would send the next
+// connection here again.
 func (i *Intake) Send(customer string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.closed || i.held < i.rule.Stay || customer == "" || customer != i.customer || i.sends == 0 {
+	if !i.closed || i.unchanged < i.rule.Stay || customer == "" || customer != i.customer || i.closable == 0 {
 		return false
 	}
-	i.sends--
+	i.closable--
 	return true
 }
 
-// Load is a reading of what an intake looks at.
+// Load is the input of one reading.
 type Load struct {
-	Used     float64 // share of the link since the last reading
-	Customer string  // that sent most calls; none where too few came to tell
-	OfCalls  float64 // its share of them
-	Others   bool    // other nodes of the zone could take its callers
+	Used     float64 // share of the link in use since the last reading
+	Customer string  // customer with the most calls; empty if there were too few
+	OfCalls  float64 // its share of the calls
+	Others   bool    // other nodes of the zone can take its callers
 }
 
-// Read takes in a reading; true where the intake changed its mind.
+// Read processes a reading and reports whether the intake opened or closed.
 func (i *Intake) Read(l Load) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.sends = i.rule.Sends
+	i.closable = i.rule.MaxClosed
 	if l.Customer != "" {
 		i.customer = l.Customer
 	}
-	i.share += i.rule.Part * (l.Used - i.share)
-	i.held++
-	was := i.closed
-	if was && i.held < i.rule.Stay {
+	i.share += i.rule.Smoothing * (l.Used - i.share)
+	i.unchanged++
+	wasClosed := i.closed
+	if wasClosed && i.unchanged < i.rule.Stay {
 		return false
 	}
-	now := was
+	closed := wasClosed
 	switch {
 	case !l.Others:
-		now = false
-	case was:
-		now = i.share > i.rule.Room
+		closed = false
+	case wasClosed:
+		closed = i.share > i.rule.OpenBelow
 	default:
-		now = i.share > i.rule.Full && l.OfCalls >= i.rule.Heavy
+		closed = i.share > i.rule.CloseAbove && l.OfCalls >= i.rule.HeavyShare
 	}
-	if now == was {
+	if closed == wasClosed {
 		return false
 	}
-	i.closed, i.held = now, 0
+	i.closed, i.unchanged = closed, 0
 	return true
 }
--- a/fleet/relay/overload/intake_test.go
+++ b/fleet/relay/overload/intake_test.go
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// reading is one reading of an intake, so many times.
-type reading struct {
+// repeated is an input of an intake, repeated some times.
+type repeated struct {
 	times          int
 	used, heaviest float64
 	others         bool
 }
 
-func TestOneCustomerThatFillsTheLinkIsSentElsewhere(t *testing.T) {
+func TestIntakeClosesForOneCustomerThatFillsTheLink(t *testing.T) {
 	cases := []struct {
 		name     string
-		readings []reading
+		readings []repeated
 		open     bool
 	}{
-		{"calm", []reading{{50, 0.3, 0.9, true}}, true},
-		{"one burst", []reading{{20, 0.2, 0.9, true}, {1, 1, 0.9, true}, {1, 0.2, 0.9, true}}, true},
-		{"full by one customer", []reading{{20, 0.2, 0.9, true}, {6, 1, 0.9, true}}, false},
-		{"full by many", []reading{{20, 0.2, 0.1, true}, {20, 1, 0.1, true}}, true},
-		{"no other node", []reading{{50, 1, 0.9, false}}, true},
-		{"others end", []reading{{20, 1, 0.9, true}, {20, 1, 0.9, false}}, true},
-		{"between the bounds after it was full", []reading{{20, 1, 0.9, true}, {60, 0.5, 0.9, true}}, false},
-		{"between the bounds", []reading{{60, 0.5, 0.9, true}}, true},
-		{"empty again, a moment later", []reading{{8, 1, 0.9, true}, {4, 0, 0, true}}, false},
-		{"empty again", []reading{{8, 1, 0.9, true}, {20, 0, 0, true}}, true},
+		{"calm", []repeated{{50, 0.3, 0.9, true}}, true},
+		{"one burst", []repeated{{20, 0.2, 0.9, true}, {1, 1, 0.9, true}, {1, 0.2, 0.9, true}}, true},
+		{"full by one customer", []repeated{{20, 0.2, 0.9, true}, {6, 1, 0.9, true}}, false},
+		{"full by many", []repeated{{20, 0.2, 0.1, true}, {20, 1, 0.1, true}}, true},
+		{"no other node", []repeated{{50, 1, 0.9, false}}, true},
+		{"the other nodes end", []repeated{{20, 1, 0.9, true}, {20, 1, 0.9, false}}, true},
+		{"between the bounds after it was full", []repeated{{20, 1, 0.9, true}, {60, 0.5, 0.9, true}}, false},
+		{"between the bounds", []repeated{{60, 0.5, 0.9, true}}, true},
+		{"empty again, a moment later", []repeated{{8, 1, 0.9, true}, {4, 0, 0, true}}, false},
+		{"empty again", []repeated{{8, 1, 0.9, true}, {20, 0, 0, true}}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,9 +44,8 @@
 	}
 }
 
-// Whatever the link does, the balancer has the time to notice that no connection is
-// welcome.
-func TestAClosedIntakeStaysSoForAWhile(t *testing.T) {
+// Guards against an intake that opens again before the balancer has noticed that it was closed.
+func TestClosedIntakeStaysClosedForAWhile(t *testing.T) {
 	rule := DefaultIntakeRule()
 	i := NewIntake(rule)
 	closed, times := 0, 0
@@ -63,9 +62,9 @@
 	assert.Greater(t, times, 20)
 }
 
-// Connections are closed only of the customer that fills the link, once its next one
-// reaches another node, and few at a time.
-func TestConnectionsAreClosedOnceTheyReachAnotherNode(t *testing.T) {
+// Guards against closing connections of other customers, too many at a time, or while the next
+// connection would still reach this node.
+func TestOnlyConnectionsOfTheHeaviestCustomerAreClosed(t *testing.T) {
 	rule := DefaultIntakeRule()
 	full := Load{Used: 1, Customer: "a", OfCalls: 0.9, Others: true}
 	i := NewIntake(rule)
@@ -83,27 +82,27 @@
 	i.Read(full)
 	assert.Zero(t, closed("b"), "another customer")
 	assert.Zero(t, closed(""), "no customer")
-	assert.Equal(t, rule.Sends, closed("a"))
+	assert.Equal(t, rule.MaxClosed, closed("a"))
 	i.Read(full)
-	assert.Equal(t, rule.Sends, closed("a"))
+	assert.Equal(t, rule.MaxClosed, closed("a"))
 	for !i.Open() {
 		i.Read(Load{Others: true})
 	}
-	assert.Zero(t, closed("a"), "welcome again")
+	assert.Zero(t, closed("a"), "open again")
 }
 
-func TestTheHeaviestCustomer(t *testing.T) {
+func TestHeaviest(t *testing.T) {
 	g := NewGate(DefaultRule())
-	take(g, 0, map[string]int{"": 40, "a": 30, "b": 10})
+	offer(g, 0, map[string]int{"": 40, "a": 30, "b": 10})
 	name, share := g.Heaviest()
-	assert.Zero(t, share, "nothing was read yet")
+	assert.Zero(t, share, "no reading yet")
 	assert.Empty(t, name)
-	g.Read(calm)
+	g.Read(shortWait)
 	name, share = g.Heaviest()
 	assert.Equal(t, "a", name)
 	assert.InDelta(t, 0.375, share, 1e-9)
-	take(g, 1, map[string]int{"a": 2})
-	g.Read(calm)
+	offer(g, 1, map[string]int{"a": 2})
+	g.Read(shortWait)
 	_, share = g.Heaviest()
-	assert.Zero(t, share, "too few to tell")
+	assert.Zero(t, share, "too few calls")
 }
--- a/fleet/relay/overload/watch.go
+++ b/fleet/relay/overload/watch.go
@@ -7,15 +7,15 @@
 	"github.com/apex/log"
 )
 
-// readEvery is the time between two readings: a node that is overloaded answers
-// within it some dozens of calls.
-const readEvery = 200 * time.Millisecond
+// readInterval is the interval between two readings, in which an overloaded node answers some dozens
+// of calls.
+const readInterval = 200 * time.Millisecond
 
-// Watch reads the node's load for a gate until ctx ends, and tells when calls begin
-// and cease to go to other nodes.
+// Watch reads the node's load for a gate until ctx ends, and logs when calls begin and cease to go
+// to other nodes.
 func Watch(ctx context.Context, g *Gate, l log.Interface) {
-	waits := NewWaits()
-	ticker := time.NewTicker(readEvery)
+	waits := NewWaitReader()
+	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -24,16 +24,16 @@
 		case <-ticker.C:
 		}
 		if s := g.Read(waits.Mean()); s.Changed {
-			tell(s, l)
+			logChange(s, l)
 		}
 	}
 }
 
-func tell(s State, l log.Interface) {
-	entry := l.WithFields(log.Fields{"waitMs": s.Wait.Milliseconds(), "slowBodies": s.Slow, "bodies": s.Bodies, "calls": s.Calls, "kept": s.Kept})
+func logChange(s State, l log.Interface) {
+	entry := l.WithFields(log.Fields{"waitMs": s.Wait.Milliseconds(), "slowBodies": s.SlowBodies, "bodies": s.Bodies, "calls": s.Calls, "kept": s.Kept})
 	if s.Kept < 1 {
-		entry.Warn("overloaded: calls of the heaviest customers are handed on")
+		entry.Warn("overloaded: redirecting calls of the heaviest customers")
 		return
 	}
-	entry.Info("no longer overloaded: every call is kept")
+	entry.Info("no longer overloaded: keeping all calls")
 }
--- a/fleet/relay/retry/budget.go
+++ b/fleet/relay/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds what the whole fleet sends a second time: a share of the
-// calls of each service over a sliding window, divided among the nodes.
+// Package retry bounds the retries of the whole fleet to a share of the calls of each service
+// over a sliding window, divided among the nodes.
 package retry
 
 import (
@@ -9,12 +9,12 @@
 
 // Rule is the bound for all nodes together.
 type Rule struct {
-	Ratio  float64       // of a service's calls
-	Slack  float64       // calls beyond the ratio
-	Window time.Duration // over which both are counted
+	Ratio  float64       // retries per call of a service
+	Slack  float64       // retries allowed beyond the ratio
+	Window time.Duration // window in which both are counted
 }
 
-// Budget is one node's part. It is safe for concurrent use.
+// Budget is one node's share of the bound. It is safe for concurrent use.
 type Budget struct {
 	rule  Rule
 	nodes func() int
@@ -23,11 +23,12 @@
 	services map[string]*window
 }
 
-// safety is the part of the bound that a node uses, since windows of nodes and
-// of the judge do not begin together and shares are uneven.
-const safety = 0.7
+// safetyShare is the share of the bound that a node uses. The windows of the nodes, and of whoever
+// checks the bound, don't begin together, and shares are uneven.
+const safetyShare = 0.7
 
-// NewBudget returns a node's part; nodes tells how many share the slack.
+// NewBudget returns a node's share of the bound. The function nodes returns how many nodes share
+// the slack.
 func NewBudget(r Rule, nodes func() int) *Budget {
 	return &Budget{rule: r, nodes: nodes, services: map[string]*window{}}
 }
@@ -39,16 +40,16 @@
 	b.window(service).calls.add(now, b.rule.Window)
 }
 
-// Take asks to send a call again; true counts it.
+// Take reports whether a call may be retried, and counts the retry if so.
 func (b *Budget) Take(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
 	allowed := b.rule.Ratio*float64(w.calls.count(now, b.rule.Window)) + b.rule.Slack/float64(max(b.nodes(), 1))
-	if float64(w.repeats.count(now, b.rule.Window)+1) > safety*allowed {
+	if float64(w.retries.count(now, b.rule.Window)+1) > safetyShare*allowed {
 		return false
 	}
-	w.repeats.add(now, b.rule.Window)
+	w.retries.add(now, b.rule.Window)
 	return true
 }
 
@@ -61,13 +62,13 @@
 	return w
 }
 
-type window struct{ calls, repeats ring }
+type window struct{ calls, retries ring }
 
-// ring counts events in slices of a window, by the steady clock.
+// ring counts events in slices of a sliding window, by the monotonic clock.
 type ring struct {
-	start  time.Time
+	start  time.Time // start of slice 0
 	slices [ringSlices]int
-	at     int64 // index of the newest slice
+	at     int64 // index of the newest slice since start
 }
 
 const ringSlices = 20
--- a/fleet/relay/retry/budget_test.go
+++ b/fleet/relay/retry/budget_test.go
@@ -9,12 +9,12 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/retry"
 )
 
-func TestRepeatsStayWithinTheWindow(t *testing.T) {
+func TestRetriesStayWithinTheBound(t *testing.T) {
 	cases := []struct {
 		name  string
 		nodes int
 		calls int // in the window
-		most  int // repeats that are allowed at once
+		most  int // retries allowed at once
 	}{
 		{"slack alone, one node", 1, 0, 35},
 		{"slack shared by ten", 10, 0, 3},
