--- a/fleet/relay/account/fleet_test.go
+++ b/fleet/relay/account/fleet_test.go
@@ -37,9 +37,9 @@
 
 func TestLowPoolIsSharedByDemand(t *testing.T) {
 	cases := []struct {
-		name string
-		own  float64
-		part float64
+		name  string
+		own   float64
+		share float64
 	}{
 		{"most of the demand", 900, 0.9}, {"little demand: an equal share", 10, 0.25},
 	}
@@ -48,7 +48,7 @@
 			p, now := allowanceWithDemand(int64(c.own))
 			p.Fleets(map[string]Fleet{modelTenant: {All: 1000}}, now)
 			got := p.tuning.share(p.quotas[modelTenant], 10_000, 4, 1_000_000, now)
-			assert.InDelta(t, c.part*10_000, float64(got), 100)
+			assert.InDelta(t, c.share*10_000, float64(got), 100)
 		})
 	}
 }
--- a/fleet/relay/account/propose.go
+++ b/fleet/relay/account/propose.go
@@ -72,8 +72,8 @@
 	return int64(max(q.demand.steady(now)+q.others, q.demand.fast+q.dependentsFast))
 }
 
-// ShortfallProposed resets the shortfall: it was proposed, and the proposal was written or not worth a
-// write.
+// ShortfallProposed resets the shortfall after a proposal that covered it was written or not worth
+// a write.
 func (p *Allowance) ShortfallProposed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/relay/overload/intake.go
+++ b/fleet/relay/overload/intake.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // IntakeRule defines when a node asks the balancer for no new connections because one customer's
-// callers fill its link. The balancer sends all new connections of a customer to one node, and to another
-// one only while that node is not ready. Connections that a node refuses come back to it.
+// callers fill its link. The balancer sends all new connections of a customer to one node, and to
+// another one only while that node is not ready. Connections that a node refuses come back to it.
 type IntakeRule struct {
 	// CloseAbove is the smoothed share of the link above which the node asks for no new connections.
 	CloseAbove float64
--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -69,9 +69,9 @@
 
 // makeRoom drops a suspect with more progress than s, if there is one.
 func (e *end) makeRoom(s Suspect) bool {
-	for print, known := range e.suspects {
+	for fingerprint, known := range e.suspects {
 		if s.Progress < known.Progress {
-			delete(e.suspects, print)
+			delete(e.suspects, fingerprint)
 			return true
 		}
 	}
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -12,7 +12,7 @@
 
 // strategy is a strategy to identify the harmful request.
 type strategy interface {
-	interrupt(e int, life int64, under []Suspect, now time.Time)
+	interrupt(e int, incarnation int64, under []Suspect, now time.Time)
 	served(p Print, now time.Time)
 	holds(p Print, now time.Time) bool
 }
@@ -33,10 +33,10 @@
 
 func (c resetStrategy) served(p Print, _ time.Time) { delete(c.countStrategy, p) }
 
-// bookStrategy is the strategy of Book.
-type bookStrategy struct{ *node }
+// trackerStrategy uses a Book.
+type trackerStrategy struct{ *node }
 
-func (j bookStrategy) interrupt(e int, incarnation int64, under []Suspect, now time.Time) {
+func (j trackerStrategy) interrupt(e int, incarnation int64, under []Suspect, now time.Time) {
 	of := endpointOf(e, incarnation)
 	j.Engines(append(endpointsOf(e, incarnation), of), now)
 	for _, s := range under {
@@ -44,8 +44,8 @@
 	}
 	j.Ended(of.Life(), now)
 }
-func (j bookStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
-func (j bookStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
+func (j trackerStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
+func (j trackerStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
 
 // simulation models a service of ten endpoints, some of which end, and callers that retry
 // interrupted calls.
@@ -189,7 +189,7 @@
 	}{
 		{"a plain count", func() strategy { return countStrategy{} }},
 		{"a count reset by an answer", func() strategy { return resetStrategy{countStrategy{}} }},
-		{"ends attributed to requests present at most", func() strategy { return bookStrategy{newNode(Peer)} }},
+		{"ends attributed to requests present at most", func() strategy { return trackerStrategy{newNode(Peer)} }},
 	}
 	for _, p := range simulations {
 		for _, w := range strategies {
--- a/fleet/relay/quarantine/report_test.go
+++ b/fleet/relay/quarantine/report_test.go
@@ -50,9 +50,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := testFleet{newNode(Judge), newNode(Judge), newNode(Witness), newNode(Witness), newNode(Witness)}
-			for i, saw := range []int{2, 3, 4} {
+			for i, at := range []int{2, 3, 4} {
 				f.advance(time.Second)
-				f[saw].endNow(i, suspects(Nothing, "deadly", fmt.Sprint("beside", i))...)
+				f[at].endNow(i, suspects(Nothing, "deadly", fmt.Sprint("beside", i))...)
 				for round := range 3 {
 					f.advance(200 * time.Millisecond)
 					f.exchange(func(from, to int) bool { return c.lost(from, to, round) })
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -107,8 +107,8 @@
 	s.Answered = b.history.contains(s.Print)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if at := b.findEnd(e.Life(), now); at != nil {
-		b.addSuspect(at, s, now)
+	if ended := b.findEnd(e.Life(), now); ended != nil {
+		b.addSuspect(ended, s, now)
 		return
 	}
 	b.expirePending(now)
@@ -123,22 +123,22 @@
 	if len(interrupted.suspects) < maxSuspects {
 		interrupted.suspects = append(interrupted.suspects, s)
 	}
-	asked := known && now.Sub(interrupted.checkedAt) < b.rule.Apart
-	if !asked {
+	checked := known && now.Sub(interrupted.checkedAt) < b.rule.Apart
+	if !checked {
 		interrupted.checkedAt = now
 	}
 	switch {
 	case !b.registered[e.Life()]:
 		b.confirmEnd(e.Life(), now)
-	case !asked:
+	case !checked:
 		b.observer.Verify(e)
 	}
 }
 
 // addSuspect adds a suspect to a known end.
-func (b *Book) addSuspect(at *end, s Suspect, now time.Time) {
-	if at.add(s) {
-		b.outbox.addEnd(newTimedEnd(at.incarnation, at.at, []Suspect{s}))
+func (b *Book) addSuspect(e *end, s Suspect, now time.Time) {
+	if e.add(s) {
+		b.outbox.addEnd(newTimedEnd(e.incarnation, e.at, []Suspect{s}))
 		b.signalUrgent()
 		b.judge(now)
 	}
@@ -176,7 +176,7 @@
 	b.judge(now)
 }
 
-// recordEnd records an end, or adds suspects to a known one, and reports whether that changed anything.
+// recordEnd records an end, or adds suspects to a known one. It reports whether that changed anything.
 func (b *Book) recordEnd(incarnation engine.Life, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
 	e := b.findEnd(incarnation, at)
 	if e == nil {
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -91,7 +91,7 @@
 
 // Guards against quarantining requests that merely ran where endpoints ended, or missing the
 // one to which three ends are attributed.
-func TestWhichRequestsAreHeldBack(t *testing.T) {
+func TestWhichRequestsAreQuarantined(t *testing.T) {
 	first, second := ordered()
 	alone := func(n *node, times int) {
 		for i := range times {
@@ -235,9 +235,9 @@
 // Guards against a third end caused by the node's own retry of a request interrupted at two ends.
 func TestNoRetryAfterTwoEnds(t *testing.T) {
 	n := newNode(Peer)
-	for i, wary := range []bool{false, true, true} {
+	for i, noRetry := range []bool{false, true, true} {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, wary, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
 	}
 	assert.False(t, n.Wary(printOf("beside"), n.now))
 }
@@ -410,8 +410,8 @@
 // that it retries ends two endpoints.
 func TestNoRetryAfterTwoEndsAtOnce(t *testing.T) {
 	n := newNode(Peer)
-	for i, wary := range []bool{false, true} {
+	for i, noRetry := range []bool{false, true} {
 		n.endNow(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, wary, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
 	}
 }
