--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -69,9 +69,9 @@
 
 // makeRoom drops a suspect with more progress than s, if there is one.
 func (e *end) makeRoom(s Suspect) bool {
-	for fingerprint, known := range e.suspects {
+	for print, known := range e.suspects {
 		if s.Progress < known.Progress {
-			delete(e.suspects, fingerprint)
+			delete(e.suspects, print)
 			return true
 		}
 	}
--- a/fleet/relay/quarantine/fingerprint_test.go
+++ b/fleet/relay/quarantine/fingerprint_test.go
@@ -11,8 +11,8 @@
 // Guards against requests that share a fingerprint although their customer, method, host, target
 // or body differ, also where bytes move from one field to the next.
 func TestFingerprintIdentifiesARequest(t *testing.T) {
-	fingerprint := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
-	assert.Equal(t, fingerprint, PrintOf("customer", "POST", "host", "/path/x", []byte("body")))
+	print := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
+	assert.Equal(t, print, PrintOf("customer", "POST", "host", "/path/x", []byte("body")))
 	others := []Print{
 		PrintOf("other", "POST", "host", "/path/x", []byte("body")),
 		PrintOf("customer", "PUT", "host", "/path/x", []byte("body")),
@@ -24,18 +24,18 @@
 		PrintOf("customer", "POST", "host/path", "/x", []byte("body")),
 	}
 	for _, other := range others {
-		assert.NotEqual(t, fingerprint, other)
+		assert.NotEqual(t, print, other)
 	}
 }
 
 func TestFingerprintRoundTrip(t *testing.T) {
-	fingerprint := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
-	data, err := json.Marshal(fingerprint)
+	print := PrintOf("customer", "POST", "host", "/path/x", []byte("body"))
+	data, err := json.Marshal(print)
 	require.NoError(t, err)
 	var back Print
 	require.NoError(t, json.Unmarshal(data, &back))
-	assert.Equal(t, fingerprint, back)
-	for _, bad := range []string{`""`, `"00"`, `"zz"`, `"` + fingerprint.String() + `00"`} {
+	assert.Equal(t, print, back)
+	for _, bad := range []string{`""`, `"00"`, `"zz"`, `"` + print.String() + `00"`} {
 		assert.Error(t, json.Unmarshal([]byte(bad), &back), bad)
 	}
 }
