--- a/fleet/relay/choice/usual_test.go
+++ b/fleet/relay/choice/baseline_test.go
@@ -12,9 +12,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 )
 
-// What endpoints on trial show changes nothing of what is expected of the others, and
-// they are compared with what is usual without that they are known to be slow.
-func TestEndpointsOnTrialTeachTheModelNothing(t *testing.T) {
+// The timing of endpoints on trial does not change the service's model, and they are compared with the
+// model and not with their own speed.
+func TestEndpointsOnTrialDoNotUpdateTheModel(t *testing.T) {
 	now := time.Now()
 	p := NewPicker("z", DefaultTuning())
 	all := testEngines(4)
@@ -24,28 +24,27 @@
 		playCall(t, p, random, all[0], kind, 1, now)
 	}
 	before := *p.models[service]
-	const slower = 6
+	const slowdown = 6
 	for i := range 100 {
 		c := call.Call{ID: fmt.Sprint("trial", i), PromptMax: 2000, OutputMax: 100}
 		placement, ok := p.Pick(Request{Call: c, Engines: all[1:], Trial: true, Profile: Profile{Service: service, Tokens: true, Capacity: 1}, Cap: 100, Now: now})
 		require.True(t, ok)
-		first, gap := millis(slower*kind.first(placement.Uncached)), millis(slower*(kind.eventMs+kind.batchMs))
+		first, gap := millis(slowdown*kind.first(placement.Uncached)), millis(slowdown*(kind.eventMs+kind.batchMs))
 		placement.First(first, now)
 		placement.Events(gap, now)
-		assert.InDelta(t, slower, placement.Slowness(first, 0, now), 1)
-		assert.InDelta(t, slower, placement.Slowness(0, gap, now), 1.5)
+		assert.InDelta(t, slowdown, placement.Slowness(first, 0, now), 1)
+		assert.InDelta(t, slowdown, placement.Slowness(0, gap, now), 1.5)
 		assert.InDelta(t, 1, placement.Slowness(millis(kind.first(placement.Uncached)), millis(kind.eventMs+kind.batchMs), now), 0.3)
 		assert.Zero(t, placement.Slowness(0, 0, now))
 		placement.Close(Good, now.Add(time.Minute))
 	}
 	after := *p.models[service]
-	after.value = before.value // that is of calls, not of endpoints
+	after.value = before.value // a property of calls, not of endpoints
 	assert.Equal(t, before, after)
 }
 
-// Endpoints of another list may be sources of parts: a version that a service moves to
-// reads from the old one.
-func TestPartsAreTakenFromOtherVersions(t *testing.T) {
+// Endpoints of another list may be sources of parts: the target version of a service fetches from the old one.
+func TestPartsAreFetchedFromOtherVersions(t *testing.T) {
 	now := time.Now()
 	all := testEngines(2)
 	old, target := all[:1], all[1:]
@@ -71,7 +70,7 @@
 	}
 }
 
-func TestHowLongACallLasts(t *testing.T) {
+func TestExpectedCallDuration(t *testing.T) {
 	p := NewPicker("z", DefaultTuning())
 	random := rand.New(rand.NewPCG(1, 2))
 	all := testEngines(1)
@@ -87,7 +86,7 @@
 	assert.Greater(t, p.Lasts(Profile{Service: "unknown"}, 0, 0, 6), time.Duration(0))
 }
 
-func TestCallsOfSomeEndpointsAreCounted(t *testing.T) {
+func TestInFlightCountsSomeEndpoints(t *testing.T) {
 	now := time.Now()
 	p := NewPicker("z", DefaultTuning())
 	all := testEngines(2)
--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -8,15 +8,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// isCold is whether an endpoint gets no more calls than a cold one bears.
+// isCold reports whether the rate of a cold endpoint applies to the endpoint.
 func (r Request) isCold(e engine.Engine) bool {
 	return r.Profile.ColdPerSecond > 0 && cold.Cold(e, r.Profile.ColdStart, r.Now)
 }
 
-// may is whether an endpoint may get one more call of this node, by the bounds that all
-// nodes keep together. An endpoint that names a limit means all nodes: kept by each for
-// itself, or by those alone that it has told, the limit would be exceeded by their number.
-func (p *Picker) may(r Request, e engine.Engine) bool {
+// withinBounds reports whether this node may send one more call to an endpoint without exceeding
+// the bounds that all nodes keep together. A limit named by an endpoint covers the whole fleet:
+// if each node applied it alone, or only the nodes that received it did, the fleet would exceed
+// it by a multiple.
+func (p *Picker) withinBounds(r Request, e engine.Engine) bool {
 	if r.isCold(e) && !p.gate.May(e, p.cold.Bound(r.Profile.ColdPerSecond), r.Now) {
 		return false
 	}
@@ -30,10 +31,11 @@
 	return p.limits.MayTry(e.Life(), p.gate.Count(), r.Now)
 }
 
-// unheard is which endpoints a call goes to before any other, where it may: nothing was heard
-// of their limits for a while, and only an answer tells whether they still hold. Left to
-// what costs least, an endpoint might never be asked, and stay under a limit that is over.
-func (p *Picker) unheard(r Request) []engine.Engine {
+// endpointsWithStaleLimit returns the endpoints whose limit was not confirmed lately. They get
+// the next call that may go there, since only an answer shows whether the limit still holds. If
+// they were chosen by cost alone, they might never get a call and stay limited after the limit
+// is over.
+func (p *Picker) endpointsWithStaleLimit(r Request) []engine.Engine {
 	if p.limits == nil {
 		return nil
 	}
@@ -46,8 +48,8 @@
 	return of
 }
 
-// Limits are how many calls a second the ready endpoints take from all nodes together; false
-// where one of them names no limit.
+// Limits returns how many calls per second the ready endpoints accept from all nodes together.
+// It returns false if one of them names no limit.
 func (p *Picker) Limits(among []engine.Engine) (perSecond float64, all bool) {
 	if p.limits == nil {
 		return 0, false
@@ -67,8 +69,8 @@
 	return perSecond, ready > 0
 }
 
-// Limit takes in what the endpoint's answer says of a limit. Only a good answer tells that
-// there is none: others may come from something on the way.
+// Limit records what an answer signals about the endpoint's limit. Only a successful answer
+// shows that there is none: others may come from an intermediary.
 func (t *Placement) Limit(l call.Limit, good bool, sent, now time.Time) {
 	limits, life := t.picker.limits, t.Engine.Life()
 	if limits == nil {
--- a/fleet/relay/choice/cache.go
+++ b/fleet/relay/choice/cache.go
@@ -6,8 +6,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 )
 
-// holders is which endpoints are thought to keep a part of prompts that calls
-// share, by the part's id.
+// holders maps the id of a shared prompt part to the endpoints that are assumed to cache it.
 type holders map[string]map[string]bool
 
 func (h holders) add(part, endpoint string) {
@@ -27,12 +26,12 @@
 	}
 }
 
-// prefixCache is which parts of prompts an endpoint is thought to keep, by what
-// was sent there: the parts unused for longest give way first.
+// prefixCache models which prompt parts an endpoint has cached, based on what was sent there. It
+// evicts the least recently used parts first.
 type prefixCache struct {
 	capacity int64 // tokens
 	used     int64
-	order    *list.List // of *cachedPart, the newest first
+	order    *list.List // of *cachedPart, most recently used first
 	byID     map[string]*list.Element
 	endpoint string
 	holders  holders
@@ -41,20 +40,20 @@
 type cachedPart struct {
 	id     string
 	tokens int64
-	read   bool // else a call that is to read it waits there
+	read   bool // false: a call that will read it is waiting there
 }
 
 func newPrefixCache(capacity int64, endpoint string, h holders) *prefixCache {
 	return &prefixCache{capacity: capacity, order: list.New(), byID: map[string]*list.Element{}, endpoint: endpoint, holders: h}
 }
 
-// has is whether the part is kept, or will be when a call of now is read.
+// has reports whether the part is cached, or will be once a call that was sent has been read.
 func (c *prefixCache) has(id string) bool {
 	_, ok := c.byID[id]
 	return ok
 }
 
-// read notes that the part was read; shared ones may be taken from there.
+// read records that the part was read. Shared parts may then be fetched from the endpoint.
 func (c *prefixCache) read(p call.Part, shared bool) {
 	k := c.touch(p)
 	if !k.read && shared {
@@ -63,7 +62,7 @@
 	k.read = true
 }
 
-// touch notes that a call which reads the part, or is to read it, was sent.
+// touch records that a call which reads the part was sent.
 func (c *prefixCache) touch(p call.Part) *cachedPart {
 	if e, ok := c.byID[p.ID]; ok {
 		c.order.MoveToFront(e)
@@ -78,7 +77,7 @@
 	return k
 }
 
-// unread forgets a part whose call was not read there after all.
+// unread removes a part whose call was not read there after all.
 func (c *prefixCache) unread(id string) {
 	if e, ok := c.byID[id]; ok && !e.Value.(*cachedPart).read {
 		c.drop(e)
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -1,7 +1,7 @@
-// Package choice picks the endpoint of an attempt: the one where it costs all
-// callers together least, by what the call itself may miss there, by what its
-// prompt does to the streams that run there, and by what a model of each
-// endpoint, learned from what streams show, says of both.
+// Package choice picks the endpoint of each attempt. It minimizes the estimated cost to all
+// callers together: the risk that the call misses its own objective, the delay that its prompt
+// causes for streams already running there, and the distance. The estimates come from a model of
+// each service and endpoint, learned from the timing of their streams.
 package choice
 
 import (
@@ -23,39 +23,39 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// Picker chooses endpoints and remembers what was sent where. It is safe for
-// concurrent use.
+// Picker chooses endpoints and remembers what was sent where. It is safe for concurrent use.
 type Picker struct {
 	tuning  Tuning
 	places  distance.Places
 	gate    *bound.Gate
 	cold    cold.Rule
-	limits  *limit.Book  // nil: what endpoints name counts for nothing
-	notices *notice.Book // nil: what endpoints say in answers counts for nothing
-	doubts  *doubt.Book  // nil: what others tell of failures counts for nothing
+	limits  *limit.Book  // nil: limits that endpoints name are ignored
+	notices *notice.Book // nil: notices in answers are ignored
+	doubts  *doubt.Book  // nil: failures that peers report are ignored
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint
-	models    map[string]*model // by service
-	holders   holders
-	capacity  int64 // tokens that an endpoint keeps, the most that a service said
-	recent    recent
-	zones     zones
-	told      map[string][]string // ids of the endpoints that a peer's last digests named, by peer
+	mu            sync.Mutex
+	endpoints     map[string]*endpoint
+	models        map[string]*model // by service
+	holders       holders
+	capacity      int64 // tokens: the largest prefix cache of an endpoint of any service
+	recent        recentReads
+	zones         zones
+	peerEndpoints map[string][]string // endpoint ids in the last digests of each peer
 }
 
-// NewPicker returns a picker for a node of a zone, which sends nothing to cold endpoints.
+// NewPicker returns a picker for a node in the zone. Without a cold gate it sends nothing to
+// cold endpoints.
 func NewPicker(zone string, t Tuning) *Picker {
-	return &Picker{tuning: t, places: distance.From(zone, nil, costs(t)), gate: bound.NewGate(""), endpoints: map[string]*endpoint{}, models: map[string]*model{}, holders: holders{}, zones: zones{}, told: map[string][]string{}}
+	return &Picker{tuning: t, places: distance.From(zone, nil, costs(t)), gate: bound.NewGate(""), endpoints: map[string]*endpoint{}, models: map[string]*model{}, holders: holders{}, zones: zones{}, peerEndpoints: map[string][]string{}}
 }
 
-// WithPlaces has the picker tell regions apart.
+// WithPlaces sets the zones' regions and distances.
 func (p *Picker) WithPlaces(d distance.Places) *Picker {
 	p.places = d
 	return p
 }
 
-// costs are what leaving costs where no more is known.
+// costs returns the costs of leaving the zone when no regions are configured.
 func costs(t Tuning) distance.Costs {
 	if !t.Distance {
 		return distance.None()
@@ -63,65 +63,67 @@
 	return distance.DefaultCosts()
 }
 
-// WithColdGate has the picker send to cold endpoints what a gate allows.
+// WithColdGate lets the picker send to cold endpoints as many calls as the gate allows.
 func (p *Picker) WithColdGate(g *bound.Gate, r cold.Rule) *Picker {
 	p.gate, p.cold = g, r
 	return p
 }
 
-// WithLimits has the picker keep to the limits that endpoints name, by the same gate.
+// WithLimits makes the picker respect limits that endpoints name, using the same gate.
 func (p *Picker) WithLimits(b *limit.Book) *Picker {
 	p.limits = b
 	return p
 }
 
-// WithNotices has the picker heed what endpoints say in their answers.
+// WithNotices makes the picker act on notices in endpoints' answers.
 func (p *Picker) WithNotices(b *notice.Book) *Picker {
 	p.notices = b
 	return p
 }
 
-// WithDoubts has the picker avoid endpoints that nodes tell of, and note failures for them.
+// WithDoubts makes the picker avoid endpoints suspected by several nodes, and report this node's
+// failures.
 func (p *Picker) WithDoubts(b *doubt.Book) *Picker {
 	p.doubts = b
 	return p
 }
 
-// Profile is what the policy says of a service's endpoints.
+// Profile holds the policy's settings for a service's endpoints.
 type Profile struct {
 	Service    string
-	Tokens     bool    // they read prompts and generate
-	Capacity   int64   // tokens that one keeps
-	TokenBytes int64   // of a kept token, when it is moved to another endpoint; 0: nothing can be moved
+	Tokens     bool    // endpoints read prompts and generate tokens
+	Capacity   int64   // tokens in the prefix cache of one endpoint
+	TokenBytes int64   // size of a cached token when it is moved to another endpoint; 0: cached tokens can't be moved
 	LinkMbps   float64 // between two endpoints
 
-	ColdStart     time.Duration // how long one is slow after its start
-	ColdPerSecond float64       // calls that one bears then; 0 is no bound
+	ColdStart     time.Duration // how long an endpoint is slow after its start
+	ColdPerSecond float64       // calls per second that a cold endpoint takes; 0 means unbounded
 }
 
-// Request is what a choice depends on.
+// Request holds the input of one choice.
 type Request struct {
 	Call      call.Call
-	Engines   []engine.Engine      // in the order of their ids
-	Sources   []engine.Engine      // that parts of prompts may be taken from, in that order, too; nil: Engines
-	Again     bool                 // the call may run again
-	Elsewhere bool                 // the call may be sent to another endpoint if this one turns it away
-	Trial     bool                 // the endpoints are on trial: what they show is no word on the others of the service
+	Engines   []engine.Engine      // ordered by id
+	Sources   []engine.Engine      // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
+	Again     bool                 // the call is idempotent and may run again
+	Elsewhere bool                 // if this endpoint turns the call away, it may be sent to another one
+	Trial     bool                 // the endpoints are on trial: their timing does not update the service's model
 	Exclude   map[engine.Life]bool // already tried
 	Profile   Profile
-	Objective time.Duration // until the first event, from now; 0 is none
-	Gap       time.Duration // longest pause between two events in time; 0 is none
-	Homes     []string      // regions to whose nodes alone may be told what the call read; none is all
-	Bytes     int64         // that go to the endpoint and back, as expected
-	Cap       int           // calls that this node may have in flight at one endpoint
+	Objective time.Duration // time to the first event, from now; 0: none
+	Gap       time.Duration // longest acceptable pause between two events; 0: none
+	Homes     []string      // regions whose nodes may learn which parts the call read; nil: all
+	Bytes     int64         // expected bytes sent to the endpoint and back
+	Cap       int           // maximum calls in flight from this node at one endpoint
 	Now       time.Time
 }
 
-// Pick chooses an endpoint and counts the call there; false where none may take it.
+// Pick chooses an endpoint and counts the call there. It returns false if no endpoint may take
+// the call.
 func (p *Picker) Pick(r Request) (*Placement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, found := p.first(r)
+	best, found := p.choose(r)
 	if !found {
 		return nil, false
 	}
@@ -132,7 +134,7 @@
 // place counts a placement at its endpoint.
 func (p *Picker) place(t *Placement, r Request) {
 	e := p.endpoint(t.Engine.Life(), r.Profile.Capacity)
-	t.picker, t.model, t.request, t.at = p, p.model(r.Profile.Service), r, e
+	t.picker, t.model, t.request, t.endpoint = p, p.model(r.Profile.Service), r, e
 	p.capacity = max(p.capacity, r.Profile.Capacity)
 	p.gate.Sent(t.Engine.ID, r.Now)
 	if p.limits != nil {
@@ -141,7 +143,7 @@
 	if p.notices != nil {
 		p.notices.Placed(t.Engine.Life(), r.Now)
 	}
-	e.told, e.placed = true, r.Now
+	e.listed, e.placed = true, r.Now
 	e.inFlight++
 	e.waiting += t.Uncached
 	if r.Profile.Tokens {
@@ -152,51 +154,52 @@
 	}
 }
 
-// care is which endpoints are left out as long as others may take a call.
-type care int
+// tolerance is how many suspected endpoints a choice accepts.
+type tolerance int
 
 const (
-	sound     care = iota // none that failed or refused of late, or that nodes tell of
-	suspects              // none that nodes tell of
-	whichever             // nothing else is left
+	healthyOnly       tolerance = iota // excludes endpoints that failed or refused a call of this node lately, and those that several nodes suspect
+	allowOwnSuspicion                  // excludes only endpoints that several nodes suspect
+	allowAll                           // excludes none of them
 )
 
-// first finds the best among a sample of the endpoints; where none of them may take the
-// call among all. What this node saw of an endpoint says less than what several nodes did:
-// it may have been full for a moment, or have failed one call.
-func (p *Picker) first(r Request) (Placement, bool) {
+// choose ranks a sample of the endpoints and falls back to all of them if none of the sample may
+// take the call. The suspicion of this node alone is dropped before that of several nodes: the
+// endpoint may have been full for a moment, or have failed a single call.
+func (p *Picker) choose(r Request) (Placement, bool) {
 	key := xxhash.Sum64String(r.Call.ID)
 	affinity := p.affinity(r)
-	if best, found := p.best(r, p.unheard(r), affinity, key, sound); found {
+	if best, found := p.best(r, p.endpointsWithStaleLimit(r), affinity, key, healthyOnly); found {
 		return best, true
 	}
 	some := candidates(r, affinity, key)
-	if best, found := p.best(r, some, affinity, key, sound); found {
+	if best, found := p.best(r, some, affinity, key, healthyOnly); found {
 		return best, true
 	}
 	if len(some) < len(r.Engines) {
-		if best, found := p.best(r, r.Engines, affinity, key, sound); found {
+		if best, found := p.best(r, r.Engines, affinity, key, healthyOnly); found {
 			return best, true
 		}
 	}
-	if best, found := p.best(r, r.Engines, affinity, key, suspects); found {
+	if best, found := p.best(r, r.Engines, affinity, key, allowOwnSuspicion); found {
 		return best, true
 	}
-	return p.best(r, r.Engines, affinity, key, whichever)
+	return p.best(r, r.Engines, affinity, key, allowAll)
 }
 
-// best ranks endpoints for a call.
-func (p *Picker) best(r Request, among []engine.Engine, affinity string, key uint64, with care) (Placement, bool) {
+// best returns the endpoint of lowest cost. Equal costs are ranked by a hash of call and
+// endpoint.
+func (p *Picker) best(r Request, among []engine.Engine, affinity string, key uint64, level tolerance) (Placement, bool) {
 	var best Placement
 	bestRank := uint64(0)
 	found := false
 	source := p.source(r, affinity)
 	for _, e := range among {
-		s, why := p.usable(&r, &e, key, with)
+		s, why := p.usable(&r, &e, key, level)
 		if why != Usable {
 			continue
 		}
-		t := p.weigh(r, e, s, affinity, source)
+		t := p.estimate(r, e, s, affinity, source)
 		rank := ident.Mix(key ^ e.Hash)
 		if !found || t.Cost < best.Cost || t.Cost == best.Cost && rank > bestRank {
 			best, bestRank, found = t, rank, true
@@ -205,16 +208,16 @@
 	return best, found
 }
 
-// sample is how many endpoints are compared where there are many: the affinity
-// target of the prompt's parts, and others drawn by the call's id.
-const sample = 24
+// sampleSize is the number of endpoints that are compared in a large service. They are drawn by
+// the call's id; the affinity target of the prompt's parts is added.
+const sampleSize = 24
 
 func candidates(r Request, affinity string, key uint64) []engine.Engine {
-	if len(r.Engines) <= sample+sample/2 {
+	if len(r.Engines) <= sampleSize+sampleSize/2 {
 		return r.Engines
 	}
-	some := make([]engine.Engine, 0, sample+1)
-	for i := range sample {
+	some := make([]engine.Engine, 0, sampleSize+1)
+	for i := range sampleSize {
 		some = append(some, r.Engines[ident.Mix(key+uint64(i))%uint64(len(r.Engines))])
 	}
 	if e, ok := find(r.Engines, affinity); ok {
@@ -223,7 +226,7 @@
 	return some
 }
 
-// find looks an endpoint up by its id; engines come in the order of their ids.
+// find looks up an endpoint by id in a list ordered by id.
 func find(engines []engine.Engine, id string) (engine.Engine, bool) {
 	at, ok := slices.BinarySearchFunc(engines, id, func(e engine.Engine, id string) int { return strings.Compare(e.ID, id) })
 	if !ok {
@@ -232,8 +235,8 @@
 	return engines[at], true
 }
 
-// affinity names the endpoint where the shared parts of the prompt lie, by
-// rendezvous hashing of the deepest one, so that every node agrees unasked.
+// affinity returns the endpoint that should cache the shared parts of the prompt. Rendezvous
+// hashing of the deepest part makes all nodes agree without communication.
 func (p *Picker) affinity(r Request) string {
 	shared := r.Call.Shared()
 	if !r.Profile.Tokens || len(shared) == 0 {
@@ -250,7 +253,7 @@
 	return best
 }
 
-// Forget drops what is known of endpoints that are gone and have no calls.
+// Forget drops the state of endpoints that are gone and have no calls in flight.
 func (p *Picker) Forget(known func(id string) bool) {
 	p.gate.Forget(known)
 	p.mu.Lock()
--- a/fleet/relay/choice/choice_test.go
+++ b/fleet/relay/choice/choice_test.go
@@ -38,7 +38,7 @@
 	return choice.Request{Call: c, Engines: all, Profile: choice.Profile{Service: "s", Tokens: true, Capacity: 400_000}, Cap: 40, Now: now}
 }
 
-// readTime is how long an engine that reads 20 tokens in a ms takes to the first event.
+// readTime is the time to the first event of an engine that reads 20 tokens per ms.
 func readTime(p *choice.Placement) time.Duration {
 	return 30*time.Millisecond + time.Duration(p.Uncached)*50*time.Microsecond
 }
@@ -46,7 +46,7 @@
 func TestSessionsStayWhereTheirPartsAre(t *testing.T) {
 	now := time.Now()
 	all := engines(9)
-	// Two nodes that never spoke send a session to the same endpoint.
+	// Two nodes that never communicated send a session to the same endpoint.
 	one, two := choice.NewPicker("z0", choice.DefaultTuning()), choice.NewPicker("z3", choice.DefaultTuning())
 	for i := range 20 {
 		session := fmt.Sprint("session-", i)
@@ -67,14 +67,14 @@
 	p := choice.NewPicker("z0", choice.DefaultTuning())
 	used := map[string]int{}
 	for i := range 40 {
-		ticket, ok := p.Pick(ask(prompt(fmt.Sprint("c", i), "hot"), engines(9), now))
+		placement, ok := p.Pick(ask(prompt(fmt.Sprint("c", i), "hot"), engines(9), now))
 		require.True(t, ok)
-		used[ticket.Engine.ID]++
+		used[placement.Engine.ID]++
 	}
 	assert.Greater(t, len(used), 3, "forty prompts at once do not wait at one endpoint: %v", used)
 }
 
-func TestNoNewWork(t *testing.T) {
+func TestIneligibleEndpointsGetNoCalls(t *testing.T) {
 	now := time.Now()
 	all := engines(2)
 	cases := []struct {
@@ -110,26 +110,26 @@
 		{"an endpoint that failed", func(p *choice.Picker) choice.Request {
 			a := ask(prompt("a", "s"), all, now)
 			a.Exclude = map[engine.Life]bool{{ID: "e1"}: true}
-			ticket, _ := p.Pick(a)
-			ticket.Close(choice.Bad, now)
+			placement, _ := p.Pick(a)
+			placement.Close(choice.Bad, now)
 			return ask(prompt("b", "s"), all, now)
 		}, "e1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := choice.NewPicker("z0", choice.DefaultTuning())
-			ticket, ok := p.Pick(c.ask(p))
+			placement, ok := p.Pick(c.ask(p))
 			assert.Equal(t, c.want != "", ok)
 			if ok {
-				assert.Equal(t, c.want, ticket.Engine.ID)
+				assert.Equal(t, c.want, placement.Engine.ID)
 			}
 		})
 	}
 }
 
-// A life of an endpoint that has ended gets nothing any more, also where nothing
-// else is left, from this node and from those that it tells.
-func TestALifeThatEndedGetsNothing(t *testing.T) {
+// An incarnation that has ended gets no more calls from this node and from the nodes that received
+// its digest, even if no other endpoint is left.
+func TestEndedIncarnationGetsNoCalls(t *testing.T) {
 	now := time.Now()
 	one, two := choice.NewPicker("z0", choice.DefaultTuning()), choice.NewPicker("z1", choice.DefaultTuning())
 	r := ask(prompt("a", "s"), engines(1), now)
@@ -141,7 +141,7 @@
 	_, ok = one.Pick(later)
 	assert.False(t, ok)
 	_, ok = two.Pick(r)
-	assert.True(t, ok, "a node that was not told")
+	assert.True(t, ok, "a node that did not receive the digest")
 	two.Heard("one", one.Digests(), now)
 	_, ok = two.Pick(later)
 	assert.False(t, ok)
@@ -151,13 +151,13 @@
 	now := time.Now()
 	p := choice.NewPicker("z0", choice.DefaultTuning())
 	a := ask(prompt("a", "s"), engines(1), now)
-	ticket, _ := p.Pick(a)
-	ticket.Close(choice.Bad, now)
+	placement, _ := p.Pick(a)
+	placement.Close(choice.Bad, now)
 	_, ok := p.Pick(a)
 	assert.True(t, ok)
 }
 
-func TestPeersWordCountsWhileItIsFresh(t *testing.T) {
+func TestPeerDigestsExpire(t *testing.T) {
 	now := time.Now()
 	all := engines(2)
 	p := choice.NewPicker("z", choice.DefaultTuning())
@@ -165,12 +165,12 @@
 	affinity.First(readTime(affinity), now)
 	affinity.Close(choice.Good, now)
 	p.Heard("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now)
-	away, _ := p.Pick(ask(prompt("b", "s"), all, now))
-	assert.NotEqual(t, affinity.Engine.ID, away.Engine.ID)
+	other, _ := p.Pick(ask(prompt("b", "s"), all, now))
+	assert.NotEqual(t, affinity.Engine.ID, other.Engine.ID)
 	old := choice.NewPicker("z", choice.DefaultTuning())
 	old.Heard("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now.Add(-3*time.Second))
 	back, _ := old.Pick(ask(prompt("c", "s"), all, now))
-	assert.Equal(t, affinity.Engine.ID, back.Engine.ID, "an old word says nothing")
+	assert.Equal(t, affinity.Engine.ID, back.Engine.ID, "an old digest has no effect")
 }
 
 func BenchmarkPick(b *testing.B) {
@@ -181,16 +181,16 @@
 			now := time.Now()
 			b.ReportAllocs()
 			for i := range b.N {
-				ticket, _ := p.Pick(ask(prompt(fmt.Sprint(i%500), fmt.Sprint("s", i%50)), all, now))
-				ticket.First(readTime(ticket), now)
-				ticket.Close(choice.Good, now)
+				placement, _ := p.Pick(ask(prompt(fmt.Sprint(i%500), fmt.Sprint("s", i%50)), all, now))
+				placement.First(readTime(placement), now)
+				placement.Close(choice.Good, now)
 			}
 		})
 	}
 }
 
-// Among many endpoints only some are compared, but none that may take a call is missed.
-func TestTheLastFitEndpointOfManyIsFound(t *testing.T) {
+// Only a sample of many endpoints is compared; the only one that may take a call must still be found.
+func TestOnlyEligibleEndpointOfManyIsFound(t *testing.T) {
 	now := time.Now()
 	for i := range 50 {
 		all := engines(60)
@@ -201,29 +201,29 @@
 		}
 		p := choice.NewPicker("z0", choice.DefaultTuning())
 		plain := ask(prompt(fmt.Sprint("call-", i), "session"), all, now)
-		plain.Profile.Tokens = false // else the only fit one is the affinity target of the parts
-		ticket, ok := p.Pick(plain)
+		plain.Profile.Tokens = false // otherwise the only eligible one is the affinity target of the parts
+		placement, ok := p.Pick(plain)
 		require.True(t, ok)
-		assert.Equal(t, all[i].ID, ticket.Engine.ID)
+		assert.Equal(t, all[i].ID, placement.Engine.ID)
 	}
 }
 
-// coldGate is the gate of a node that is alone in its fleet.
+// coldGate returns the gate of the only node of a fleet.
 func coldGate(now time.Time) *bound.Gate {
 	g := bound.NewGate("n")
 	g.Nodes([]string{"n"}, now.Add(-time.Minute))
 	return g
 }
 
-func TestColdEndpointsGetWhatTheyBear(t *testing.T) {
+func TestColdEndpointsStayWithinTheirBound(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name  string
 		cold  []int // of three endpoints
 		gate  *bound.Gate
 		calls int
-		want  map[string]int // calls at most
-		sent  int            // of all
+		want  map[string]int // maximum calls
+		sent  int            // to all endpoints
 	}{
 		{"one of three", []int{0}, coldGate(now), 60, map[string]int{"e0": 7, "e1": 60, "e2": 60}, 60},
 		{"all of them", []int{0, 1, 2}, coldGate(now), 60, map[string]int{"e0": 7, "e1": 7, "e2": 7}, 21},
--- a/fleet/relay/choice/cost.go
+++ b/fleet/relay/choice/cost.go
@@ -8,27 +8,27 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// outputWeight is how many prompt tokens a generated one is worth (the
-// platform's page on credit).
+// outputWeight is the value of a generated token in prompt tokens, as in the platform's
+// documentation on credit.
 const outputWeight = 10
 
-// valueOf is what a call is worth beside others.
+// valueOf returns the value of a call, in prompt tokens.
 func valueOf(c call.Call) float64 { return float64(c.PromptMax + outputWeight*c.OutputMax) }
 
-// weigh says what a call would cost at an endpoint.
-func (p *Picker) weigh(r Request, e engine.Engine, s *endpoint, affinity string, from source) Placement {
+// estimate returns the expected times and the cost of a call at an endpoint.
+func (p *Picker) estimate(r Request, e engine.Engine, s *endpoint, affinity string, from source) Placement {
 	t := Placement{Engine: e}
 	inFlight, waiting := s.total(r.Now)
 	m := p.model(r.Profile.Service)
 	if !r.Profile.Tokens {
 		t.ahead = int64(inFlight)
 		t.Cost = p.plainCost(r, e, s, inFlight)
-		t.usualMs = m.firstMs(t.ahead)
-		t.FirstMs = s.speed.slower(r.Now) * t.usualMs
+		t.baselineMs = m.firstMs(t.ahead)
+		t.FirstMs = s.speed.slowdown(r.Now) * t.baselineMs
 		return t
 	}
-	slower := s.speed.slower(r.Now)
-	away := p.places.To(e.Zone, r.Now)
+	slowdown := s.speed.slowdown(r.Now)
+	way := p.places.To(e.Zone, r.Now)
 	kept := p.keptTokens(r, e, s, affinity)
 	fetchMs := 0.0
 	if p.tuning.Fetch && from.id != e.ID && from.tokens > kept {
@@ -41,35 +41,35 @@
 	}
 	t.Uncached = max(r.Call.PromptMax-kept, 0)
 	t.ahead = waiting + t.Uncached
-	first, beside := m.firstMs(t.ahead), fetchMs+p.slotMs(m, e, inFlight)+away.DelayMs()
-	t.usualMs = first + beside
-	t.FirstMs = slower*first + beside
+	first, beside := m.firstMs(t.ahead), fetchMs+p.slotMs(m, e, inFlight)+way.DelayMs()
+	t.baselineMs = first + beside
+	t.FirstMs = slowdown*first + beside
 	value := valueOf(r.Call)
 	t.Cost = value * (chanceOfMore(t.FirstMs, objectiveMs(r)) + p.tuning.Waiting*t.FirstMs/objectiveMs(r))
 	if p.tuning.Pauses {
 		t.Cost += value * s.pauseShare(r.Now)
 	}
 	if p.tuning.Harm && inFlight > 0 {
-		t.PauseMs = slower * (m.eventMs(inFlight) + m.readMs(t.ahead))
+		t.PauseMs = slowdown * (m.eventMs(inFlight) + m.readMs(t.ahead))
 		t.Cost += m.value.mean() * float64(inFlight) * chanceOfMore(t.PauseMs, gapMs(r))
 	}
-	t.Cost += away.Call(value, r.Bytes)
+	t.Cost += way.Call(value, r.Bytes)
 	return t
 }
 
-// plainCost ranks endpoints without prompts by how full they are.
+// plainCost ranks endpoints that read no prompts by their utilization.
 func (p *Picker) plainCost(r Request, e engine.Engine, s *endpoint, inFlight int) float64 {
 	slots := float64(max(e.Slots, 1))
 	full := float64(inFlight)
 	if r.Now.Sub(s.loadAt) < p.tuning.LoadAge {
 		full = max(full, float64(s.load.Running+s.load.Waiting))
 	}
-	cost := max(s.speed.slower(r.Now), 1) * (full + 1) / slots
-	away := p.places.To(e.Zone, r.Now)
-	return cost + away.Plain() + away.DelayMs()/objectiveMs(r)
+	cost := max(s.speed.slowdown(r.Now), 1) * (full + 1) / slots
+	way := p.places.To(e.Zone, r.Now)
+	return cost + way.Plain() + way.DelayMs()/objectiveMs(r)
 }
 
-// keptTokens is how much of the prompt the endpoint is thought to keep.
+// keptTokens estimates how many tokens of the prompt the endpoint has cached.
 func (p *Picker) keptTokens(r Request, e engine.Engine, s *endpoint, affinity string) int64 {
 	kept, believed := int64(0), 0.0
 	shared := len(r.Call.Shared())
@@ -86,24 +86,24 @@
 	return kept + int64(believed)
 }
 
-// slotMs is how long a call waits for a place among those that run at once.
+// slotMs estimates how long a call waits for a free slot.
 func (p *Picker) slotMs(m *model, e engine.Engine, inFlight int) float64 {
 	if e.Slots <= 0 || inFlight < e.Slots {
 		return 0
 	}
 	const second = 1000
-	return float64(inFlight-e.Slots+1) / float64(e.Slots) * m.lasts.mean() * second
+	return float64(inFlight-e.Slots+1) / float64(e.Slots) * m.duration.mean() * second
 }
 
-// Where a route names no objective or pause, these stand in for it.
+// Defaults for routes without an objective or a gap.
 const (
-	someObjective = time.Second
-	someGap       = 400 * time.Millisecond
+	defaultObjective = time.Second
+	defaultGap       = 400 * time.Millisecond
 )
 
-func objectiveMs(r Request) float64 { return milliseconds(r.Objective, someObjective) }
+func objectiveMs(r Request) float64 { return milliseconds(r.Objective, defaultObjective) }
 
-func gapMs(r Request) float64 { return milliseconds(r.Gap, someGap) }
+func gapMs(r Request) float64 { return milliseconds(r.Gap, defaultGap) }
 
 func milliseconds(d, unknown time.Duration) float64 {
 	if d <= 0 {
@@ -112,11 +112,10 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// predictionSpread is how far what is expected lies off, as a part of the bound.
+// predictionSpread is the spread of the prediction error, as a fraction of the bound.
 const predictionSpread = 0.12
 
-// chanceOfMore is the chance that a time which is expected to be so long is more
-// than a bound.
+// chanceOfMore returns the probability that a time with the given expectation exceeds a bound.
 func chanceOfMore(expected, bound float64) float64 {
 	return 1 / (1 + math.Exp((bound-expected)/(predictionSpread*bound)))
 }
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -12,75 +12,76 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Digest is what one node tells the others about an endpoint.
+// Digest is what one node reports to the others about an endpoint.
 type Digest struct {
 	InFlight int       `json:"n,omitempty"`
 	Waiting  int64     `json:"w,omitempty"`
 	Paused   float64   `json:"p,omitempty"` // share of its streams that paused for too long
-	Streams  float64   `json:"s,omitempty"` // how many streams that share is of, those long ago less
-	Gone     bool      `json:"g,omitempty"` // its life has ended
-	Born     int64     `json:"b,omitempty"` // which life this is about; 0: it does not say, or the teller's software does not
+	Streams  float64   `json:"s,omitempty"` // decayed number of streams behind that share
+	Gone     bool      `json:"g,omitempty"` // its incarnation has ended
+	Born     int64     `json:"b,omitempty"` // start of the incarnation; 0: the endpoint or the sender's build does not report it
 	At       time.Time `json:"-"`
 }
 
-// sound is the digest without what can't be: a peer's word is taken, not trusted.
-func (d Digest) sound() Digest {
+// sanitized returns the digest with impossible values clamped, since peers' digests are not
+// trusted.
+func (d Digest) sanitized() Digest {
 	d.InFlight, d.Waiting = max(d.InFlight, 0), max(d.Waiting, 0)
 	d.Born = max(d.Born, 0)
 	d.Paused = min(max(d.Paused, 0), 1)
-	d.Streams = min(max(d.Streams, 0), 1/(1-averageKeep))
+	d.Streams = min(max(d.Streams, 0), 1/(1-averageDecay))
 	return d
 }
 
-// Busiest is the digests of the endpoints that have most in flight, so many at most, and
-// of those whose life has ended.
-func Busiest(digests map[string]Digest, most int) map[string]Digest {
+// Busiest returns the digests of the endpoints with most calls in flight, at most the given
+// number of them, and all digests of ended incarnations.
+func Busiest(digests map[string]Digest, limit int) map[string]Digest {
 	ids := lo.Keys(digests)
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(digests[b].InFlight, digests[a].InFlight), cmp.Compare(a, b))
 	})
-	busiest := make(map[string]Digest, most)
+	busiest := make(map[string]Digest, limit)
 	for _, id := range ids {
-		if d := digests[id]; d.Gone || len(busiest) < most {
+		if d := digests[id]; d.Gone || len(busiest) < limit {
 			busiest[id] = d
 		}
 	}
 	return busiest
 }
 
-// digestAge is how long a peer's word counts.
+// digestAge is how long a peer's digest is valid.
 const digestAge = 1500 * time.Millisecond
 
-// Read is a prompt that was read at an endpoint: the parts that calls share.
+// Read lists the shared parts of a prompt that an endpoint has read.
 type Read struct {
 	Endpoint string   `json:"e"`
-	Born     int64    `json:"b,omitempty"` // which life read it; 0: it does not say, or the teller's software does not
+	Born     int64    `json:"b,omitempty"` // start of the incarnation that read it; 0: the endpoint or the sender's build does not report it
 	Parts    []string `json:"p"`
 	Tokens   []int64  `json:"t"`
-	Homes    []string `json:"h,omitempty"` // regions whose nodes may be told; none is all
+	Homes    []string `json:"h,omitempty"` // regions whose nodes may receive it; nil: all
 }
 
-// recent is what was read lately, for peers: each is told several times, since
-// datagrams are lost.
-type recent struct{ reads []timedRead }
+// recentReads holds the latest reads for peers. Each is sent several times, since datagrams get
+// lost.
+type recentReads struct{ reads []timedRead }
 
 type timedRead struct {
 	Read
 	at   time.Time
-	news bool // hardly any endpoint was known to keep its parts
+	rare bool // few endpoints were known to cache its parts
 }
 
-// Bounds of what is told of prompts that were read.
+// Bounds of the reads that are sent to peers.
 const (
-	readsFor  = time.Second
-	readsMost = 128
+	readTTL  = time.Second
+	maxReads = 128
 )
 
-func (l *recent) add(by engine.Life, parts []call.Part, homes []string, news bool, now time.Time) {
+func (l *recentReads) add(by engine.Life, parts []call.Part, homes []string, rare bool, now time.Time) {
 	if len(parts) == 0 {
 		return
 	}
-	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, Homes: homes}, at: now, news: news}
+	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, Homes: homes}, at: now, rare: rare}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, p.ID)
 		r.Tokens = append(r.Tokens, p.Tokens)
@@ -88,28 +89,28 @@
 	l.reads = append(l.reads, r)
 }
 
-// list is what the nodes of a region may be told.
-func (l *recent) list(region string, newsOnly bool, now time.Time) []Read {
+// list returns the reads that nodes of a region may receive.
+func (l *recentReads) list(region string, rareOnly bool, now time.Time) []Read {
 	from := 0
-	for from < len(l.reads) && now.Sub(l.reads[from].at) > readsFor {
+	for from < len(l.reads) && now.Sub(l.reads[from].at) > readTTL {
 		from++
 	}
-	l.reads = l.reads[max(from, len(l.reads)-readsMost):]
+	l.reads = l.reads[max(from, len(l.reads)-maxReads):]
 	all := make([]Read, 0, len(l.reads))
 	for _, r := range l.reads {
-		if (r.news || !newsOnly) && (len(r.Homes) == 0 || slices.Contains(r.Homes, region)) {
+		if (r.rare || !rareOnly) && (len(r.Homes) == 0 || slices.Contains(r.Homes, region)) {
 			all = append(all, r.Read)
 		}
 	}
 	return all
 }
 
-// precision of the shares that are told: hundredths.
+// precision is the number of steps that shares are rounded to.
 const precision = 100
 
 func rounded(x float64) float64 { return math.Round(x*precision) / precision }
 
-// Digests lists this node's own part for its peers.
+// Digests returns this node's own state of each endpoint for its peers.
 func (p *Picker) Digests() map[string]Digest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,28 +123,28 @@
 	return all
 }
 
-// Reads lists the prompts that this node had read lately, and what it tells on, as far as
-// nodes of a region may know of them.
+// Reads returns the latest reads of this node, and those that it forwards, as far as nodes of
+// the region may receive them.
 func (p *Picker) Reads(region string, now time.Time) []Read { return p.listReads(region, false, now) }
 
-// News lists of them those whose parts hardly any endpoint was known to keep: what is
-// worth its bytes between zones.
+// News returns those of Reads whose parts few endpoints were known to cache. Only these are
+// worth sending between zones.
 func (p *Picker) News(region string, now time.Time) []Read { return p.listReads(region, true, now) }
 
-func (p *Picker) listReads(region string, newsOnly bool, now time.Time) []Read {
+func (p *Picker) listReads(region string, rareOnly bool, now time.Time) []Read {
 	if !p.tuning.Gossip {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.recent.list(region, newsOnly, now)
+	return p.recent.list(region, rareOnly, now)
 }
 
-// Heard takes in a peer's digests; what it does not name is nothing.
+// Heard records a peer's digests. Endpoints that they don't list have no calls of that peer.
 func (p *Picker) Heard(peer string, digests map[string]Digest, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range p.told[peer] {
+	for _, id := range p.peerEndpoints[peer] {
 		if _, ok := digests[id]; ok {
 			continue
 		}
@@ -151,23 +152,23 @@
 			delete(s.peers, peer)
 		}
 	}
-	told := p.told[peer][:0]
+	announced := p.peerEndpoints[peer][:0]
 	for id, d := range digests {
-		told = append(told, id)
-		d = d.sound()
+		announced = append(announced, id)
+		d = d.sanitized()
 		d.At = now
 		s := p.endpoint(engine.Life{ID: id, Born: d.Born}, 0)
 		s.peers[peer] = d
 		s.gone = s.gone || d.Gone && d.Born == s.born
 	}
-	p.told[peer] = told
+	p.peerEndpoints[peer] = announced
 }
 
-// HeardReads takes in which prompts a peer had read where. Those whose parts hardly any
-// endpoint is known to keep are told on where the node tells others of its zone, so that
-// every node knows a source of each part that calls share: most reads are never heard of
-// in a large fleet, and what nobody knows to be kept is read again.
-func (p *Picker) HeardReads(reads []Read, tellOn bool, now time.Time) {
+// HeardReads records the reads of a peer. With forward set, reads of parts that few endpoints
+// are known to cache are passed on within the zone, so that every node knows a source of each
+// shared part. Otherwise most nodes of a large fleet never learn of a read, and parts without a
+// known source are read again.
+func (p *Picker) HeardReads(reads []Read, forward bool, now time.Time) {
 	if !p.tuning.Gossip {
 		return
 	}
@@ -179,11 +180,11 @@
 		if len(r.Parts) != len(r.Tokens) || len(r.Parts) == 0 || !known && p.capacity <= 0 {
 			continue
 		}
-		if known && !s.isAbout(r.Born, now) {
+		if known && !s.matches(r.Born, now) {
 			continue
 		}
 		deepest := r.Parts[len(r.Parts)-1]
-		news := p.isNews(deepest) && !p.holders[deepest][r.Endpoint]
+		rare := p.isRare(deepest) && !p.holders[deepest][r.Endpoint]
 		if !known {
 			s = p.endpoint(engine.Life{ID: r.Endpoint, Born: r.Born}, p.capacity)
 		}
@@ -192,15 +193,15 @@
 				s.cache.read(call.Part{ID: id, Tokens: r.Tokens[i]}, true)
 			}
 		}
-		if tellOn && news {
+		if forward && rare {
 			p.recent.reads = append(p.recent.reads, timedRead{Read: r, at: now})
 		}
 	}
 }
 
-// isNews is whether hardly any endpoint is known to keep a part.
-func (p *Picker) isNews(part string) bool { return len(p.holders[part]) < holdersTold }
+// isRare reports whether few endpoints are known to cache a part.
+func (p *Picker) isRare(part string) bool { return len(p.holders[part]) < minHolders }
 
-// holdersTold is how many endpoints that keep a part are told on to others: one may be
-// leaving, or its link taken.
-const holdersTold = 2
+// minHolders is how many endpoints must be known to cache a part before reads of it are no
+// longer forwarded. It is more than one because an endpoint may be leaving or its link busy.
+const minHolders = 2
--- a/fleet/relay/choice/distance_test.go
+++ b/fleet/relay/choice/distance_test.go
@@ -14,9 +14,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Parts are taken from the nearest of those that keep them; which of several as near ones
-// differs from call to call.
-func TestPartsAreTakenFromTheNearest(t *testing.T) {
+// Parts are fetched from the nearest holders. Among equally near ones the choice differs from call to call,
+// so that they share the load.
+func TestPartsAreFetchedFromTheNearest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(6)
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
@@ -55,8 +55,8 @@
 	}
 }
 
-// Among endpoints that are as good a call stays in the zone, then in the region; where
-// these are worse by more than leaving costs it leaves.
+// Among equal endpoints a call stays in the zone, then in the region. It leaves if the endpoints there are
+// worse by more than the cost of leaving.
 func TestCallsStayNear(t *testing.T) {
 	now := time.Unix(1000, 0)
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
@@ -92,9 +92,9 @@
 	}
 }
 
-// Parts are taken from endpoints at which the call itself may run only, whoever else keeps
-// them, and the affinity target is one of these, too.
-func TestPartsAreTakenAtHomeOnly(t *testing.T) {
+// Parts are fetched only from endpoints at which the call itself may run, whichever others cache them.
+// The affinity target is one of these, too.
+func TestPartsAreFetchedFromHomeRegionsOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(6)
 	profile := Profile{Service: service, Tokens: true, Capacity: 100_000, TokenBytes: 131_072, LinkMbps: 500_000}
@@ -130,9 +130,9 @@
 	}
 }
 
-// What a call with homes read is told to nodes of these regions only.
-func TestReadsAreToldAtHomeOnly(t *testing.T) {
-	var l recent
+// The reads of a call with home regions are sent only to nodes of these regions.
+func TestReadsAreSentToHomeRegionsOnly(t *testing.T) {
+	var l recentReads
 	now := time.Unix(1000, 0)
 	l.add(engine.Life{ID: "anywhere"}, []call.Part{{ID: "a"}}, nil, false, now)
 	l.add(engine.Life{ID: "home"}, []call.Part{{ID: "b"}}, []string{"r1", "r2"}, false, now)
@@ -141,36 +141,35 @@
 		want   []string
 	}{{"r1", []string{"anywhere", "home"}}, {"r2", []string{"anywhere", "home"}}, {"r3", []string{"anywhere"}}, {"", []string{"anywhere"}}}
 	for _, c := range cases {
-		var told []string
+		var announced []string
 		for _, r := range l.list(c.region, false, now) {
-			told = append(told, r.Endpoint)
+			announced = append(announced, r.Endpoint)
 		}
-		assert.Equal(t, c.want, told, c.region)
+		assert.Equal(t, c.want, announced, c.region)
 	}
 }
 
-// What a node hears of prompts that were read is told on by nodes that tell others, as
-// long as hardly any endpoint is known to keep their parts; what nodes far away hear is
-// their own news alone.
-func TestReadsThatAreNewsAreToldOn(t *testing.T) {
+// Delegates forward received reads as long as few endpoints are known to cache the parts. Other zones
+// receive only a node's own reads of such parts.
+func TestRareReadsAreForwarded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := testEngines(holdersTold + 2)
+	all := testEngines(minHolders + 2)
 	read := func(i int) []Read { return []Read{{Endpoint: all[i].ID, Parts: []string{"a"}, Tokens: []int64{6000}}} }
 	cases := []struct {
-		name   string
-		tellOn bool
-		told   int
-	}{{"a node that tells others", true, holdersTold}, {"another node", false, 0}}
+		name      string
+		forward   bool
+		announced int
+	}{{"a delegate", true, minHolders}, {"another node", false, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPicker("z", DefaultTuning())
 			p.capacity = 100_000
 			for i := range all {
-				p.HeardReads(read(i), c.tellOn, now)
-				p.HeardReads(read(i), c.tellOn, now)
+				p.HeardReads(read(i), c.forward, now)
+				p.HeardReads(read(i), c.forward, now)
 			}
-			assert.Len(t, p.holders["a"], len(all), "also at endpoints that this node never used")
-			assert.Len(t, p.Reads("", now), c.told)
+			assert.Len(t, p.holders["a"], len(all), "including endpoints that this node never used")
+			assert.Len(t, p.Reads("", now), c.announced)
 			assert.Empty(t, p.News("", now))
 		})
 	}
@@ -182,11 +181,10 @@
 		got.First(time.Millisecond, now)
 	}
 	assert.Len(t, p.Reads("", now), len(all))
-	assert.Len(t, p.News("", now), holdersTold)
+	assert.Len(t, p.News("", now), minHolders)
 }
 
-// Moving parts over a distance takes the exchanges' round trips: far away they are read
-// again where that is faster.
+// Moving parts costs round trips: over a long distance reading them again is faster.
 func TestPartsAreFetchedOverADistanceWhereThatIsFaster(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
--- a/fleet/relay/choice/endpoint.go
+++ b/fleet/relay/choice/endpoint.go
@@ -7,32 +7,32 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// endpoint is what is known of one life of an endpoint beside what it says of itself. A
-// new life gets a new one, so that a placement which was made for an earlier life changes
-// nothing of it.
+// endpoint is what this node knows of one incarnation of an endpoint, apart from the endpoint's
+// entry. A new incarnation gets a new value, so that placements made for an earlier one do not
+// change its state.
 type endpoint struct {
-	born      int64     // of the life, as the endpoint says; 0: it does not say
-	told      bool      // it is listed: the birth is its own word, and not a peer's
-	placed    time.Time // when a call was last placed there
-	renewed   time.Time // when an earlier life was seen to have ended; zero: none was
-	inFlight  int
-	waiting   int64 // uncached prompt tokens sent, without a first event yet
-	peers     map[string]Digest
-	cache     *prefixCache
-	load      call.Load
-	loadAt    time.Time
-	failures  int
-	suspected time.Time // until then it is avoided
-	gone      bool      // its life has ended, by its successor's word to this node or a peer
-	speed     speed
-	pauses    average // share of streams that paused for too long, lately
+	born           int64     // of the incarnation, as the endpoint reports it; 0: unknown
+	listed         bool      // the endpoint has an entry: born comes from the entry and not from a peer
+	placed         time.Time // when a call was last placed there
+	replacedAt     time.Time // when this node learned that an earlier incarnation had ended; zero: never
+	inFlight       int
+	waiting        int64 // uncached prompt tokens that were sent and have no first event yet
+	peers          map[string]Digest
+	cache          *prefixCache
+	load           call.Load
+	loadAt         time.Time
+	failures       int
+	suspectedUntil time.Time // avoided until then
+	gone           bool      // its incarnation has ended, as its successor told this node or a peer
+	speed          speed
+	pauses         average // share of recent streams that paused for too long
 }
 
-// endpoint is what is known of the present life, whichever one the caller knows of.
+// endpoint returns the state of the present incarnation, even if the caller names another one.
 func (p *Picker) endpoint(life engine.Life, capacity int64) *endpoint {
 	s, ok := p.endpoints[life.ID]
 	if !ok {
-		s = p.fresh(life, capacity)
+		s = p.newIncarnation(life, capacity)
 	}
 	if capacity > 0 {
 		s.cache.capacity = capacity
@@ -40,8 +40,8 @@
 	return s
 }
 
-// fresh begins a life of which nothing is known.
-func (p *Picker) fresh(life engine.Life, capacity int64) *endpoint {
+// newIncarnation replaces the state of an endpoint by that of a new incarnation.
+func (p *Picker) newIncarnation(life engine.Life, capacity int64) *endpoint {
 	s := &endpoint{born: life.Born, peers: map[string]Digest{}, cache: newPrefixCache(max(capacity, 1), life.ID, p.holders)}
 	p.endpoints[life.ID] = s
 	return s
@@ -56,12 +56,11 @@
 	return m
 }
 
-// total is what is in flight there, and prompt tokens that wait, by this node and
-// its peers.
+// total returns the calls in flight and the waiting prompt tokens of this node and its peers.
 func (s *endpoint) total(now time.Time) (int, int64) {
 	inFlight, waiting := s.inFlight, s.waiting
 	for _, d := range s.peers {
-		if now.Sub(d.At) < digestAge && s.isAbout(d.Born, now) {
+		if now.Sub(d.At) < digestAge && s.matches(d.Born, now) {
 			inFlight += d.InFlight
 			waiting += d.Waiting
 		}
@@ -69,12 +68,12 @@
 	return inFlight, waiting
 }
 
-// pauseShare is the share of streams that paused for too long there, by this
-// node and its peers.
+// pauseShare returns the share of streams that paused for too long, from this node and its
+// peers.
 func (s *endpoint) pauseShare(now time.Time) float64 {
 	sum, weight := s.pauses.mean()*s.pauses.weight, s.pauses.weight
 	for _, d := range s.peers {
-		if now.Sub(d.At) < digestAge && s.isAbout(d.Born, now) {
+		if now.Sub(d.At) < digestAge && s.matches(d.Born, now) {
 			sum += d.Paused * d.Streams
 			weight += d.Streams
 		}
@@ -82,6 +81,5 @@
 	return sum / (weight + pausePrior)
 }
 
-// pausePrior is how many streams without a long pause each endpoint is thought
-// to have had before any was seen.
+// pausePrior is the number of streams without a long pause that each endpoint starts with.
 const pausePrior = 2
--- a/fleet/relay/choice/lives_test.go
+++ b/fleet/relay/choice/incarnation_test.go
@@ -11,10 +11,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Protects what peers tell: a word counts for the life that it is about, also where the
-// peer learned of that first, and a word of software that tells no birth counts, unless it
-// may be about a life that has just ended.
-func TestPeersWordsCountForTheirLife(t *testing.T) {
+// A peer's report counts only for the incarnation that it names, even if the peer learned of that one first.
+// A report of an older build without a start time counts, unless it may concern an incarnation that has
+// just ended.
+func TestPeerReportsCountForTheirIncarnation(t *testing.T) {
 	start := time.Unix(1000, 0)
 	const before, now, after = 5, 9, 11
 	life := func(born int64) engine.Life { return engine.Life{ID: "e", Born: born} }
@@ -25,26 +25,26 @@
 	}
 	cases := []struct {
 		name    string
-		learned []int64 // lives, before the word comes
-		born    int64   // what the word says
-		later   []int64 // lives that are learned once it has come
+		learned []int64 // incarnations, before the report arrives
+		born    int64   // start time in the report
+		later   []int64 // incarnations learned after it arrived
 		at      time.Duration
 		counts  bool
 	}{
-		{"of the life that is known", []int64{now}, now, nil, 0, true},
-		{"of the one before", []int64{before, now}, before, nil, 0, false},
-		{"of the one before, long after", []int64{before, now}, before, nil, time.Minute, false},
-		{"of one that is not known yet", []int64{now}, after, nil, 0, false},
-		{"of one that is learned then", []int64{now}, after, []int64{after}, 0, true},
-		{"of one that is not the one learned then", []int64{before}, before, []int64{after}, 0, false},
-		{"of an endpoint that is listed then", nil, now, []int64{now}, 0, true},
-		{"of an endpoint that is listed as another life then", nil, before, []int64{now}, 0, false},
-		{"without a birth", []int64{now}, 0, nil, 0, true},
-		{"without a birth, before it is listed", nil, 0, []int64{now}, 0, true},
-		{"without a birth, just after the new life", []int64{before, now}, 0, nil, time.Second, false},
-		{"without a birth, well after", []int64{before, now}, 0, nil, unbornWords, true},
-		{"where no birth is told", []int64{0}, 0, nil, 0, true},
-		{"a birth that can't be, where none is told", []int64{0}, -7, nil, 0, true},
+		{"of the known incarnation", []int64{now}, now, nil, 0, true},
+		{"of the previous one", []int64{before, now}, before, nil, 0, false},
+		{"of the previous one, long after", []int64{before, now}, before, nil, time.Minute, false},
+		{"of one not known yet", []int64{now}, after, nil, 0, false},
+		{"of one learned afterwards", []int64{now}, after, []int64{after}, 0, true},
+		{"of another than the one learned afterwards", []int64{before}, before, []int64{after}, 0, false},
+		{"of an endpoint listed afterwards", nil, now, []int64{now}, 0, true},
+		{"of an endpoint listed afterwards with another incarnation", nil, before, []int64{now}, 0, false},
+		{"without a start time", []int64{now}, 0, nil, 0, true},
+		{"without a start time, before it is listed", nil, 0, []int64{now}, 0, true},
+		{"without a start time, just after the new incarnation", []int64{before, now}, 0, nil, time.Second, false},
+		{"without a start time, well after", []int64{before, now}, 0, nil, noBirthGrace, true},
+		{"no start time, and none is listed", []int64{0}, 0, nil, 0, true},
+		{"an invalid start time, and none is listed", []int64{0}, -7, nil, 0, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,10 +59,10 @@
 			inFlight, waiting := s.total(at)
 			assert.Equal(t, c.counts, inFlight == 7 && waiting == 70)
 			assert.Equal(t, c.counts, s.pauseShare(at) > 0)
-			if len(c.later) == 0 { // reads are told again by then
+			if len(c.later) == 0 { // reads are sent again by then
 				assert.Equal(t, c.counts, s.cache.has("part"))
 				assert.Equal(t, c.counts, p.holders["part"]["e"])
-				assert.Equal(t, c.counts, len(p.recent.reads) == 1, "what does not count is not told on")
+				assert.Equal(t, c.counts, len(p.recent.reads) == 1, "a read that does not count is not forwarded")
 			}
 			for _, r := range p.recent.reads {
 				assert.Contains(t, []int64{0, c.born, s.born}, r.Born)
@@ -71,22 +71,21 @@
 	}
 }
 
-// Protects endpoints from a peer's word that their life has ended, where another one has
-// begun since.
-func TestOnlyTheirOwnLifeIsGone(t *testing.T) {
+// A peer's report that an incarnation has ended must not take out its successor.
+func TestGoneAppliesToOneIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name string
-		born int64 // of the word
+		born int64 // start time in the report
 		gone bool
-	}{{"this life", 9, true}, {"the one before", 5, false}, {"one that is not told", 0, false}}
+	}{{"this incarnation", 9, true}, {"the previous one", 5, false}, {"no start time", 0, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPicker("z", DefaultTuning())
 			p.Begin(engine.Life{ID: "e", Born: 9}, now)
 			p.Heard("peer", map[string]Digest{"e": {Gone: true, Born: c.born}}, now)
 			assert.Equal(t, c.gone, p.endpoints["e"].gone)
-			assert.Equal(t, c.gone, p.Digests()["e"].Gone, "it is told on with the life that it is about")
+			assert.Equal(t, c.gone, p.Digests()["e"].Gone, "it is reported with the incarnation that ended")
 			p.Begin(engine.Life{ID: "e", Born: 11}, now)
 			assert.False(t, p.endpoints["e"].gone)
 			assert.Empty(t, p.Digests())
@@ -94,9 +93,9 @@
 	}
 }
 
-// Protects what is told of a life's end: what was known is counted once, and an endpoint
-// that is seen for the first time, or again, ends nothing.
-func TestWhatIsDroppedWithALife(t *testing.T) {
+// The state of an ended incarnation is reported once. An endpoint that is listed for the first time, or
+// again, ends none.
+func TestStateDroppedWithAnIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPicker("z", DefaultTuning())
 	e := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "away", Slots: 8}
@@ -116,18 +115,17 @@
 	assert.True(t, p.zones["away"].failed["e"])
 	next := engine.Life{ID: "e", Born: 9}
 	assert.Equal(t, Dropped{Ended: true, Born: 5, Parts: 2, Calls: 1, Peers: 1, Doubted: true, Placed: now}, p.Begin(next, now))
-	assert.False(t, p.zones["away"].failed["e"], "the new life was reached or it was not, nobody knows")
-	assert.Equal(t, int64(5000), p.endpoints["e"].cache.capacity, "the service's, and not the life's")
+	assert.False(t, p.zones["away"].failed["e"], "whether the new incarnation can be reached is unknown")
+	assert.Equal(t, int64(5000), p.endpoints["e"].cache.capacity, "the capacity is the service's, not the incarnation's")
 	placed.Close(Good, now)
 	assert.Zero(t, p.endpoints["e"].inFlight)
 	assert.Zero(t, p.endpoints["e"].waiting)
 	assert.Equal(t, Dropped{}, p.Begin(next, now))
 }
 
-// Protects a first birth from being missed: an endpoint that was listed and told none has
-// started again when it tells one, also where it was forgotten meanwhile and is known by a
-// call alone.
-func TestAFirstBirthIsANewLife(t *testing.T) {
+// An endpoint that was listed without a start time has restarted once it reports one, even if only a call
+// to it was known.
+func TestFirstStartTimeIsANewIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := engine.Engine{ID: "e", Service: "s", Slots: 8}
 	cases := []struct {
@@ -137,7 +135,7 @@
 	}{
 		{"listed", func(p *Picker) { p.Begin(e.Life(), now) }, true},
 		{"called", func(p *Picker) { p.Pick(Request{Engines: []engine.Engine{e}, Cap: 9, Now: now}) }, true},
-		{"a peer's word", func(p *Picker) { p.Heard("peer", map[string]Digest{"e": {InFlight: 1}}, now) }, false},
+		{"a peer's report", func(p *Picker) { p.Heard("peer", map[string]Digest{"e": {InFlight: 1}}, now) }, false},
 		{"unknown", func(*Picker) {}, false},
 	}
 	for _, c := range cases {
@@ -147,22 +145,21 @@
 	}
 }
 
-// Protects endpoints from being asked for parts that they can't keep: the target that all
-// nodes agree on is believed to keep what nobody told of, but not just after it started
-// again.
-func TestATargetThatStartedAgainIsNoSource(t *testing.T) {
+// The affinity target is assumed to cache parts that nobody reported, but not just after a restart:
+// its cache is empty then.
+func TestRestartedAffinityTargetIsNoSource(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engine.NewDirectory(1, []engine.Engine{{ID: "a", Service: "s", Born: 9, Slots: 8}, {ID: "b", Service: "s", Born: 9, Slots: 8}}).Of("s")
 	parts := []call.Part{{ID: "system", Tokens: 6000}, {ID: "own", Tokens: 500}}
 	cases := []struct {
-		name  string
-		lives []int64 // of the target
-		after time.Duration
-		from  bool
+		name         string
+		incarnations []int64 // start times of the target
+		after        time.Duration
+		from         bool
 	}{
 		{"it never did", []int64{9}, 0, true},
 		{"just after", []int64{5, 9}, time.Second, false},
-		{"once calls have come to it", []int64{5, 9}, believedAfter, true},
+		{"once calls have come to it", []int64{5, 9}, affinityGrace, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -172,10 +169,10 @@
 				Profile: Profile{Service: "s", Tokens: true, Capacity: 100_000, TokenBytes: 1000, LinkMbps: 500_000},
 			}
 			target := p.affinity(r)
-			for _, born := range c.lives {
+			for _, born := range c.incarnations {
 				p.Begin(engine.Life{ID: target, Born: born}, now)
 			}
-			assert.Equal(t, target, p.affinity(r), "calls still go there first, so that it keeps them again")
+			assert.Equal(t, target, p.affinity(r), "calls still go there first, so that it caches them again")
 			assert.Equal(t, c.from, p.source(r, target).id == target)
 		})
 	}
--- a/fleet/relay/choice/model.go
+++ b/fleet/relay/choice/model.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// model is how the endpoints of one service behave, learned from what streams
-// show: each is a line with a prior that a few samples outweigh.
+// model predicts the timing of one service's endpoints. It is learned from their streams; each
+// line has a prior that a few samples outweigh.
 type model struct {
-	first line    // ms until the first event over prompt tokens to be read before it
-	event line    // ms between two events over calls in flight there
-	value average // of a call, as valueOf counts it
-	lasts average // seconds that a call takes
-	ratio average // logarithm of times taken over times expected, of all endpoints
+	first    line    // ms to the first event, by prompt tokens to be read before it
+	event    line    // ms between two events, by calls in flight at the endpoint
+	value    average // of a call, see valueOf
+	duration average // of a call, in seconds
+	ratio    average // logarithm of actual over expected time, over all endpoints
 }
 
-// Priors of an engine that nothing is known of: of the order that engines on
-// accelerators show, and worth half a sample each.
+// Priors of an unknown engine: typical values of engines on accelerators. They weigh half a
+// sample each.
 var (
 	firstPrior = line{}.with(0, 30).with(4000, 230).times(priorWeight)
 	eventPrior = line{}.with(0, 25).with(20, 30).times(priorWeight)
@@ -28,21 +28,22 @@
 
 func (m *model) eventMs(inFlight int) float64 { return m.event.at(eventPrior, float64(inFlight)) }
 
-// readMs is how long so many prompt tokens take to be read, beside others' events.
+// readMs returns how long it takes to read the prompt tokens, and thus how much it delays the
+// events of other streams.
 func (m *model) readMs(tokens int64) float64 {
 	_, slope := m.first.fit(firstPrior)
 	return slope * float64(tokens)
 }
 
-// lineKeep is what each sample leaves of the weight of those before it: a change
+// lineDecay is the factor by which each sample reduces the weight of the previous ones. A change
 // of all endpoints shows within some hundred samples.
-const lineKeep = 0.99
+const lineDecay = 0.99
 
-// line is a least-squares fit whose samples fade.
+// line is a least-squares fit with exponentially decaying samples.
 type line struct{ w, x, y, xx, xy float64 }
 
 func (l line) with(x, y float64) line {
-	return line{w: l.w*lineKeep + 1, x: l.x*lineKeep + x, y: l.y*lineKeep + y, xx: l.xx*lineKeep + x*x, xy: l.xy*lineKeep + x*y}
+	return line{w: l.w*lineDecay + 1, x: l.x*lineDecay + x, y: l.y*lineDecay + y, xx: l.xx*lineDecay + x*x, xy: l.xy*lineDecay + x*y}
 }
 
 func (l line) times(f float64) line {
@@ -53,7 +54,7 @@
 	return line{w: l.w + o.w, x: l.x + o.x, y: l.y + o.y, xx: l.xx + o.xx, xy: l.xy + o.xy}
 }
 
-// fit returns the line through the samples and a prior; it never falls.
+// fit returns the line through the samples and a prior. The slope is never negative.
 func (l line) fit(prior line) (base, slope float64) {
 	s := l.plus(prior)
 	if d := s.w*s.xx - s.x*s.x; d > 0 {
@@ -67,14 +68,14 @@
 	return base + slope*x
 }
 
-// averageKeep is what each sample leaves of the weight of those before it.
-const averageKeep = 0.95
+// averageDecay is the factor by which each sample reduces the weight of the previous ones.
+const averageDecay = 0.95
 
-// average is a mean whose samples fade.
+// average is a mean with exponentially decaying samples.
 type average struct{ sum, weight float64 }
 
 func (a average) with(x float64) average {
-	return average{sum: a.sum*averageKeep + x, weight: a.weight*averageKeep + 1}
+	return average{sum: a.sum*averageDecay + x, weight: a.weight*averageDecay + 1}
 }
 
 func (a average) mean() float64 {
@@ -84,36 +85,36 @@
 	return a.sum / a.weight
 }
 
-// speed is how many times slower than its service's model an endpoint is. What
-// was learned fades, so that one that was avoided is tried again.
+// speed is how many times slower than its service's model an endpoint is. It decays, so that an
+// endpoint that was avoided gets calls again.
 type speed struct {
 	factor float64 // natural logarithm
 	at     time.Time
 }
 
 const (
-	speedWeight   = 0.2             // of a new sample
-	speedFades    = 4 * time.Second // after which half of what was learned is left
-	speedSlowest  = 20.0
-	speedFastest  = 0.5
-	speedBaseline = 20.0 // ms added to both sides of a ratio, so that small times say little
+	speedWeight   = 0.2 // of a new sample
+	speedHalfLife = 4 * time.Second
+	maxSlowdown   = 20.0
+	minSlowdown   = 0.5
+	speedBaseline = 20.0 // ms added to both sides of a ratio, so that short times have little effect
 )
 
-func (s speed) slower(now time.Time) float64 {
+func (s speed) slowdown(now time.Time) float64 {
 	if s.at.IsZero() {
 		return 1
 	}
-	return math.Exp(s.factor * math.Exp2(-now.Sub(s.at).Seconds()/speedFades.Seconds()))
+	return math.Exp(s.factor * math.Exp2(-now.Sub(s.at).Seconds()/speedHalfLife.Seconds()))
 }
 
-// logRatio is how far a time in ms lies above the one that was expected.
+// logRatio returns the logarithm of the actual over the expected time, both in ms.
 func logRatio(took, expected float64) float64 {
-	return math.Log(min(max((took+speedBaseline)/(expected+speedBaseline), speedFastest), speedSlowest))
+	return math.Log(min(max((took+speedBaseline)/(expected+speedBaseline), minSlowdown), maxSlowdown))
 }
 
-// with takes in how far a time of the endpoint lay above what was expected, beside
-// those of all endpoints: what is common to them is the model's error, not theirs.
+// with adds a sample of the endpoint. The common ratio of all endpoints is subtracted: it is an
+// error of the model.
 func (s speed) with(ratio, common float64, now time.Time) speed {
-	before := math.Log(s.slower(now))
+	before := math.Log(s.slowdown(now))
 	return speed{factor: before + speedWeight*(ratio-common-before), at: now}
 }
--- a/fleet/relay/choice/model_test.go
+++ b/fleet/relay/choice/model_test.go
@@ -14,13 +14,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// kindOfEngine is how a kind of engine behaves in truth.
+// kindOfEngine is the true timing of a kind of engine.
 type kindOfEngine struct {
 	name    string
 	baseMs  float64 // before the first event
 	readMs  float64 // for each prompt token
 	eventMs float64 // between two events
-	batchMs float64 // more for each call in flight
+	batchMs float64 // added for each call in flight
 }
 
 var kindsOfEngines = []kindOfEngine{
@@ -34,7 +34,7 @@
 
 const service = "s"
 
-// testEngines are engines of one service.
+// testEngines returns engines of one service.
 func testEngines(n int) []engine.Engine {
 	var all []engine.Engine
 	for i := range n {
@@ -43,26 +43,25 @@
 	return engine.NewDirectory(1, all).Of(service)
 }
 
-// playCall plays one call at one engine: what it took is drawn around the truth.
-func playCall(t *testing.T, p *Picker, random *rand.Rand, e engine.Engine, k kindOfEngine, slower float64, now time.Time) {
+// playCall simulates one call at one engine, with times drawn around the true ones.
+func playCall(t *testing.T, p *Picker, random *rand.Rand, e engine.Engine, k kindOfEngine, slowdown float64, now time.Time) {
 	t.Helper()
 	c := call.Call{ID: fmt.Sprint(random.Uint64()), PromptMax: random.Int64N(9000) + 50, OutputMax: 100}
 	r := Request{Call: c, Engines: []engine.Engine{e}, Profile: Profile{Service: service, Tokens: true, Capacity: 1}, Cap: 100, Now: now}
 	placement, ok := p.Pick(r)
 	require.True(t, ok)
 	noise := 0.9 + 0.2*random.Float64()
-	placement.First(millis(slower*noise*k.first(placement.Uncached)), now)
+	placement.First(millis(slowdown*noise*k.first(placement.Uncached)), now)
 	for range 3 {
-		placement.Events(millis(slower*noise*(k.eventMs+k.batchMs)), now)
+		placement.Events(millis(slowdown*noise*(k.eventMs+k.batchMs)), now)
 	}
 	placement.Close(Good, now)
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// The model comes to within a fifth of engines of any kind within some hundred
-// calls, whatever the prior says.
-func TestTheModelFindsKindsOfEngines(t *testing.T) {
+// The model converges to within a fifth of the true timing in some hundred calls, whatever the prior is.
+func TestModelConvergesForKindsOfEngines(t *testing.T) {
 	for _, k := range kindsOfEngines {
 		t.Run(k.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 1))
@@ -80,19 +79,19 @@
 	}
 }
 
-// An engine that is slower than its fellows is found within some calls, is found
-// sound again after it recovered, and does not bend the model of the others.
-func TestASlowEngineIsFoundAndForgiven(t *testing.T) {
+// An engine that is slower than the others is detected within some calls, counts as healthy again after it
+// recovered, and does not distort the model of the others.
+func TestSlowEngineIsDetectedAndRecovers(t *testing.T) {
 	k := kindsOfEngines[1]
 	random := rand.New(rand.NewPCG(2, 2))
 	p, now := NewPicker("z", DefaultTuning()), time.Unix(1000, 0)
 	all := testEngines(6)
-	play := func(calls int, slower float64) {
+	play := func(calls int, slowdown float64) {
 		for range calls {
 			for i, e := range all {
 				factor := 1.0
 				if i == 0 {
-					factor = slower
+					factor = slowdown
 				}
 				playCall(t, p, random, e, k, factor, now)
 			}
@@ -101,18 +100,17 @@
 	}
 	play(30, 1)
 	play(15, 6)
-	slow, sound := p.endpoints[all[0].ID].speed.slower(now), p.endpoints[all[1].ID].speed.slower(now)
+	slow, healthy := p.endpoints[all[0].ID].speed.slowdown(now), p.endpoints[all[1].ID].speed.slowdown(now)
 	assert.Greater(t, slow, 2.5)
-	assert.InDelta(t, 1, sound, 0.3)
+	assert.InDelta(t, 1, healthy, 0.3)
 	assert.InEpsilon(t, k.first(4000), p.model(service).firstMs(4000), 0.35)
-	assert.Less(t, p.endpoints[all[0].ID].speed.slower(now.Add(20*time.Second)), 1.2, "one that gets no calls is tried again")
+	assert.Less(t, p.endpoints[all[0].ID].speed.slowdown(now.Add(20*time.Second)), 1.2, "one that gets no calls is tried again")
 	play(25, 1)
-	assert.InDelta(t, 1, p.endpoints[all[0].ID].speed.slower(now), 0.4)
+	assert.InDelta(t, 1, p.endpoints[all[0].ID].speed.slowdown(now), 0.4)
 }
 
-// Answers that took no time or for ever, and peers that tell nonsense, do not
-// drive the model away.
-func TestNoSignalDrivesTheModelAway(t *testing.T) {
+// Answers with extreme times, and peers that send invalid digests, do not distort the model.
+func TestInvalidInputDoesNotDistortTheModel(t *testing.T) {
 	k := kindsOfEngines[1]
 	random := rand.New(rand.NewPCG(3, 3))
 	p, now := NewPicker("z", DefaultTuning()), time.Unix(1000, 0)
@@ -139,8 +137,8 @@
 	assert.Equal(t, int64(0), waiting)
 }
 
-// A prompt goes where it makes no running stream pause, if there is such a place.
-func TestLongPromptsKeepOffRunningStreams(t *testing.T) {
+// A long prompt goes to an endpoint where it delays no running stream, if there is one.
+func TestLongPromptsAvoidRunningStreams(t *testing.T) {
 	now := time.Unix(1000, 0)
 	long := call.Call{ID: "long", PromptMax: 12_000, OutputMax: 50}
 	cases := []struct {
@@ -160,9 +158,9 @@
 			for range 20 {
 				stream, ok := p.Pick(Request{Call: call.Call{ID: "s", PromptMax: 100, OutputMax: 300}, Engines: all[:1], Profile: Profile{Service: service, Tokens: true, Capacity: 1}, Cap: 100, Now: now})
 				require.True(t, ok)
-				stream.First(35*time.Millisecond, now) // as the prior expects
+				stream.First(35*time.Millisecond, now) // as the prior predicts
 			}
-			p.endpoint(all[1].Life(), 0).waiting = 300 // a little more waits where no stream runs
+			p.endpoint(all[1].Life(), 0).waiting = 300 // slightly more prompt tokens wait where no stream runs
 			got, ok := p.Pick(Request{Call: long, Engines: all, Profile: Profile{Service: service, Tokens: true, Capacity: 1}, Gap: 300 * time.Millisecond, Objective: time.Second, Cap: 100, Now: now})
 			require.True(t, ok)
 			assert.Equal(t, c.want, got.Engine.ID)
@@ -170,7 +168,7 @@
 	}
 }
 
-// Parts that another endpoint keeps are taken from there where that is faster.
+// Parts that another endpoint caches are fetched from there if that is faster than reading them.
 func TestPartsAreFetchedWhereThatIsFaster(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(3)
@@ -179,15 +177,15 @@
 		return call.Call{ID: id, PromptMax: 6500, OutputMax: 50, Parts: append(append([]call.Part{}, shared...), call.Part{ID: id, Tokens: 500})}
 	}
 	cases := []struct {
-		name    string
-		bytes   int64
-		mbps    float64
-		told    bool // the node heard of the read from a peer, and did not send it itself
-		suspect bool // the source failed lately
-		want    int64
+		name      string
+		bytes     int64
+		mbps      float64
+		announced bool // the node received the read from a peer and did not send the call itself
+		suspect   bool // the source failed lately
+		want      int64
 	}{
 		{"a wide link", 131_072, 500_000, false, false, 6000},
-		{"by a peer's word", 131_072, 500_000, true, false, 6000},
+		{"by a peer's report", 131_072, 500_000, true, false, 6000},
 		{"a narrow link", 131_072, 1_000, false, false, 0},
 		{"endpoints that can't", 0, 0, false, false, 0},
 		{"a source that failed", 131_072, 500_000, false, true, 0},
@@ -201,13 +199,13 @@
 			first.First(100*time.Millisecond, now)
 			first.Close(Good, now)
 			p := sender
-			if c.told {
+			if c.announced {
 				p = NewPicker("z", DefaultTuning())
 				p.endpoint(all[0].Life(), 100_000)
 				p.HeardReads(sender.Reads("", now), false, now)
 			}
 			if c.suspect {
-				p.endpoints[all[0].ID].suspected = now.Add(time.Second)
+				p.endpoints[all[0].ID].suspectedUntil = now.Add(time.Second)
 			}
 			got, ok := p.Pick(Request{Call: prompt("b"), Engines: all, Exclude: map[engine.Life]bool{all[0].Life(): true}, Profile: profile, Cap: 9, Now: now})
 			require.True(t, ok)
@@ -217,8 +215,8 @@
 	}
 }
 
-// Where nobody is known to keep a prompt's parts, the affinity target is named: a
-// call that can't go there takes from it what it may have.
+// If no holder of a prompt's parts is known, the affinity target is the source: a call that can't go there
+// fetches from it what it may have.
 func TestTheAffinityTargetIsASourceWhereNoneIsKnown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(5)
@@ -231,30 +229,30 @@
 	got, ok := p.Pick(r)
 	require.True(t, ok)
 	assert.Equal(t, target.Address, got.Source)
-	assert.Equal(t, c.PromptMax, got.Uncached, "it may lack them, and nothing counts on it")
+	assert.Equal(t, c.PromptMax, got.Uncached, "the target may lack them, so the estimate does not rely on it")
 	p.endpoint(target.Life(), 1).gone = true
 	got, ok = p.Pick(r)
 	require.True(t, ok)
 	assert.Empty(t, got.Source)
 }
 
-// What is told of reads is bounded, and forgotten when it is old.
-func TestReadsAreToldForAWhile(t *testing.T) {
-	var l recent
+// The reads that are sent to peers are bounded in number and age.
+func TestSentReadsAreBounded(t *testing.T) {
+	var l recentReads
 	now := time.Unix(1000, 0)
 	for i := range 500 {
 		l.add(engine.Life{ID: "e"}, []call.Part{{ID: fmt.Sprint(i), Tokens: 5}}, nil, false, now)
 	}
-	assert.Len(t, l.list("", false, now), readsMost)
-	assert.Empty(t, l.list("", false, now.Add(2*readsFor)))
+	assert.Len(t, l.list("", false, now), maxReads)
+	assert.Empty(t, l.list("", false, now.Add(2*readTTL)))
 	l.add(engine.Life{ID: "e"}, nil, nil, true, now)
-	assert.Empty(t, l.list("", false, now.Add(2*readsFor)), "a prompt that shares nothing is not told")
+	assert.Empty(t, l.list("", false, now.Add(2*readTTL)), "a prompt without shared parts is not sent")
 }
 
-// Where nobody is known to keep a large prompt's parts, the call goes to their affinity
-// target, on which all nodes agree, though that lies in another zone: so that the next
-// call finds them there. Small parts are not worth leaving the zone.
-func TestPromptsAreReadWhereAllNodesExpectThem(t *testing.T) {
+// If no holder of a large prompt's parts is known, the call goes to their affinity target, on which all
+// nodes agree, even in another zone, so that the next call finds them there. Small parts are not worth
+// leaving the zone.
+func TestUncachedPromptsGoToTheAffinityTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(5)
 	cases := []struct {
@@ -291,15 +289,15 @@
 	}
 }
 
-// Two endpoints of another zone that can't be reached tell for the zone, for a while,
-// until one is reached; the node's own zone is never given up.
-func TestAZoneThatIsCutOffIsAvoided(t *testing.T) {
+// Two unreachable endpoints of another zone make the node avoid the zone for a while, until one is reached.
+// The node's own zone is never avoided.
+func TestPartitionedZoneIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name    string
-		zone    string // in which connects fail
+		zone    string // whose connects fail
 		fail    []int
-		reached bool // one of the zone in between
+		reached bool // one endpoint of the zone was reached in between
 		avoided bool
 	}{
 		{"one endpoint", "far", []int{0}, false, false},
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -8,10 +8,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// rests is whether a rest that an endpoint asked for leaves it out of a choice. Asked of this
-// node it holds whatever else is left; asked of another one, it does while others may
+// excludedByRest reports whether a rest that the endpoint asked for excludes it from a choice. A
+// rest asked of this node always does; one asked of another node does while other endpoints may
 // take the call.
-func (p *Picker) rests(r *Request, e *engine.Engine, with care) bool {
+func (p *Picker) excludedByRest(r *Request, e *engine.Engine, level tolerance) bool {
 	if p.notices == nil {
 		return false
 	}
@@ -19,17 +19,17 @@
 	case notice.Closed:
 		return true
 	case notice.Spare:
-		return with != whichever
+		return level != allowAll
 	case notice.Probe:
-		return with != whichever && !r.Elsewhere
+		return level != allowAll && !r.Elsewhere
 	case notice.Free:
 	}
 	return false
 }
 
-// Resting is how long callers are to wait where all ready endpoints want nothing from this node; false
-// where one of them may be used. Told to wait for as long as the rest lasts in all, they
-// come back after it in the order, and at the rate, in which they came.
+// Resting returns how long callers are to wait when all ready endpoints want no calls from this
+// node, and false if one of them may be used. The wait is the whole length of the rest, so that
+// callers come back after it in the order and at the rate in which they came.
 func (p *Picker) Resting(among []engine.Engine, now time.Time) (wait time.Duration, all bool) {
 	if p.notices == nil {
 		return 0, false
@@ -53,8 +53,8 @@
 	return wait, all
 }
 
-// Resting is whether the endpoint wants nothing from this node now: it may have said so since the
-// choice.
+// Resting reports whether the endpoint wants no calls from this node now. It may have asked for
+// rest after the choice.
 func (t *Placement) Resting(now time.Time) bool {
 	if t.picker.notices == nil {
 		return false
@@ -63,14 +63,14 @@
 	return resting
 }
 
-// Took takes in that the endpoint took a call that was sent then.
+// Took records that the endpoint accepted a call that was sent at the given time.
 func (t *Placement) Took(sent time.Time) {
 	if t.picker.notices != nil {
 		t.picker.notices.Took(t.Engine.Life(), sent)
 	}
 }
 
-// Notice takes in what the endpoint says in an answer to this node.
+// Notice records a notice in an answer of the endpoint to this node.
 func (t *Placement) Notice(n call.Notice, now time.Time) {
 	if t.picker.notices != nil {
 		t.picker.notices.Saw(t.Engine, n, now)
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -8,119 +8,119 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Placement is a choice made: it is to be closed once.
+// Placement is a call placed at an endpoint. It must be closed once.
 type Placement struct {
 	Engine   engine.Engine
-	Source   string  // address of the endpoint that parts are taken from; "" is none
-	Fetched  int64   // tokens that are taken from there, as expected
+	Source   string  // address of the endpoint that parts are fetched from; "" if none
+	Fetched  int64   // tokens expected to be fetched from there
 	Uncached int64   // prompt tokens expected to be read
-	FirstMs  float64 // until the first event, as expected
-	PauseMs  float64 // of the streams that run there, at the longest, as expected
+	FirstMs  float64 // expected time to the first event
+	PauseMs  float64 // expected longest pause of the streams that run there
 	Cost     float64 // by which the endpoint was chosen
 
-	picker  *Picker
-	at      *endpoint // the life that the call is counted at
-	model   *model
-	request Request
-	usualMs float64 // until the first event at an endpoint that is as fast as its service's usual one
-	ahead   int64   // prompt tokens before the first event, or calls in flight where there are no prompts
-	first   bool
+	picker     *Picker
+	endpoint   *endpoint // the incarnation that the call is counted at
+	model      *model
+	request    Request
+	baselineMs float64 // expected time to the first event at an endpoint of average speed
+	ahead      int64   // prompt tokens to be read before the first event; without prompts, calls in flight
+	waitOver   bool    // the first event came, or the call ended
 }
 
-// Tokens is whether the endpoint reads a prompt.
+// Tokens reports whether the endpoint reads a prompt.
 func (t *Placement) Tokens() bool { return t.request.Profile.Tokens }
 
-// life is what is known of the life that the call is counted at; false once another one
-// is known in its place, of which the call says nothing.
-func (t *Placement) life() (*endpoint, bool) {
-	return t.at, t.picker.endpoints[t.Engine.ID] == t.at
+// current returns the state of the incarnation that the call is counted at, and false if another
+// one has replaced it: the call's outcome does not apply to that one.
+func (t *Placement) current() (*endpoint, bool) {
+	return t.endpoint, t.picker.endpoints[t.Engine.ID] == t.endpoint
 }
 
-// Report takes in a load that the endpoint told with its answer.
+// Report records a load that the endpoint reported in its answer.
 func (t *Placement) Report(l call.Load, now time.Time) {
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	if e, ok := t.life(); ok {
+	if e, ok := t.current(); ok {
 		e.load, e.loadAt = l, now
 	}
 }
 
-// First notes the first event of an attempt, and how long it took from the send.
+// First records the first event of an attempt and the time since the request was sent.
 func (t *Placement) First(took time.Duration, now time.Time) {
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	e, ok := t.life()
+	e, ok := t.current()
 	if ok {
 		t.learnFirst(e, took, now)
-		t.keep(e, now)
+		t.recordRead(e, now)
 	}
 	t.endWaiting()
 }
 
-// learnFirst takes the time to the first event in. Outliers count as the
-// endpoint's own, so that one that hangs does not bend the model of all.
+// learnFirst updates the model with the time to the first event. Outliers update only the
+// endpoint's speed, so that an endpoint that hangs does not distort the service's model.
 func (t *Placement) learnFirst(e *endpoint, took time.Duration, now time.Time) {
 	ms := float64(took) / float64(time.Millisecond)
 	expected := t.model.firstMs(t.ahead)
-	slower := e.speed.slower(now)
+	slowdown := e.speed.slowdown(now)
 	ratio := logRatio(ms, expected)
 	if !t.request.Trial {
 		t.model.ratio = t.model.ratio.with(ratio)
 	}
 	e.speed = e.speed.with(ratio, t.model.ratio.mean(), now)
-	if !t.request.Trial && ms < outlier*slower*expected+speedBaseline {
-		t.model.first = t.model.first.with(float64(t.ahead), ms/slower)
+	if !t.request.Trial && ms < outlier*slowdown*expected+speedBaseline {
+		t.model.first = t.model.first.with(float64(t.ahead), ms/slowdown)
 	}
 }
 
-// outlier is how many times longer than expected a time may be to count for the
+// outlier is the ratio of actual to expected time from which on a sample is left out of the
 // service's model.
 const outlier = 3
 
-// keep notes that the prompt was read.
-func (t *Placement) keep(e *endpoint, now time.Time) {
+// recordRead records that the endpoint has read the prompt.
+func (t *Placement) recordRead(e *endpoint, now time.Time) {
 	if !t.request.Profile.Tokens {
 		return
 	}
 	shared := t.request.Call.Shared()
-	news := len(shared) > 0 && t.picker.isNews(shared[len(shared)-1].ID)
+	rare := len(shared) > 0 && t.picker.isRare(shared[len(shared)-1].ID)
 	for i, part := range t.request.Call.Parts {
 		e.cache.read(part, i < len(shared))
 	}
-	t.picker.recent.add(engine.Life{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, news, now)
+	t.picker.recent.add(engine.Life{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, rare, now)
 }
 
 func (t *Placement) endWaiting() {
-	if t.first {
+	if t.waitOver {
 		return
 	}
-	t.first = true
-	if e, ok := t.life(); ok {
+	t.waitOver = true
+	if e, ok := t.current(); ok {
 		e.waiting -= t.Uncached
 	}
 }
 
-// Events notes the mean time between some events of a stream.
+// Events records the mean time between some events of a stream.
 func (t *Placement) Events(gap time.Duration, now time.Time) {
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	e, ok := t.life()
+	e, ok := t.current()
 	if !ok {
 		return
 	}
 	if inFlight, waiting := e.total(now); waiting == 0 && !t.request.Trial {
-		t.model.event = t.model.event.with(float64(inFlight), float64(gap)/float64(time.Millisecond)/e.speed.slower(now))
+		t.model.event = t.model.event.with(float64(inFlight), float64(gap)/float64(time.Millisecond)/e.speed.slowdown(now))
 	}
 }
 
-// Paused notes the longest pause of a stream that came to its end.
+// Paused records the longest pause of a stream that ended normally.
 func (t *Placement) Paused(longest time.Duration) {
 	if t.request.Gap <= 0 {
 		return
 	}
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	if e, ok := t.life(); ok {
+	if e, ok := t.current(); ok {
 		late := 0.0
 		if longest > t.request.Gap {
 			late = 1
@@ -129,29 +129,28 @@
 	}
 }
 
-// Result is how an attempt ended, for the ranking.
+// Result is the outcome of an attempt.
 type Result int
 
 // The results.
 const (
 	Good      Result = iota
 	Rejected         // refused as full
-	Bad              // failed or broke off
-	Cut              // the connection was ended in place of an answer
-	Unreached        // could not be reached
-	Gone             // another endpoint has the address: this one, one life of it, is never back
-	Neutral          // says nothing about the endpoint
+	Bad              // failed, or broke off
+	Cut              // the connection was closed instead of an answer
+	Unreached        // the connection could not be established
+	Gone             // another endpoint has the address: this incarnation never comes back
+	Neutral          // no evidence about the endpoint
 )
 
-// rejectedPart is the part of the time for failures that an endpoint is avoided
-// after it refused a call as full.
-const rejectedPart = 4
+// rejectedDivisor shortens Tuning.Suspect for an endpoint that refused a call as full.
+const rejectedDivisor = 4
 
-// mostFailures bounds the failures in a row that lengthen how long it is avoided.
-const mostFailures = 6
+// maxFailures bounds the consecutive failures that lengthen how long an endpoint is avoided.
+const maxFailures = 6
 
-// saw notes how an attempt ended for what nodes tell each other of failures.
-func (t *Placement) saw(r Result, now time.Time) {
+// recordOutcome records the outcome for the failures that nodes report to each other.
+func (t *Placement) recordOutcome(r Result, now time.Time) {
 	if t.picker.doubts == nil {
 		return
 	}
@@ -169,11 +168,11 @@
 
 // Close ends an attempt.
 func (t *Placement) Close(r Result, now time.Time) {
-	t.saw(r, now)
+	t.recordOutcome(r, now)
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	e, ok := t.life()
-	if ok && !t.first {
+	e, ok := t.current()
+	if ok && !t.waitOver {
 		for _, part := range t.request.Call.Parts {
 			e.cache.unread(part.ID)
 		}
@@ -189,13 +188,13 @@
 		e.failures = 0
 		t.picker.zones.reached(t.Engine.Zone)
 		if !t.request.Trial {
-			t.model.lasts = t.model.lasts.with(now.Sub(t.request.Now).Seconds())
+			t.model.duration = t.model.duration.with(now.Sub(t.request.Now).Seconds())
 		}
 	case Rejected:
-		e.suspected = now.Add(suspect / rejectedPart)
+		e.suspectedUntil = now.Add(suspect / rejectedDivisor)
 	case Bad, Cut, Unreached:
 		e.failures++
-		e.suspected = now.Add(suspect * time.Duration(min(e.failures, mostFailures)))
+		e.suspectedUntil = now.Add(suspect * time.Duration(min(e.failures, maxFailures)))
 		if r == Unreached {
 			t.picker.zones.unreached(t.Engine, now, suspect)
 		}
--- a/fleet/relay/choice/reason.go
+++ b/fleet/relay/choice/reason.go
@@ -15,30 +15,31 @@
 // The reasons.
 const (
 	Usable      Reason = iota
-	Ending             // it says that it ends, in its entry or in answers
-	Emptied            // its availability zone is to get no new work
-	Tried              // the call was there
-	Replaced           // another endpoint has its address, or another life its id
-	Busy               // this node has as many calls in flight there as it may
-	Suspected          // it failed or refused a call of this node of late
-	Unreachable        // its availability zone can't be reached
-	Resting            // it wants nothing for a while
-	Doubted            // nodes tell of failures there
-	Bounded            // this node's part of what a cold endpoint, or one under a limit, gets is used
+	Ending             // it signals its end, in its entry or in answers
+	Emptied            // its availability zone is being evacuated
+	Tried              // the call was already there
+	Replaced           // another endpoint has its address, or another incarnation its id
+	Busy               // this node's maximum of calls in flight there is reached
+	Suspected          // it failed or refused a call of this node lately
+	Unreachable        // its availability zone is unreachable
+	Resting            // it asked for no calls for a while
+	Doubted            // several nodes report failures there
+	Bounded            // this node's share of a bound is used: the endpoint is cold or names a limit
 	reasons
 )
 
-// String is the reason as an operator reads it.
+// String returns the reason as shown to operators.
 func (r Reason) String() string {
 	return [reasons]string{"usable", "ending", "emptied", "tried", "replaced", "busy", "suspected", "zone-unreachable", "resting", "doubted", "bounded"}[r]
 }
 
-// usable is the one place that says whether an endpoint may get a call, and why not.
-func (p *Picker) usable(r *Request, e *engine.Engine, key uint64, with care) (*endpoint, Reason) {
-	if why := r.barred(e, with); why != Usable {
+// usable decides whether an endpoint may get a call, and why not. All such rules are combined
+// here.
+func (p *Picker) usable(r *Request, e *engine.Engine, key uint64, level tolerance) (*endpoint, Reason) {
+	if why := r.ineligible(e, level); why != Usable {
 		return nil, why
 	}
-	if p.rests(r, e, with) {
+	if p.excludedByRest(r, e, level) {
 		return nil, Resting
 	}
 	s := p.endpoint(e.Life(), r.Profile.Capacity)
@@ -47,23 +48,23 @@
 		return s, Replaced
 	case s.inFlight >= r.Cap:
 		return s, Busy
-	case with == sound && r.Now.Before(s.suspected):
+	case level == healthyOnly && r.Now.Before(s.suspectedUntil):
 		return s, Suspected
-	case with == sound && p.unreachable(e.Zone, r.Now):
+	case level == healthyOnly && p.unreachable(e.Zone, r.Now):
 		return s, Unreachable
-	case with != whichever && p.doubts != nil && p.doubts.Avoids(e.Life(), r.Again, key, r.Now):
+	case level != allowAll && p.doubts != nil && p.doubts.Avoids(e.Life(), r.Again, key, r.Now):
 		return s, Doubted
-	case !p.may(*r, *e):
+	case !p.withinBounds(*r, *e):
 		return s, Bounded
 	}
 	return s, Usable
 }
 
-// barred is what an endpoint, or an operator, says of new calls, and where the call was. One that says
-// in its answers that it leaves still serves for a while: that is better for a call than a refusal, and
-// worse than any other endpoint.
-func (r *Request) barred(e *engine.Engine, with care) Reason {
-	lastResort := e.State == engine.Leaving && with == whichever && r.Now.Before(e.LeavesBy)
+// ineligible applies the state of the endpoint and the call's earlier attempts. An endpoint
+// whose answers say that it leaves still serves for a while: it is the last resort, since it is
+// better than a refusal and worse than any other endpoint.
+func (r *Request) ineligible(e *engine.Engine, level tolerance) Reason {
+	lastResort := e.State == engine.Leaving && level == allowAll && r.Now.Before(e.LeavesBy)
 	switch {
 	case e.State == engine.Evacuated:
 		return Emptied
@@ -75,23 +76,23 @@
 	return Usable
 }
 
-// LeftOut counts endpoints by why they may not get a call.
+// LeftOut counts endpoints by the reason why they may not get a call.
 type LeftOut [reasons]int
 
-// LeftOut says why no endpoint may get a call, for the log of its refusal.
+// LeftOut explains why no endpoint may get a call, for the log of the refusal.
 func (p *Picker) LeftOut(r Request) LeftOut {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all LeftOut
 	key := xxhash.Sum64String(r.Call.ID)
 	for i := range r.Engines {
-		_, why := p.usable(&r, &r.Engines[i], key, whichever)
+		_, why := p.usable(&r, &r.Engines[i], key, allowAll)
 		all[why]++
 	}
 	return all
 }
 
-// String lists the reasons that left endpoints out, and how many each did.
+// String lists the reasons with the number of endpoints of each.
 func (l LeftOut) String() string {
 	var parts []string
 	for why := Usable; why < reasons; why++ {
--- a/fleet/relay/choice/reason_test.go
+++ b/fleet/relay/choice/reason_test.go
@@ -14,12 +14,12 @@
 )
 
 // Each endpoint that may not get a call is counted under its reason.
-func TestARefusalSaysWhyEndpointsAreLeftOut(t *testing.T) {
+func TestLeftOutCountsReasons(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
-		name string
-		then func(p *Picker, r *Request)
-		want string
+		name  string
+		setup func(p *Picker, r *Request)
+		want  string
 	}{
 		{"nothing speaks against them", func(*Picker, *Request) {}, "2 usable"},
 		{"none is known", func(_ *Picker, r *Request) { r.Engines = nil }, "no endpoint is known"},
@@ -50,7 +50,7 @@
 		limits.Engines(engines)
 		p := NewPicker("z", DefaultTuning()).WithNotices(notice.NewBook("n", notice.Rule{}, func(notice.Change) {})).WithLimits(limits)
 		r := Request{Call: call.Call{ID: "c"}, Engines: engines, Profile: Profile{Service: service}, Cap: 9, Now: now}
-		c.then(p, &r)
+		c.setup(p, &r)
 		assert.Equal(t, c.want, fmt.Sprint(p.LeftOut(r)), c.name)
 	}
 }
--- a/fleet/relay/choice/source.go
+++ b/fleet/relay/choice/source.go
@@ -12,31 +12,32 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// source is the endpoint that keeps most of a prompt's shared parts, and what
-// moving them from there takes.
+// source is the endpoint that caches most of a prompt's shared parts, and the cost of moving
+// them.
 type source struct {
 	id      string
 	address string
 	zone    string
 	tokens  int64
-	known   bool    // it was seen or heard to have read them; else it is only thought to, as the affinity target
-	bytesMs float64 // of the link, in a ms
-	bytes   int64   // of a token
+	known   bool    // a read of the parts there was observed or reported; false: assumed of the affinity target
+	bytesMs float64 // bytes per ms of the link
+	bytes   int64   // per token
 }
 
-// What a move takes beside its bytes: exchanges between endpoints, and their work, which
-// is most of it where they lie near.
+// Fixed cost of a move: exchanges between the endpoints, and their processing, which dominates
+// over short distances.
 const (
 	moveExchanges = 2
 	moveSetupMs   = 5
 )
 
-// moveMs is how long so many tokens take to be moved over a distance.
+// moveMs returns how long it takes to move the tokens over a distance.
 func (s source) moveMs(tokens int64, way distance.Distance) float64 {
 	return max(moveSetupMs, moveExchanges*way.DelayMs()) + float64(tokens*s.bytes)/s.bytesMs
 }
 
-// source finds where most of the shared parts lie; none where nothing can be moved.
+// source returns the endpoint that caches most of the shared parts, and the zero value if
+// nothing can be moved.
 func (p *Picker) source(r Request, affinity string) source {
 	if !p.tuning.Fetch || r.Profile.TokenBytes <= 0 || r.Profile.LinkMbps <= 0 {
 		return source{}
@@ -56,13 +57,13 @@
 	return p.orAffinity(r, best, affinity)
 }
 
-// holdersSeen bounds how many of those that keep a part are looked at: a part that
-// all calls share is kept nearly everywhere.
-const holdersSeen = 16
+// maxHoldersChecked bounds how many holders of a part are examined, since a part shared by all
+// calls is cached nearly everywhere.
+const maxHoldersChecked = 16
 
-// holderOf finds a sound endpoint that keeps all of some parts: the affinity target
-// where it does, else one of the nearest, drawn by the call's id, so that the calls of
-// one moment do not all load one link.
+// holderOf returns a healthy endpoint that caches all of the parts: the affinity target if it
+// does, otherwise one of the nearest. Equally near ones are drawn by the call's id, so that
+// simultaneous calls do not all load the same link.
 func (p *Picker) holderOf(r Request, parts []call.Part, affinity string) (engine.Engine, bool) {
 	var best engine.Engine
 	found, seen := false, 0
@@ -75,25 +76,25 @@
 	}
 	holders := p.holders[parts[len(parts)-1].ID]
 	if holders[affinity] && p.keepsAll(affinity, parts) {
-		if e, sound := p.soundSource(r, affinity); sound {
+		if e, healthy := p.healthySource(r, affinity); healthy {
 			return e, true
 		}
 	}
 	for id := range holders {
-		if seen++; seen > holdersSeen {
+		if seen++; seen > maxHoldersChecked {
 			break
 		}
 		if !p.keepsAll(id, parts) {
 			continue
 		}
-		if e, sound := p.soundSource(r, id); sound && (!found || before(e, best)) {
+		if e, healthy := p.healthySource(r, id); healthy && (!found || before(e, best)) {
 			best, found = e, true
 		}
 	}
 	return best, found
 }
 
-// keepsAll is whether an endpoint is thought to keep all of some parts.
+// keepsAll reports whether an endpoint is assumed to cache all of the parts.
 func (p *Picker) keepsAll(id string, parts []call.Part) bool {
 	for _, part := range parts {
 		if !p.holders[part.ID][id] {
@@ -107,7 +108,7 @@
 	return lo.SumBy(parts, func(part call.Part) int64 { return part.Tokens })
 }
 
-// sources lists the endpoints that parts may be taken from.
+// sources returns the endpoints that parts may be fetched from.
 func (r Request) sources() []engine.Engine {
 	if r.Sources != nil {
 		return r.Sources
@@ -115,37 +116,37 @@
 	return r.Engines
 }
 
-// soundSource finds an endpoint that parts may be taken from now.
-func (p *Picker) soundSource(r Request, id string) (engine.Engine, bool) {
+// healthySource returns the endpoint if parts may be fetched from it now.
+func (p *Picker) healthySource(r Request, id string) (engine.Engine, bool) {
 	e, listed := find(r.sources(), id)
 	if !listed || e.State != engine.Ready {
 		return e, false
 	}
 	s, known := p.endpoints[id]
-	return e, !known || !s.gone && !r.Now.Before(s.suspected)
+	return e, !known || !s.gone && !r.Now.Before(s.suspectedUntil)
 }
 
-// believedAfter is how long after it started again an affinity target is no source for
-// parts that nobody told of: it keeps nothing, and gets them by the calls that come to it.
-const believedAfter = 5 * time.Second
+// affinityGrace is how long after a restart an affinity target is no source of parts that nobody
+// reported: its cache is empty, and is filled by the calls that come to it.
+const affinityGrace = 5 * time.Second
 
-// orAffinity returns the affinity target in place of a source that is known to
-// keep less than the target is believed to: in a large fleet most reads are never
-// heard of, and a source that lacks a part costs next to nothing.
+// orAffinity returns the affinity target instead of a known source that caches less than the
+// target is assumed to. In a large fleet most reads are never reported to this node, and asking
+// a source that lacks a part costs very little.
 func (p *Picker) orAffinity(r Request, known source, affinity string) source {
 	shared := r.Call.Shared()
 	if affinity == "" || len(p.holders[shared[len(shared)-1].ID]) > 0 {
 		return known
 	}
-	if s, ok := p.endpoints[affinity]; ok && r.Now.Sub(s.renewed) < believedAfter {
+	if s, ok := p.endpoints[affinity]; ok && r.Now.Sub(s.replacedAt) < affinityGrace {
 		return known
 	}
-	e, sound := p.soundSource(r, affinity)
+	e, healthy := p.healthySource(r, affinity)
 	tokens := int64(0)
 	for _, part := range shared {
 		tokens += int64(p.tuning.AffinityTrust * float64(part.Tokens))
 	}
-	if !sound || tokens <= known.tokens {
+	if !healthy || tokens <= known.tokens {
 		return known
 	}
 	known.id, known.address, known.zone, known.tokens, known.known = affinity, e.Address, e.Zone, tokens, false
--- a/fleet/relay/choice/doubts_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -14,33 +14,32 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// A call that may run once goes to no endpoint that two nodes tell of while another one
-// can take it, and there where none can; without the mechanism it goes anywhere.
-func TestCallsThatMayRunOnceLeaveADoubtedEndpoint(t *testing.T) {
+// A call that may run only once avoids an endpoint that two nodes suspect, unless no other one can take it.
+func TestNonRepeatableCallsAvoidSuspectedEndpoints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
-	words := []doubt.Word{{Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "b", Cut: true}}}, {Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "c", Cut: true}}}}
+	reports := []doubt.Word{{Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "b", Cut: true}}}, {Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "c", Cut: true}}}}
 	cases := []struct {
-		name    string
-		told    bool
-		full    bool // the others refused a call of late
-		exclude map[engine.Life]bool
-		want    bool // some calls go there
+		name      string
+		announced bool
+		full      bool // the others refused a call lately
+		exclude   map[engine.Life]bool
+		want      bool // some calls go to the suspected endpoint
 	}{
 		{"others can take it", true, false, nil, false},
 		{"others were full a moment ago", true, true, nil, false},
 		{"others were tried", true, false, map[engine.Life]bool{all[1].Life(): true, all[2].Life(): true}, true},
-		{"nothing is told", false, false, nil, true},
+		{"nothing is reported", false, false, nil, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := choice.NewPicker("z0", choice.DefaultTuning())
-			if c.told {
+			if c.announced {
 				b := doubt.NewBook("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
 				b.Engines(all)
 				b.Nodes(map[string]string{"a": "z0", "b": "z0", "c": "z0"})
-				b.Heard("b", words[:1], now)
-				b.Heard("c", words[1:], now)
+				b.Heard("b", reports[:1], now)
+				b.Heard("c", reports[1:], now)
 				p.WithDoubts(b)
 			}
 			for _, e := range all[1:] {
@@ -65,9 +64,9 @@
 	}
 }
 
-// What a node's attempts show is what it tells: a cut as such, other failures, and
-// nothing of one that was refused as full or whose caller left.
-func TestAttemptsBecomeWords(t *testing.T) {
+// A node reports its interrupted calls as such, and its other failures, but nothing if an endpoint
+// refused the call as full or the caller left.
+func TestFailedAttemptsAreReported(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := []engine.Engine{{ID: "e0", Born: 5, Service: "s", Slots: 8}, {ID: "e1", Service: "s", Slots: 8}}
 	cases := []struct {
--- a/fleet/relay/choice/zones.go
+++ b/fleet/relay/choice/zones.go
@@ -6,20 +6,20 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// zones is what connects show of whole availability zones: one that is cut off in
-// silence costs each connect its whole bound, and there are many endpoints in it.
+// zones tracks connect failures by availability zone. Each connect to a partitioned zone takes
+// the whole connect timeout, and such a zone has many endpoints.
 type zones map[string]*zone
 
 type zone struct {
-	failed  map[string]bool // endpoints that could not be reached since one could
-	avoided time.Time       // until then no other of the zone is tried
+	failed  map[string]bool // endpoints whose connects failed since one of the zone was last reached
+	avoided time.Time       // no other endpoint of the zone is tried until then
 }
 
-// zoneFailures is how many endpoints of a zone have to fail, with none that was
-// reached in between, for all of them to be avoided.
+// zoneFailures is how many endpoints of a zone have to fail, with none reached in between,
+// before the whole zone is avoided.
 const zoneFailures = 2
 
-// unreached notes an endpoint that could not be reached.
+// unreached records a failed connect to an endpoint.
 func (z zones) unreached(e engine.Engine, now time.Time, avoid time.Duration) {
 	of, ok := z[e.Zone]
 	if !ok {
@@ -28,14 +28,14 @@
 	}
 	of.failed[e.ID] = true
 	if n := len(of.failed); n >= zoneFailures {
-		of.avoided = now.Add(avoid * time.Duration(min(n-1, mostFailures)))
+		of.avoided = now.Add(avoid * time.Duration(min(n-1, maxFailures)))
 	}
 }
 
-// reached notes an endpoint of a zone that answered.
+// reached records that an endpoint of a zone answered.
 func (z zones) reached(name string) { delete(z, name) }
 
-// unreachable is whether an availability zone is avoided now; the node's own never is.
+// unreachable reports whether an availability zone is avoided now. The node's own zone never is.
 func (p *Picker) unreachable(name string, now time.Time) bool {
 	of, ok := p.zones[name]
 	return ok && name != p.places.Zone() && now.Before(of.avoided)
