--- a/fleet/relay/choice/baseline_test.go
+++ b/fleet/relay/choice/baseline_test.go
@@ -43,7 +43,8 @@
 	assert.Equal(t, before, after)
 }
 
-// Endpoints of another list may be sources of parts: the target version of a service fetches from the old one.
+// Endpoints of another list may be sources of parts: the target version of a service fetches
+// from the old one.
 func TestPartsAreFetchedFromOtherVersions(t *testing.T) {
 	now := time.Now()
 	all := testEngines(2)
--- a/fleet/relay/choice/distance_test.go
+++ b/fleet/relay/choice/distance_test.go
@@ -14,8 +14,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Parts are fetched from the nearest holders. Among equally near ones the choice differs from call to call,
-// so that they share the load.
+// Parts are fetched from the nearest holders. Among equally near ones the choice differs from
+// call to call, so that they share the load.
 func TestPartsAreFetchedFromTheNearest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(6)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Among equal endpoints a call stays in the zone, then in the region. It leaves if the endpoints there are
-// worse by more than the cost of leaving.
+// Among equal endpoints a call stays in the zone, then in the region. It leaves if the endpoints
+// there are worse by more than the cost of leaving.
 func TestCallsStayNear(t *testing.T) {
 	now := time.Unix(1000, 0)
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
--- a/fleet/relay/choice/incarnation_test.go
+++ b/fleet/relay/choice/incarnation_test.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// A peer's report counts only for the incarnation that it names, even if the peer learned of that one first.
-// A report of an older build without a start time counts, unless it may concern an incarnation that has
-// just ended.
+// A peer's report counts only for the incarnation that it names, even if the peer learned of
+// that one first. A report of an older build without a start time counts, unless it may concern
+// an incarnation that has just ended.
 func TestPeerReportsCountForTheirIncarnation(t *testing.T) {
 	start := time.Unix(1000, 0)
 	const before, now, after = 5, 9, 11
@@ -123,8 +123,8 @@
 	assert.Equal(t, Dropped{}, p.Begin(next, now))
 }
 
-// An endpoint that was listed without a start time has restarted once it reports one, even if only a call
-// to it was known.
+// An endpoint that was listed without a start time has restarted once it reports one, even if
+// only a call to it was known.
 func TestFirstStartTimeIsANewIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := engine.Engine{ID: "e", Service: "s", Slots: 8}
--- a/fleet/relay/choice/model_test.go
+++ b/fleet/relay/choice/model_test.go
@@ -60,7 +60,8 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// The model converges to within a fifth of the true timing in some hundred calls, whatever the prior is.
+// The model converges to within a fifth of the true timing in some hundred calls, whatever the
+// prior is.
 func TestModelConvergesForKindsOfEngines(t *testing.T) {
 	for _, k := range kindsOfEngines {
 		t.Run(k.name, func(t *testing.T) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// An engine that is slower than the others is detected within some calls, counts as healthy again after it
-// recovered, and does not distort the model of the others.
+// An engine that is slower than the others is detected within some calls, counts as healthy
+// again after it recovered, and does not distort the model of the others.
 func TestSlowEngineIsDetectedAndRecovers(t *testing.T) {
 	k := kindsOfEngines[1]
 	random := rand.New(rand.NewPCG(2, 2))
@@ -215,8 +216,8 @@
 	}
 }
 
-// If no holder of a prompt's parts is known, the affinity target is the source: a call that can't go there
-// fetches from it what it may have.
+// If no holder of a prompt's parts is known, the affinity target is the source: a call that
+// can't go there fetches from it what it may have.
 func TestTheAffinityTargetIsASourceWhereNoneIsKnown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(5)
@@ -289,8 +290,8 @@
 	}
 }
 
-// Two unreachable endpoints of another zone make the node avoid the zone for a while, until one is reached.
-// The node's own zone is never avoided.
+// Two unreachable endpoints of another zone make the node avoid the zone for a while, until one
+// is reached. The node's own zone is never avoided.
 func TestPartitionedZoneIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
--- a/fleet/relay/choice/rest_test.go
+++ b/fleet/relay/choice/rest_test.go
@@ -116,9 +116,9 @@
 	return n
 }
 
-// After a rest the nodes return without exceeding the normal rate, and after three seconds the endpoint is
-// used as before, at any fleet size. The rates are averages over several seeds, since the load of a single
-// endpoint varies from second to second.
+// After a rest the nodes return without exceeding the normal rate, and after three seconds the
+// endpoint is used as before, at any fleet size. The rates are averages over several seeds,
+// since the load of a single endpoint varies from second to second.
 func TestNodesReturnFromARestGradually(t *testing.T) {
 	const seeds = 6
 	for _, nodes := range []int{4, 60, 300} {
--- a/fleet/relay/choice/suspicion_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -14,7 +14,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// A call that may run only once avoids an endpoint that two nodes suspect, unless no other one can take it.
+// A call that may run only once avoids an endpoint that two nodes suspect, unless no other one
+// can take it.
 func TestNonRepeatableCallsAvoidSuspectedEndpoints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
--- a/fleet/relay/doubt/doubt.go
+++ b/fleet/relay/doubt/doubt.go
@@ -1,7 +1,7 @@
-// Package doubt is what nodes tell each other of endpoints that fail, and what follows
-// from it: an endpoint is avoided when two nodes tell of failures there, or one beside a
-// failure of this node's own. No node's word alone does that. Everything holds for one
-// life of an endpoint.
+// Package doubt implements the suspicion of failing endpoints, based on failures that nodes
+// report to each other. An endpoint is avoided if two nodes report failures, or if one does and
+// this node observed a failure itself. The report of a single node is never enough. All state
+// belongs to one incarnation of an endpoint.
 package doubt
 
 import (
@@ -16,65 +16,66 @@
 // The outcomes.
 const (
 	Fine   Outcome = iota
-	Failed         // by its answer, by half of one, or by none in time: sound endpoints fail now and then, and the node may be what is late
-	Cut            // the endpoint ended the connection in place of an answer: sound ones hardly ever do
+	Failed         // bad, partial or late answer: healthy endpoints have some, and the delay may be the node's own
+	Cut            // the endpoint closed the connection instead of answering: healthy ones hardly ever do
 )
 
-// Word is what is told of failures at one life of an endpoint.
+// Word reports failures at one incarnation of an endpoint.
 type Word struct {
 	Endpoint string   `json:"e"`
 	Born     int64    `json:"b,omitempty"`
-	Tellers  []Teller `json:"t"` // the nodes that saw them
+	Tellers  []Teller `json:"t"` // nodes that observed them
 }
 
-// Teller is a node that saw failures of late.
+// Teller is a node that observed failures lately.
 type Teller struct {
 	Node  string `json:"n"`
-	AgeMs int64  `json:"a"`           // since the last failure, at the time of the message
-	Cut   bool   `json:"c,omitempty"` // it was cut
+	AgeMs int64  `json:"a"`           // since the last failure, when the message was sent
+	Cut   bool   `json:"c,omitempty"` // it was an interrupted call
 }
 
 func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
 
-// Rule is when words count, and for how long an endpoint is avoided.
+// Rule defines when reports count, and how long an endpoint is avoided.
 type Rule struct {
-	Window    time.Duration // failures and successes of a longer time ago say nothing
-	Voices    int           // nodes, this one included, that saw an endpoint cut calls
-	ZonePart  float64       // of the nodes that are asked, that saw any kind of failure, at least Voices: sound endpoints fail a few hundredths of their calls
-	MostParts int           // bound of that part, nodes
-	FailPart  float64       // of a node's own calls there that failed, from which on it tells
-	OwnSound  int           // own successes of late, without a failure, that outweigh words of others
-	MostOut   float64       // of a service's endpoints avoided at once by words; one where there are two
-	LinkPart  float64       // of a service's endpoints, or of those in a zone, that a node may doubt: one that doubts more tells of its own link
-	Hold      time.Duration // for which an endpoint is avoided after its last failure
-	MostHold  time.Duration // the longest Hold of one that fails again and again
-	Turns     time.Duration // over which nodes take an endpoint back one after the other, at most Hold: those that find it failing tell the rest
-	Again     time.Duration // within which after it was taken back a failure doubles Hold
-	ProbePart float64       // of Hold, its last part, in which calls that may run again probe
-	ProbeOne  uint64        // of so many of these calls does
-	ProbeRest time.Duration // between two probes of a node at an endpoint
+	Window        time.Duration // maximum age of failures and successes
+	MinReporters  int           // nodes, including this one, that must have observed interrupted calls
+	ZoneShare     float64       // fraction of the nodes whose reports count that must have observed failures of any kind, at least MinReporters nodes: healthy endpoints fail a few hundredths of their calls
+	MaxReporters  int           // upper bound of that number of nodes
+	FailureShare  float64       // fraction of a node's own calls that must fail before it reports them
+	OwnSuccesses  int           // recent own successes, without a failure, that outweigh reports of others
+	MaxAvoided    float64       // fraction of a service's endpoints that may be avoided at once due to reports; one of two endpoints may be
+	LinkShare     float64       // fraction of a service's endpoints, overall or in a zone, that a node may suspect; beyond it the node's own link has probably failed
+	Hold          time.Duration // how long an endpoint is avoided after its last failure
+	MaxHold       time.Duration // maximum of Hold for an endpoint that fails repeatedly
+	Spread        time.Duration // time over which nodes return to an endpoint one after the other, at most Hold: the first ones report it to the others if it still fails
+	RepeatWindow  time.Duration // time after the end of a suspicion period in which a failure doubles Hold
+	ProbeShare    float64       // last fraction of Hold in which idempotent calls probe the endpoint
+	ProbeOneIn    uint64        // one in so many of these calls is a probe
+	ProbeInterval time.Duration // between two probes of a node at an endpoint
 }
 
-// DefaultRule is what the model of model_test.go led to; docs/design/17-told-failures.md.
+// DefaultRule returns the values derived from the simulation in model_test.go; see
+// docs/design/17-told-failures.md.
 func DefaultRule() Rule {
 	return Rule{
-		Window: 1500 * time.Millisecond, Voices: 2, ZonePart: 1.0 / 3, MostParts: 12, FailPart: 0.25, OwnSound: 3,
-		MostOut: 1.0 / 3, LinkPart: 0.5, Hold: time.Second, MostHold: 8 * time.Second, Turns: 2 * time.Second, Again: 10 * time.Second,
-		ProbePart: 0.5, ProbeOne: 2, ProbeRest: 500 * time.Millisecond,
+		Window: 1500 * time.Millisecond, MinReporters: 2, ZoneShare: 1.0 / 3, MaxReporters: 12, FailureShare: 0.25, OwnSuccesses: 3,
+		MaxAvoided: 1.0 / 3, LinkShare: 0.5, Hold: time.Second, MaxHold: 8 * time.Second, Spread: 2 * time.Second, RepeatWindow: 10 * time.Second,
+		ProbeShare: 0.5, ProbeOneIn: 2, ProbeInterval: 500 * time.Millisecond,
 	}
 }
 
-// Bounds of what is told.
+// Bounds of the reports that are sent.
 const (
-	mostWords   = 8  // endpoints in a message
-	mostTellers = 12 // nodes named for each
-	newsRest    = time.Second
+	maxReports          = 8  // endpoints per message
+	maxReporters        = 12 // nodes per endpoint
+	minAnnounceInterval = time.Second
 )
 
-// Avoided tells that an endpoint is avoided from now on.
+// Avoided describes the start of a suspicion period.
 type Avoided struct {
 	Engine  engine.Engine
 	Tellers []Teller
-	For     time.Duration // until the first node takes it back
-	Again   bool          // it failed soon after it was taken back
+	For     time.Duration // until the first node uses the endpoint again
+	Again   bool          // it failed again soon after the previous period
 }
--- a/fleet/relay/doubt/findings.go
+++ b/fleet/relay/doubt/findings.go
@@ -9,87 +9,88 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// findings is what nodes saw at an endpoint of late, as far as it counts here.
+// findings are the recent failures at an endpoint, as far as they count for this node.
 type findings struct {
-	tellers  []Teller        // the latest first
-	speakers map[string]bool // by whom it came here, this node included
-	cuts     int             // tellers that were cut
-	last     time.Time
+	reporters   []Teller        // latest first
+	senders     map[string]bool // nodes whose messages contained them, including this one
+	interrupted int             // reporters with interrupted calls
+	last        time.Time
 }
 
-// enough is whether an endpoint is to be avoided. Two nodes must have seen it, and two must
-// have said so: one that names others speaks for itself alone.
-func (f findings) enough(r Rule, nodes int) bool {
-	if len(f.speakers) < r.Voices {
+// sufficient reports whether an endpoint is to be avoided. At least two nodes must have observed
+// the failures, and at least two must have sent them: a node that names several others counts as
+// one sender.
+func (f findings) sufficient(r Rule, nodes int) bool {
+	if len(f.senders) < r.MinReporters {
 		return false
 	}
-	part := min(int(math.Ceil(r.ZonePart*float64(nodes))), r.MostParts)
-	return f.cuts >= r.Voices || len(f.tellers) >= max(part, r.Voices)
+	minReporters := min(int(math.Ceil(r.ZoneShare*float64(nodes))), r.MaxReporters)
+	return f.interrupted >= r.MinReporters || len(f.reporters) >= max(minReporters, r.MinReporters)
 }
 
-// findings gathers the failures after some time.
+// findings collects the failures after a time.
 func (b *Book) findings(e engine.Engine, from, now time.Time) findings {
-	f := findings{speakers: map[string]bool{}}
-	if s, ok := b.ownDoubt(e.Life(), now); ok && s.at.After(from) && !b.ownLink(e, now) {
-		f.add(b.self, s.at, s.of == Cut, now)
-		f.speakers[b.self] = true
+	f := findings{senders: map[string]bool{}}
+	if s, ok := b.ownSuspicion(e.Life(), now); ok && s.at.After(from) && !b.ownLinkFails(e, now) {
+		f.add(b.self, s.at, s.outcome == Cut, now)
+		f.senders[b.self] = true
 	}
-	for teller, v := range b.heard[e.Life()] {
-		if !v.last.After(from) || !b.fleet.concerns(b.zone, teller, e) || b.fleet.tooMany(b.doubtedBy(teller, now), e, b.rule.LinkPart) {
+	for reporter, v := range b.received[e.Life()] {
+		if !v.last.After(from) || !b.fleet.isRelevant(b.zone, reporter, e) || b.fleet.exceedsLinkShare(b.suspectedBy(reporter, now), e, b.rule.LinkShare) {
 			continue
 		}
-		f.add(teller, v.last, v.cut, now)
-		for speaker, at := range v.speakers {
+		f.add(reporter, v.last, v.interrupted, now)
+		for sender, at := range v.senders {
 			if at.After(from) {
-				f.speakers[speaker] = true
+				f.senders[sender] = true
 			}
 		}
 	}
-	slices.SortFunc(f.tellers, byAge)
+	slices.SortFunc(f.reporters, byAge)
 	return f
 }
 
-// byAge orders the nodes that saw failures, the latest first.
+// byAge orders reporters by their latest failure, newest first.
 func byAge(a, b Teller) int {
 	return cmp.Or(cmp.Compare(a.AgeMs, b.AgeMs), cmp.Compare(a.Node, b.Node))
 }
 
-func (f *findings) add(node string, at time.Time, cut bool, now time.Time) {
-	f.tellers = append(f.tellers, Teller{Node: node, AgeMs: now.Sub(at).Milliseconds(), Cut: cut})
-	if cut {
-		f.cuts++
+func (f *findings) add(node string, at time.Time, interrupted bool, now time.Time) {
+	f.reporters = append(f.reporters, Teller{Node: node, AgeMs: now.Sub(at).Milliseconds(), Cut: interrupted})
+	if interrupted {
+		f.interrupted++
 	}
 	if at.After(f.last) {
 		f.last = at
 	}
 }
 
-// ownDoubt is the last failure of this node's calls at an endpoint, where enough of them
-// failed of late.
-func (b *Book) ownDoubt(life engine.Life, now time.Time) (seen, bool) {
+// ownSuspicion returns the last failure of this node's calls at an endpoint, if enough of its
+// recent calls failed.
+func (b *Book) ownSuspicion(life engine.Life, now time.Time) (result, bool) {
 	calls, failures, last := b.own[life].since(now.Add(-b.rule.Window))
-	return last, failures > 0 && float64(failures) >= b.rule.FailPart*float64(calls)
+	return last, failures > 0 && float64(failures) >= b.rule.FailureShare*float64(calls)
 }
 
-// ownLink is whether this node doubts so many endpoints that its own link may be what
-// fails.
-func (b *Book) ownLink(e engine.Engine, now time.Time) bool {
-	var doubted []engine.Engine
+// ownLinkFails reports whether this node suspects so many endpoints that its own link has
+// probably failed.
+func (b *Book) ownLinkFails(e engine.Engine, now time.Time) bool {
+	var suspected []engine.Engine
 	for life := range b.own {
-		if _, ok := b.ownDoubt(life, now); ok {
-			doubted = append(doubted, b.fleet.engines[life])
+		if _, ok := b.ownSuspicion(life, now); ok {
+			suspected = append(suspected, b.fleet.engines[life])
 		}
 	}
-	return b.fleet.tooMany(doubted, e, b.rule.LinkPart)
+	return b.fleet.exceedsLinkShare(suspected, e, b.rule.LinkShare)
 }
 
-// doubtedBy lists the endpoints at which a node saw failures of late.
-func (b *Book) doubtedBy(teller string, now time.Time) []engine.Engine {
-	var doubted []engine.Engine
-	for life, of := range b.heard {
-		if v, ok := of[teller]; ok && now.Sub(v.last) < b.rule.Window {
-			doubted = append(doubted, b.fleet.engines[life])
+// suspectedBy returns the endpoints at which a node observed failures lately.
+func (b *Book) suspectedBy(reporter string, now time.Time) []engine.Engine {
+	var suspected []engine.Engine
+	for life, of := range b.received {
+		if v, ok := of[reporter]; ok && now.Sub(v.last) < b.rule.Window {
+			suspected = append(suspected, b.fleet.engines[life])
 		}
 	}
-	return doubted
+	return suspected
 }
--- a/fleet/relay/doubt/fleet.go
+++ b/fleet/relay/doubt/fleet.go
@@ -6,72 +6,74 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// fleet is who there is: which endpoints may be doubted, and which nodes may tell.
+// fleet holds the known endpoints and nodes. Only these may be suspected and may report.
 type fleet struct {
-	engines map[engine.Life]engine.Engine
-	of      map[string]int // endpoints of a service
-	ofZone  map[place]int  // endpoints of a service in a zone
-	zones   map[string]string
-	inZone  map[string]int // nodes
+	engines     map[engine.Life]engine.Engine
+	perService  map[string]int      // ready endpoints of a service
+	perZone     map[serviceZone]int // ready endpoints of a service in a zone
+	zones       map[string]string   // of the nodes
+	nodesInZone map[string]int      // number of nodes
 }
 
-// place is a service in a zone.
-type place struct{ service, zone string }
+// serviceZone is a service in a zone.
+type serviceZone struct{ service, zone string }
 
 func newFleet() fleet {
-	return fleet{engines: map[engine.Life]engine.Engine{}, of: map[string]int{}, ofZone: map[place]int{}, zones: map[string]string{}, inZone: map[string]int{}}
+	return fleet{engines: map[engine.Life]engine.Engine{}, perService: map[string]int{}, perZone: map[serviceZone]int{}, zones: map[string]string{}, nodesInZone: map[string]int{}}
 }
 
-// withEngines is the fleet with other endpoints.
+// withEngines returns the fleet with the endpoints replaced.
 func (f fleet) withEngines(all []engine.Engine) fleet {
-	f.engines, f.of, f.ofZone = make(map[engine.Life]engine.Engine, len(all)), map[string]int{}, map[place]int{}
+	f.engines, f.perService, f.perZone = make(map[engine.Life]engine.Engine, len(all)), map[string]int{}, map[serviceZone]int{}
 	for _, e := range all {
 		f.engines[e.Life()] = e
 		if e.State == engine.Ready {
-			f.of[e.Service]++
-			f.ofZone[place{e.Service, e.Zone}]++
+			f.perService[e.Service]++
+			f.perZone[serviceZone{e.Service, e.Zone}]++
 		}
 	}
 	return f
 }
 
-// withNodes is the fleet with other nodes, by their zones.
+// withNodes returns the fleet with the nodes replaced, given with their zones.
 func (f fleet) withNodes(zones map[string]string) fleet {
-	f.zones, f.inZone = zones, map[string]int{}
+	f.zones, f.nodesInZone = zones, map[string]int{}
 	for _, zone := range zones {
-		f.inZone[zone]++
+		f.nodesInZone[zone]++
 	}
 	return f
 }
 
-// concerns is whether a node's word on an endpoint says anything to those of a zone:
-// between zones a link may be what fails, which is nothing to the nodes on the
-// endpoint's side of it.
-func (f fleet) concerns(zone, teller string, e engine.Engine) bool {
-	from := f.zones[teller]
+// isRelevant reports whether a node's report on an endpoint matters to the nodes of a zone. A
+// failure seen across zones may be one of the link between them, which does not concern the
+// nodes on the endpoint's side.
+func (f fleet) isRelevant(zone, reporter string, e engine.Engine) bool {
+	from := f.zones[reporter]
 	return from == zone || from == e.Zone
 }
 
-// asked is how many nodes' words on an endpoint count for the nodes of a zone.
-func (f fleet) asked(zone string, e engine.Engine) int {
+// reporters returns the number of nodes whose reports on an endpoint count for the nodes of a
+// zone.
+func (f fleet) reporters(zone string, e engine.Engine) int {
 	if e.Zone == zone {
-		return f.inZone[zone]
+		return f.nodesInZone[zone]
 	}
-	return f.inZone[zone] + f.inZone[e.Zone]
+	return f.nodesInZone[zone] + f.nodesInZone[e.Zone]
 }
 
-// tooMany is whether a node that doubts some endpoints tells of its own link.
-func (f fleet) tooMany(doubted []engine.Engine, e engine.Engine, part float64) bool {
-	ofService, ofZone := 0, 0
-	for _, d := range doubted {
+// exceedsLinkShare reports whether a node suspects so many endpoints that its own link has
+// probably failed.
+func (f fleet) exceedsLinkShare(suspected []engine.Engine, e engine.Engine, share float64) bool {
+	ofService, inZone := 0, 0
+	for _, d := range suspected {
 		if d.Service != e.Service {
 			continue
 		}
 		ofService++
 		if d.Zone == e.Zone {
-			ofZone++
+			inZone++
 		}
 	}
-	most := func(n int) int { return int(math.Ceil(part * float64(n))) }
-	return ofService > most(f.of[e.Service]) || ofZone > most(f.ofZone[place{e.Service, e.Zone}])
+	limit := func(n int) int { return int(math.Ceil(share * float64(n))) }
+	return ofService > limit(f.perService[e.Service]) || inZone > limit(f.perZone[serviceZone{e.Service, e.Zone}])
 }
--- a/fleet/relay/doubt/harness_test.go
+++ b/fleet/relay/doubt/harness_test.go
@@ -9,63 +9,62 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// A fleet in a model: nodes of three zones that send calls to the endpoints of one
-// service, with a clock and a seed from outside. Words travel as between real nodes: to
-// the zone's delegates at each beat, from these to their zone when an endpoint is avoided,
-// and with the digests.
+// A simulated fleet: nodes of three zones send calls to the endpoints of one service, with a
+// given clock and seed. Reports are sent as between real nodes: to the zone's delegates in each
+// gossip interval, from these to their zone when an endpoint is avoided, and with the digests.
 
 const (
-	modelZones   = 3
-	modelBeat    = 200 * time.Millisecond
-	modelTick    = 10 * time.Millisecond
-	modelTransit = 2 * time.Millisecond
-	modelSuspect = 600 * time.Millisecond // that a node avoids an endpoint after a failure of its own
-	digestBeats  = 3
-	roundBeats   = 5
+	modelZones      = 3
+	modelInterval   = 200 * time.Millisecond
+	modelTick       = 10 * time.Millisecond
+	modelTransit    = 2 * time.Millisecond
+	modelSuspect    = 600 * time.Millisecond // how long a node avoids an endpoint after a failure of its own
+	digestIntervals = 3
+	roundIntervals  = 5
 )
 
-// way is how nodes learn of failures.
-type way int
+// method is how nodes learn of failures.
+type method int
 
 const (
-	before    way = iota // each by itself
-	delegates            // words, through the zone's delegates: what is built
-	direct               // words, from each to all
-	rates                // shares of calls that failed, summed by the zone's delegates
+	before    method = iota // each node uses only its own failures
+	delegates               // reports through the zone's delegates, as implemented
+	direct                  // reports from each node to all others
+	rates                   // failure rates, summed by the zone's delegates
 )
 
-func (w way) String() string { return [...]string{"before", "delegates", "direct", "rates"}[w] }
+func (w method) String() string { return [...]string{"before", "delegates", "direct", "rates"}[w] }
 
-// state is what an endpoint of the model does with a call.
-type state func(endpoint int, at time.Duration, r *rand.Rand) Outcome
+// behavior is the outcome of a call at an endpoint of the simulation.
+type behavior func(endpoint int, at time.Duration, r *rand.Rand) Outcome
 
 type model struct {
-	way       way
+	method    method
 	rule      Rule
 	nodes     int
 	endpoints int
 	perSecond float64 // calls of one node
-	again     float64 // part of them that may run again
-	of        state
+	again     float64 // fraction of them that may run again
+	behave    behavior
 	seed      uint64
-	for_      time.Duration
-	liars     func(now time.Time, say func(speaker int, w Word)) // at each beat
+	length    time.Duration
+	liars     func(now time.Time, send func(sender int, w Word)) // called in each interval
 }
 
-type lost struct {
-	once     int     // calls that may run once and failed at an endpoint that is ill
-	soundOut float64 // part of the time that a sound endpoint was avoided by words, of all nodes
-	messages int
+type losses struct {
+	once           int     // non-repeatable calls that failed at the failing endpoint
+	healthyAvoided float64 // fraction of time that a healthy endpoint was avoided due to reports, over all nodes
+	messages       int
 }
 
 type modelNode struct {
-	name, zone string
-	delegate   bool
-	book       *Book
-	suspected  []time.Time
-	failures   []int
-	counts     [][2]int // calls and failures of the window, where rates are told
-	out        []time.Time
+	name, zone   string
+	delegate     bool
+	book         *Book
+	suspected    []time.Time
+	failures     []int
+	counts       [][2]int // calls and failures of the window, for the method rates
+	avoidedUntil []time.Time
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n-%03d", i) }
@@ -87,7 +86,7 @@
 		zones[nodeName(i)] = zoneName(i)
 	}
 	for i := range all {
-		n := &modelNode{name: nodeName(i), zone: zoneName(i), delegate: i < 2*modelZones, suspected: make([]time.Time, m.endpoints), failures: make([]int, m.endpoints), counts: make([][2]int, m.endpoints), out: make([]time.Time, m.endpoints)}
+		n := &modelNode{name: nodeName(i), zone: zoneName(i), delegate: i < 2*modelZones, suspected: make([]time.Time, m.endpoints), failures: make([]int, m.endpoints), counts: make([][2]int, m.endpoints), avoidedUntil: make([]time.Time, m.endpoints)}
 		n.book = NewBook(n.name, n.zone, m.rule, func(Avoided) {})
 		n.book.Engines(modelEngines(m.endpoints))
 		n.book.Nodes(zones)
@@ -98,7 +97,7 @@
 
 func lifeOf(endpoint int) engine.Life { return engine.Life{ID: fmt.Sprint("e", endpoint), Born: 1} }
 
-func (n *modelNode) avoids(w way, endpoint int, again bool, key uint64, now time.Time) bool {
+func (n *modelNode) avoids(w method, endpoint int, again bool, key uint64, now time.Time) bool {
 	if now.Before(n.suspected[endpoint]) {
 		return true
 	}
@@ -106,13 +105,13 @@
 	case before:
 		return false
 	case rates:
-		return now.Before(n.out[endpoint]) && (!again || key%4 != 0)
+		return now.Before(n.avoidedUntil[endpoint]) && (!again || key%4 != 0)
 	case delegates, direct:
 	}
 	return n.book.Avoids(lifeOf(endpoint), again, key, now)
 }
 
-func (n *modelNode) saw(endpoint int, o Outcome, now time.Time) {
+func (n *modelNode) observe(endpoint int, o Outcome, now time.Time) {
 	n.book.Saw(lifeOf(endpoint), o, now)
 	n.counts[endpoint][0]++
 	if o == Fine {
@@ -124,23 +123,22 @@
 	n.suspected[endpoint] = now.Add(modelSuspect * time.Duration(min(n.failures[endpoint], 6)))
 }
 
-// run plays the model; an endpoint is ill while a call there would be cut, or fails more
-// often than a sound one.
-func (m model) run() lost {
+// run simulates the fleet. Endpoint 0 is the one that fails; the others are healthy.
+func (m model) run() losses {
 	r := rand.New(rand.NewPCG(m.seed, 1))
 	start := time.Unix(1000, 0)
 	all := m.fleet()
-	var l lost
+	var l losses
 	samples := 0
-	for at := time.Duration(0); at < m.for_; at += modelTick {
+	for at := time.Duration(0); at < m.length; at += modelTick {
 		now := start.Add(at)
-		if at%modelBeat == 0 {
-			l.messages += m.exchange(all, int(at/modelBeat), now)
+		if at%modelInterval == 0 {
+			l.messages += m.exchange(all, int(at/modelInterval), now)
 			for _, n := range all {
-				for e := 1; e < m.endpoints; e++ { // the first is the one that is ill
+				for e := 1; e < m.endpoints; e++ { // the first is the failing one
 					samples++
-					if m.way == rates && now.Before(n.out[e]) || m.way != rates && m.way != before && n.book.Avoids(lifeOf(e), false, 0, now) {
-						l.soundOut++
+					if m.method == rates && now.Before(n.avoidedUntil[e]) || m.method != rates && m.method != before && n.book.Avoids(lifeOf(e), false, 0, now) {
+						l.healthyAvoided++
 					}
 				}
 			}
@@ -150,34 +148,35 @@
 				l.once += m.call(n, at, now, r)
 			}
 		}
-		if m.way == delegates {
-			l.messages += hurried(all, now)
+		if m.method == delegates {
+			l.messages += sendUrgent(all, now)
 		}
 	}
-	l.soundOut /= float64(max(samples, 1))
+	l.healthyAvoided /= float64(max(samples, 1))
 	return l
 }
 
-// call is one call, and another try where it may run again.
+// call simulates one call and returns the number of lost ones: a non-repeatable call that failed
+// at the failing endpoint.
 func (m model) call(n *modelNode, at time.Duration, now time.Time, r *rand.Rand) int {
 	again, key := r.Float64() < m.again, r.Uint64()
 	first := r.IntN(m.endpoints)
 	pick := first
 	for i := range m.endpoints {
-		if e := (first + i) % m.endpoints; !n.avoids(m.way, e, again, key, now) {
+		if e := (first + i) % m.endpoints; !n.avoids(m.method, e, again, key, now) {
 			pick = e
 			break
 		}
 	}
-	o := m.of(pick, at, r)
-	n.saw(pick, o, now)
+	o := m.behave(pick, at, r)
+	n.observe(pick, o, now)
 	if o != Fine && !again && pick == 0 {
 		return 1
 	}
 	return 0
 }
 
-// audience is who hears at once.
+// audience returns who receives an immediate message.
 func (n *modelNode) audience(a Audience) func(to *modelNode) bool {
 	return func(to *modelNode) bool {
 		near := to.zone == n.zone
@@ -185,72 +184,72 @@
 	}
 }
 
-// hurried is what does not wait for the beat.
-func hurried(all []*modelNode, now time.Time) int {
+// sendUrgent sends what does not wait for the next interval.
+func sendUrgent(all []*modelNode, now time.Time) int {
 	sent := 0
 	for _, n := range all {
 		select {
 		case <-n.book.Urgent():
 			news := n.book.News(n.delegate, now)
-			sent += tellTo(all, n, n.book.Words(n.delegate, now), n.audience(news), now)
+			sent += sendTo(all, n, n.book.Words(n.delegate, now), n.audience(news), now)
 		default:
 		}
 	}
 	return sent
 }
 
-func tellTo(all []*modelNode, from *modelNode, words []Word, to func(n *modelNode) bool, now time.Time) int {
+func sendTo(all []*modelNode, from *modelNode, reports []Word, to func(n *modelNode) bool, now time.Time) int {
 	sent := 0
 	for _, n := range all {
-		if n != from && len(words) > 0 && to(n) {
-			n.book.Heard(from.name, words, now.Add(modelTransit))
+		if n != from && len(reports) > 0 && to(n) {
+			n.book.Heard(from.name, reports, now.Add(modelTransit))
 			sent++
 		}
 	}
 	return sent
 }
 
-// exchange is one beat; it returns how many messages there were.
-func (m model) exchange(all []*modelNode, beat int, now time.Time) int {
+// exchange simulates one gossip interval and returns the number of messages.
+func (m model) exchange(all []*modelNode, round int, now time.Time) int {
 	sent := 0
 	if m.liars != nil {
-		m.liars(now, func(speaker int, w Word) {
+		m.liars(now, func(sender int, w Word) {
 			for _, n := range all {
-				n.book.Heard(nodeName(speaker), []Word{w}, now)
+				n.book.Heard(nodeName(sender), []Word{w}, now)
 			}
 		})
 	}
-	tell := func(from *modelNode, words []Word, to func(n *modelNode) bool) {
-		sent += tellTo(all, from, words, to, now)
+	send := func(from *modelNode, reports []Word, to func(n *modelNode) bool) {
+		sent += sendTo(all, from, reports, to, now)
 	}
-	switch m.way {
+	switch m.method {
 	case before:
 	case rates:
-		return m.tellRates(all, beat, now)
+		return m.sendRates(all, round, now)
 	case direct:
 		for _, n := range all {
 			n.book.News(false, now)
-			tell(n, n.book.Words(false, now), func(*modelNode) bool { return true })
+			send(n, n.book.Words(false, now), func(*modelNode) bool { return true })
 		}
 	case delegates:
 		for i, n := range all {
 			news := n.book.News(n.delegate, now)
-			words := n.book.Words(n.delegate, now)
-			sent += tellTo(all, n, words, n.audience(news), now)
-			digest := n.delegate || (beat+i)%digestBeats == 0
-			tell(n, words, func(to *modelNode) bool {
-				return digest && to.zone == n.zone && (to.delegate || n.delegate && (i+beat)%roundBeats == 0)
+			reports := n.book.Words(n.delegate, now)
+			sent += sendTo(all, n, reports, n.audience(news), now)
+			digest := n.delegate || (round+i)%digestIntervals == 0
+			send(n, reports, func(to *modelNode) bool {
+				return digest && to.zone == n.zone && (to.delegate || n.delegate && (i+round)%roundIntervals == 0)
 			})
 		}
 	}
 	return sent
 }
 
-// tellRates has each node tell its zone's delegates what it saw of each endpoint, and
-// these tell their zone which endpoints failed a quarter of the zone's calls.
-func (m model) tellRates(all []*modelNode, beat int, now time.Time) int {
-	const windowBeats = 7
-	if beat%windowBeats == 0 {
+// sendRates sums the failure rates of each zone at its delegates, which tell the zone which
+// endpoints failed a quarter of its calls.
+func (m model) sendRates(all []*modelNode, round int, now time.Time) int {
+	const windowIntervals = 7
+	if round%windowIntervals == 0 {
 		defer func() {
 			for _, n := range all {
 				clear(n.counts)
@@ -267,12 +266,12 @@
 					failures += n.counts[e][1]
 				}
 			}
-			if failures < 2 || float64(failures) < m.rule.FailPart*float64(calls) {
+			if failures < 2 || float64(failures) < m.rule.FailureShare*float64(calls) {
 				continue
 			}
 			for _, n := range all {
 				if n.zone == zoneName(z) {
-					n.out[e] = now.Add(m.rule.Hold)
+					n.avoidedUntil[e] = now.Add(m.rule.Hold)
 					sent++
 				}
 			}
@@ -281,51 +280,51 @@
 	return sent
 }
 
-// soundFails is the part of its calls that a sound endpoint fails.
-const soundFails = 0.03
+// healthyFailureShare is the fraction of its calls that a healthy endpoint fails.
+const healthyFailureShare = 0.03
 
-func sound(r *rand.Rand) Outcome {
-	if r.Float64() < soundFails {
+func healthyOutcome(r *rand.Rand) Outcome {
+	if r.Float64() < healthyFailureShare {
 		return Failed
 	}
 	return Fine
 }
 
-// flapping is the first endpoint down and up by turns for eight seconds.
+// flapping alternates the first endpoint between down and up for eight seconds.
 func flapping(endpoint int, at time.Duration, r *rand.Rand) Outcome {
 	const from, until, period = time.Second, 9 * time.Second, 1400 * time.Millisecond
 	if endpoint == 0 && at >= from && at < until && (at-from)%period < period/2 {
 		return Cut
 	}
-	return sound(r)
+	return healthyOutcome(r)
 }
 
-// grey is the first endpoint failing two fifths of its calls for five seconds.
+// grey makes the first endpoint fail two fifths of its calls for five seconds.
 func grey(endpoint int, at time.Duration, r *rand.Rand) Outcome {
 	if endpoint == 0 && at >= time.Second && at < 6*time.Second && r.Float64() < 0.4 {
 		return Failed
 	}
-	return sound(r)
+	return healthyOutcome(r)
 }
 
-func allSound(_ int, _ time.Duration, r *rand.Rand) Outcome { return sound(r) }
+func allHealthy(_ int, _ time.Duration, r *rand.Rand) Outcome { return healthyOutcome(r) }
 
-func aModel(w way, of state, seed uint64) model {
-	return model{way: w, rule: DefaultRule(), nodes: 60, endpoints: 3, perSecond: 4, again: 0.2, of: of, seed: seed, for_: 14 * time.Second}
+func newModel(w method, behave behavior, seed uint64) model {
+	return model{method: w, rule: DefaultRule(), nodes: 60, endpoints: 3, perSecond: 4, again: 0.2, behave: behave, seed: seed, length: 14 * time.Second}
 }
 
-func total(t *testing.T, m model, seeds int) lost {
+func total(t *testing.T, m model, seeds int) losses {
 	t.Helper()
-	var sum lost
+	var sum losses
 	for s := range seeds {
 		m.seed = uint64(s)
 		l := m.run()
 		sum.once += l.once
-		sum.soundOut += l.soundOut
+		sum.healthyAvoided += l.healthyAvoided
 		sum.messages += l.messages
 	}
 	sum.once /= seeds
-	sum.soundOut /= float64(seeds)
+	sum.healthyAvoided /= float64(seeds)
 	sum.messages /= seeds
 	return sum
 }
--- /dev/null
+++ b/fleet/relay/doubt/tracker.go
@@ -0,0 +1,233 @@
+package doubt
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/lynxshed/lynxshed/fleet/ident"
+	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+)
+
+// Book tracks the failures that this node observed or received from others. It is safe for
+// concurrent use.
+type Book struct {
+	rule         Rule
+	self         string
+	zone         string
+	avoided      func(Avoided)
+	urgent       chan struct{}
+	avoidedUntil atomic.Pointer[time.Time] // end of the last suspicion period at every node, so that a choice costs nothing while no endpoint is suspected
+
+	mu          sync.Mutex
+	fleet       fleet
+	own         map[engine.Life]outcomes
+	received    map[engine.Life]map[string]observation // by the node that observed the failures
+	periods     map[engine.Life]period
+	failed      bool      // this node observed a failure since its last announcement
+	last        time.Time // last failure observed by this node
+	started     bool      // a suspicion period began since the last announcement to all
+	extended    bool      // a suspicion period was extended since then
+	announcedAt time.Time // time of the last announcement to all
+}
+
+// observation is a node's report of failures at an endpoint, and the nodes that sent it here.
+type observation struct {
+	last        time.Time // last failure
+	interrupted bool
+	senders     map[string]time.Time
+}
+
+// period is a suspicion period: the endpoint is avoided during it.
+type period struct {
+	last        time.Time // latest failure behind it
+	until       time.Time
+	hold        time.Duration
+	interrupted bool      // interrupted calls were reported, not only failed ones
+	probe       time.Time // last call of this node there
+	recovered   bool      // ended early by own successes, or in favor of another endpoint
+}
+
+// NewBook returns the tracker of a node. It calls avoided at the start of each suspicion period.
+func NewBook(self, zone string, r Rule, avoided func(Avoided)) *Book {
+	b := &Book{
+		rule: r, self: self, zone: zone, avoided: avoided, urgent: make(chan struct{}, 1), fleet: newFleet(),
+		own: map[engine.Life]outcomes{}, received: map[engine.Life]map[string]observation{}, periods: map[engine.Life]period{},
+	}
+	b.avoidedUntil.Store(&time.Time{})
+	return b
+}
+
+// noneAvoided reports whether no endpoint is avoided.
+func (b *Book) noneAvoided(now time.Time) bool { return !now.Before(*b.avoidedUntil.Load()) }
+
+// Engines sets the known endpoints. The state of other incarnations is dropped.
+func (b *Book) Engines(all []engine.Engine) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.fleet = b.fleet.withEngines(all)
+	dropGone(b.own, b.fleet)
+	dropGone(b.received, b.fleet)
+	dropGone(b.periods, b.fleet)
+}
+
+func dropGone[T any](of map[engine.Life]T, f fleet) {
+	for life := range of {
+		if _, listed := f.engines[life]; !listed {
+			delete(of, life)
+		}
+	}
+}
+
+// Nodes sets the known nodes and their zones.
+func (b *Book) Nodes(zones map[string]string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.fleet = b.fleet.withNodes(zones)
+}
+
+// Saw records the outcome of a call of this node.
+func (b *Book) Saw(life engine.Life, o Outcome, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if _, listed := b.fleet.engines[life]; !listed {
+		return
+	}
+	_, suspected := b.ownSuspicion(life, now)
+	b.own[life] = b.own[life].with(result{now, o}, b.rule.Window)
+	if s, ok := b.periods[life]; ok {
+		s.probe = now
+		b.periods[life] = s
+	}
+	if o != Fine {
+		b.failed, b.last = true, now
+		if !suspected {
+			b.signalUrgent()
+		}
+		b.evaluate(life, now)
+		return
+	}
+	if s, ok := b.periods[life]; ok && !s.recovered && b.healthyHere(life, now) {
+		s.until, s.recovered = now, true
+		b.periods[life] = s
+	}
+}
+
+// Avoids reports whether a call is to avoid the endpoint if others can take it. The key is a
+// hash of the call. Idempotent calls (again) probe the endpoint before the suspicion period
+// ends.
+func (b *Book) Avoids(life engine.Life, again bool, key uint64, now time.Time) bool {
+	if b.noneAvoided(now) {
+		return false
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s, ok := b.periods[life]
+	if !ok || !now.Before(s.until.Add(b.slot(life, s))) {
+		return false
+	}
+	probing := s.until.Sub(now) < time.Duration(b.rule.ProbeShare*float64(s.hold))
+	return !again || !probing || key%b.rule.ProbeOneIn != 0 || now.Sub(s.probe) < b.rule.ProbeInterval
+}
+
+// slot returns how much later than the first node this one uses the endpoint again.
+func (b *Book) slot(life engine.Life, s period) time.Duration {
+	if s.recovered {
+		return 0
+	}
+	share := float64(ident.Mix(xxhash.Sum64String(b.self)^xxhash.Sum64String(life.ID))>>slotShift) / (1 << (64 - slotShift))
+	return time.Duration(share * float64(min(s.hold, b.rule.Spread)))
+}
+
+// slotShift leaves as many bits of a hash as a float64 has in its fraction.
+const slotShift = 11
+
+// sameFailure is how far two reports of one failure may differ in time. Each carries the
+// failure's age at the time it was sent.
+const sameFailure = 100 * time.Millisecond
+
+// evaluate starts or extends a suspicion period if enough nodes observed failures.
+func (b *Book) evaluate(life engine.Life, now time.Time) {
+	e := b.fleet.engines[life]
+	before, known := b.periods[life]
+	running := known && now.Before(before.until)
+	from := now.Add(-b.rule.Window)
+	if known && !running && before.last.After(from) {
+		from = before.last.Add(sameFailure) // failures behind the last period don't start another
+	}
+	f := b.findings(e, from, now)
+	if b.healthyHere(life, now) || !f.sufficient(b.rule, b.fleet.reporters(b.zone, e)) {
+		return
+	}
+	s := period{last: f.last, hold: b.rule.Hold, interrupted: f.interrupted >= b.rule.MinReporters, probe: before.probe}
+	repeated := known && now.Sub(before.until) < b.rule.RepeatWindow
+	switch {
+	case running:
+		s.hold, s.interrupted = before.hold, s.interrupted || before.interrupted
+	case repeated:
+		s.hold = min(2*before.hold, b.rule.MaxHold)
+	}
+	s.until = s.last.Add(s.hold)
+	if !s.until.After(now) || running && s.last.Sub(before.last) < sameFailure || !running && !b.hasRoom(e.Service, s.interrupted, now) {
+		return
+	}
+	b.periods[life], b.extended = s, true
+	if over := s.until.Add(min(s.hold, b.rule.Spread)); over.After(*b.avoidedUntil.Load()) {
+		b.avoidedUntil.Store(&over)
+	}
+	if !running {
+		b.started = true
+		b.signalUrgent()
+		b.avoided(Avoided{Engine: e, Tellers: f.reporters, For: s.until.Sub(now), Again: repeated})
+	}
+}
+
+// hasRoom reports whether one more endpoint of a service may be avoided due to reports. If the
+// maximum is reached, an endpoint that interrupts calls replaces one that only fails some of
+// them.
+func (b *Book) hasRoom(service string, interrupted bool, now time.Time) bool {
+	listed := b.fleet.perService[service]
+	if listed < 2 {
+		return false
+	}
+	avoidedCount := 0
+	var replaceable *engine.Life
+	for life, s := range b.periods {
+		if !now.Before(s.until) || b.fleet.engines[life].Service != service {
+			continue
+		}
+		avoidedCount++
+		if !s.interrupted {
+			replaceable = &life
+		}
+	}
+	if avoidedCount < max(int(b.rule.MaxAvoided*float64(listed)), 1) {
+		return true
+	}
+	if !interrupted || replaceable == nil {
+		return false
+	}
+	s := b.periods[*replaceable]
+	s.until, s.recovered = now, true
+	b.periods[*replaceable] = s
+	return true
+}
+
+// Urgent is signaled when something should be sent before the next gossip interval: the first
+// recent failure at an endpoint, or the start of a suspicion period.
+func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+
+func (b *Book) signalUrgent() {
+	select {
+	case b.urgent <- struct{}{}:
+	default: // a signal is pending
+	}
+}
+
+// healthyHere reports whether this node's own recent calls succeeded.
+func (b *Book) healthyHere(life engine.Life, now time.Time) bool {
+	calls, failures, _ := b.own[life].since(now.Add(-b.rule.Window))
+	return failures == 0 && calls >= b.rule.OwnSuccesses
+}
