--- a/fleet/relay/bound/bound_test.go
+++ b/fleet/relay/bound/bound_test.go
@@ -19,7 +19,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-func TestPartsAddUpToTheTarget(t *testing.T) {
+func TestSharesAddUpToTheTarget(t *testing.T) {
 	cases := []struct {
 		rule          cold.Rule
 		perSecond     float64
@@ -37,21 +37,21 @@
 		names := lo.Times(c.nodes, func(i int) string { return fmt.Sprint("n", i) })
 		sum := 0
 		for _, name := range names {
-			sum += bound.NewFleet(name, names).Part(xxhash.Sum64String("e"), c.rule.Target(c.perSecond))
+			sum += bound.NewFleet(name, names).Share(xxhash.Sum64String("e"), c.rule.Target(c.perSecond))
 		}
 		assert.Equal(t, c.target, sum, "%+v", c)
 		assert.Equal(t, c.bound, c.rule.Most(c.perSecond), "%+v", c)
 	}
 }
 
-func TestAGateSavesNothingUp(t *testing.T) {
+func TestUnusedSharesDoNotAccumulate(t *testing.T) {
 	start := time.Unix(1000, 0)
 	e := engine.NewDirectory(1, []engine.Engine{{ID: "e", Service: "s"}}).Of("s")[0]
 	g, rule := bound.NewGate("n"), cold.Rule{Overrun: 1.5, Tolerance: 5}
 	take := func(at time.Duration) int {
 		taken := 0
 		for range 50 {
-			if g.May(e, rule.Bound(7.7), start.Add(at)) {
+			if g.Allows(e, rule.Bound(7.7), start.Add(at)) {
 				g.Sent(e.ID, start.Add(at))
 				taken++
 			}
@@ -60,7 +60,7 @@
 	}
 	assert.Zero(t, take(0), "no list of nodes is known")
 	g.Nodes([]string{"n"}, start)
-	assert.Zero(t, take(time.Second), "the list is new: an earlier life of the node may have sent in this second")
+	assert.Zero(t, take(time.Second), "the list is new: an earlier incarnation of the node may have sent in this second")
 	g.Nodes([]string{"n"}, start.Add(1500*time.Millisecond))
 	steps := []struct {
 		at   time.Duration
@@ -70,30 +70,30 @@
 		assert.Equal(t, s.want, take(s.at), "at %s", s.at)
 	}
 	g.Nodes([]string{"others"}, start.Add(30*time.Second))
-	assert.Zero(t, take(30*time.Second), "the others do not know this node")
+	assert.Zero(t, take(30*time.Second), "the list lacks this node")
 	g.Nodes([]string{"n"}, start.Add(40*time.Second))
 	assert.Equal(t, 7, take(40*time.Second))
 	g.Leave()
 	assert.Zero(t, take(50*time.Second), "it is about to end")
 }
 
-// world is some nodes whose lists of the fleet are of different age, which restart
-// and are cut off, and one cold endpoint that all of them want to use all the time.
-type world struct {
-	random *rand.Rand
-	rule   cold.Rule
-	names  []string
-	lists  [2][]string // an old and a new one: in force at the same time
-	alive  []string    // in one of the lists
-	gates  map[string]*bound.Gate
-	offset map[string]time.Duration // of each node's clock: any value
-	sent   []time.Duration
-	at     time.Duration
-	change time.Duration // when the list last changed
+// simulation consists of nodes whose lists of the fleet differ in age, and which restart, and
+// one cold endpoint that all of them want to use all the time.
+type simulation struct {
+	random      *rand.Rand
+	rule        cold.Rule
+	names       []string
+	lists       [2][]string // an old and a new one, both in use
+	alive       []string    // in one of the lists
+	gates       map[string]*bound.Gate
+	clockOffset map[string]time.Duration // of each node's clock, arbitrary
+	sent        []time.Duration
+	at          time.Duration
+	change      time.Duration // when the list last changed
 }
 
-func newWorld(seed uint64, nodes int) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 1)), rule: cold.Rule{Overrun: 1.5, Tolerance: 5}, gates: map[string]*bound.Gate{}, offset: map[string]time.Duration{}}
+func newSimulation(seed uint64, nodes int) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, 1)), rule: cold.Rule{Overrun: 1.5, Tolerance: 5}, gates: map[string]*bound.Gate{}, clockOffset: map[string]time.Duration{}}
 	w.names = lo.Times(nodes, func(i int) string { return fmt.Sprint("n", i) })
 	w.lists[0], w.lists[1], w.alive = w.names, w.names, w.names
 	for _, name := range w.names {
@@ -102,21 +102,23 @@
 	return w
 }
 
-func (w *world) now(name string) time.Time { return time.Unix(1e6, 0).Add(w.at + w.offset[name]) }
+func (w *simulation) now(name string) time.Time {
+	return time.Unix(1e6, 0).Add(w.at + w.clockOffset[name])
+}
 
-func (w *world) start(name string) {
-	w.offset[name] = time.Duration(w.random.Int64N(int64(time.Hour))) - 30*time.Minute
+func (w *simulation) start(name string) {
+	w.clockOffset[name] = time.Duration(w.random.Int64N(int64(time.Hour))) - 30*time.Minute
 	w.gates[name] = bound.NewGate(name)
 	w.gates[name].Nodes(w.lists[w.random.IntN(2)], w.now(name))
 }
 
-// betweenChanges is how long a list of the fleet is in force at least: longer than a
-// window, so that no more than two meet in it.
-const betweenChanges = 2 * time.Second
+// minListAge is the minimum time between two lists of the fleet: longer than a window, so that
+// at most two are used in it.
+const minListAge = 2 * time.Second
 
-// replace changes a third of the fleet in the newer list once all hold the newer one.
-func (w *world) replace(next int) {
-	if w.at-w.change < betweenChanges {
+// replace changes a third of the fleet in a newer list, once all nodes have the present one.
+func (w *simulation) replace(next int) {
+	if w.at-w.change < minListAge {
 		return
 	}
 	w.change = w.at
@@ -134,7 +136,7 @@
 	w.gates = lo.PickByKeys(w.gates, w.alive)
 }
 
-func (w *world) step(e engine.Engine, perSecond float64, i int) {
+func (w *simulation) step(e engine.Engine, perSecond float64, i int) {
 	w.at += time.Duration(w.random.Int64N(int64(2 * time.Millisecond)))
 	draw := w.random.IntN(4000)
 	if draw == 0 {
@@ -147,14 +149,14 @@
 	case draw < 80:
 		w.gates[name].Nodes(w.lists[w.random.IntN(2)], w.now(name))
 	}
-	if g := w.gates[name]; g.May(e, w.rule.Bound(perSecond), w.now(name)) {
+	if g := w.gates[name]; g.Allows(e, w.rule.Bound(perSecond), w.now(name)) {
 		g.Sent(e.ID, w.now(name))
 		w.sent = append(w.sent, w.at)
 	}
 }
 
-// inLastSecond drops what is older than a second, and counts the rest.
-func (w *world) inLastSecond() int {
+// inLastSecond drops calls older than a second and counts the rest.
+func (w *simulation) inLastSecond() int {
 	for len(w.sent) > 0 && w.at-w.sent[0] > time.Second {
 		w.sent = w.sent[1:]
 	}
@@ -168,13 +170,13 @@
 	return 200_000
 }
 
-// Whatever the nodes' clocks, restarts and lists, an old and a new one, no second
-// brings a cold endpoint more than the bound.
-func TestNoSecondBringsAColdEndpointMoreThanTheBound(t *testing.T) {
+// Whatever the nodes' clocks and restarts, and with an old and a new list in use, a cold
+// endpoint gets no more calls in any second than the bound.
+func TestColdEndpointStaysWithinTheBound(t *testing.T) {
 	const perSecond = 7.7
 	e := engine.NewDirectory(1, []engine.Engine{{ID: "e", Service: "s"}}).Of("s")[0]
 	for seed, nodes := range []int{1, 8, 75, 300} {
-		w := newWorld(uint64(seed), nodes)
+		w := newSimulation(uint64(seed), nodes)
 		most := 0
 		for i := range modelSteps() / 4 {
 			w.step(e, perSecond, i)
@@ -185,9 +187,9 @@
 	}
 }
 
-// Protects an endpoint that started again from calls that the node had sent while it took
-// it for warm: its part is held back until they are a window old, and saves nothing up.
-func TestANewLifeWaitsForWhatWasSentBefore(t *testing.T) {
+// Calls sent before an endpoint restarted may reach its new incarnation while it is cold. The
+// node's share is withheld until they are a window old, and does not accumulate.
+func TestRestartedEndpointWaitsForEarlierCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
 	all := engine.NewDirectory(1, []engine.Engine{{ID: "e", Service: "s"}, {ID: "f", Service: "s"}}).Of("s")
 	g, rule := bound.NewGate("n"), cold.Rule{Overrun: 1.5, Tolerance: 5}
@@ -195,7 +197,7 @@
 	take := func(e engine.Engine, at time.Duration) int {
 		taken := 0
 		for range 50 {
-			if g.May(e, rule.Bound(7.7), start.Add(at)) {
+			if g.Allows(e, rule.Bound(7.7), start.Add(at)) {
 				g.Sent(e.ID, start.Add(at))
 				taken++
 			}
--- a/fleet/relay/bound/gate.go
+++ b/fleet/relay/bound/gate.go
@@ -8,42 +8,42 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// settle is how long the list of nodes must be known before a node takes a part: one
-// that has just started may be alone in its view. A longer window is waited for as well,
-// since an earlier life of the node may have sent in it.
-const settle = 2 * time.Second
+// settleTime is how long the list of nodes must be known before a node takes a share: a node
+// that has just started may see only itself. A longer window is waited for as well, since an
+// earlier incarnation of the node may have sent calls in it.
+const settleTime = 2 * time.Second
 
-// renewal is how long calls that were meant for an endpoint's earlier life may reach its
+// restartGrace is how long calls meant for an endpoint's earlier incarnation may still reach its
 // new one.
-const renewal = 1200 * time.Millisecond
+const restartGrace = 1200 * time.Millisecond
 
-// Gate keeps one node's part at each endpoint. It is safe for concurrent use.
+// Gate keeps one node's share at each endpoint. It is safe for concurrent use.
 type Gate struct {
 	self string
 
-	mu      sync.Mutex
-	cutOff  func() bool // whether the node may not learn of a new list
-	names   []string
-	fleet   Fleet
-	left    bool                   // it is about to end, and other nodes no longer count on it
-	since   time.Time              // from then on a list is known; zero: none yet
-	changed time.Time              // when the list last changed
-	sent    map[string][]time.Time // by the endpoint's id: calls of the longest window, the oldest first
-	begun   map[string]time.Time   // by the endpoint's id: until then its new life gets nothing
+	mu          sync.Mutex
+	partitioned func() bool // reports whether the node might miss a new list
+	names       []string
+	fleet       Fleet
+	left        bool                   // the node is about to end, and the others no longer count on it
+	since       time.Time              // when a list was first known; zero: not yet
+	changed     time.Time              // when the list last changed
+	sent        map[string][]time.Time // calls within MaxWindow by endpoint id, oldest first
+	restarted   map[string]time.Time   // by endpoint id: its new incarnation gets nothing until then
 }
 
-// NewGate returns the gate of a node that knows no list of nodes yet.
+// NewGate returns the gate of a node that has no list of nodes yet.
 func NewGate(self string) *Gate {
-	return &Gate{self: self, cutOff: func() bool { return false }, sent: map[string][]time.Time{}, begun: map[string]time.Time{}}
+	return &Gate{self: self, partitioned: func() bool { return false }, sent: map[string][]time.Time{}, restarted: map[string]time.Time{}}
 }
 
-// WithCutOff has the node be unsure of its list while it may not learn of a new one.
-func (g *Gate) WithCutOff(cutOff func() bool) *Gate {
-	g.cutOff = cutOff
+// WithCutOff makes the node use the smaller share while it might miss a new list.
+func (g *Gate) WithCutOff(partitioned func() bool) *Gate {
+	g.partitioned = partitioned
 	return g
 }
 
-// Nodes sets which nodes there are, by name.
+// Nodes sets the names of all nodes.
 func (g *Gate) Nodes(names []string, now time.Time) {
 	names = slices.Sorted(slices.Values(names))
 	g.mu.Lock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// Settle has the node take no part until the list of nodes can be known anew: others may
-// have joined while its VM was suspended, and its part be smaller.
+// Settle withholds the node's share until the list of nodes can be known again: others may have
+// joined while its VM was suspended, and its share may be smaller.
 func (g *Gate) Settle(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,78 +67,78 @@
 	}
 }
 
-// Leave gives this node's parts up for good.
+// Leave gives up this node's shares for good.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.left = true
 }
 
-// Count is how many nodes the list names.
+// Count returns the number of listed nodes.
 func (g *Gate) Count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.names)
 }
 
-// Begin takes in that an endpoint has started again under its id, and when this node last
-// sent a call that was meant for the life before. Such calls may have reached the new one,
-// unbounded: it gets none of this node until they can have no more.
+// Begin records that an endpoint has restarted under its id, and when this node last sent a call
+// to the earlier incarnation. Such calls may reach the new one outside its bound, so this node
+// sends it none until they can no longer arrive.
 func (g *Gate) Begin(id string, sent, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for known, until := range g.begun {
+	for known, until := range g.restarted {
 		if !now.Before(until) {
-			delete(g.begun, known)
+			delete(g.restarted, known)
 		}
 	}
-	if until := sent.Add(renewal); now.Before(until) {
-		g.begun[id] = until
+	if until := sent.Add(restartGrace); now.Before(until) {
+		g.restarted[id] = until
 	}
 }
 
-// May is whether this node may send one more call now to an endpoint under a bound.
-func (g *Gate) May(e engine.Engine, b Bound, now time.Time) bool {
-	cutOff := g.cutOff()
+// Allows reports whether this node may send one more call now to an endpoint under a bound.
+func (g *Gate) Allows(e engine.Engine, b Bound, now time.Time) bool {
+	partitioned := g.partitioned()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.left || g.since.IsZero() || now.Before(g.since.Add(max(settle, b.Window))) || now.Before(g.begun[e.ID]) {
+	if g.left || g.since.IsZero() || now.Before(g.since.Add(max(settleTime, b.Window))) || now.Before(g.restarted[e.ID]) {
 		return false
 	}
-	return g.within(e.ID, b.Window, now) < g.part(e, b, cutOff, now)
+	return g.sentWithin(e.ID, b.Window, now) < g.share(e, b, partitioned, now)
 }
 
-// Part is how many calls of any window this node may send to an endpoint, and how many of
-// the last one it did.
-func (g *Gate) Part(e engine.Engine, b Bound, now time.Time) (part, sent int) {
-	cutOff := g.cutOff()
+// Part returns how many calls in any window this node may send to an endpoint, and how many it
+// sent in the last one.
+func (g *Gate) Part(e engine.Engine, b Bound, now time.Time) (share, sent int) {
+	partitioned := g.partitioned()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.part(e, b, cutOff, now), g.within(e.ID, b.Window, now)
+	return g.share(e, b, partitioned, now), g.sentWithin(e.ID, b.Window, now)
 }
 
-// part goes by the smaller sum until every node that can has learned of a new list, and has
-// sent nothing by an older one for a window.
-func (g *Gate) part(e engine.Engine, b Bound, cutOff bool, now time.Time) int {
+// share uses the smaller sum until every node that can has received a new list, and has sent
+// nothing by an older one for a window.
+func (g *Gate) share(e engine.Engine, b Bound, partitioned bool, now time.Time) int {
 	calls := b.Calls
-	if cutOff || now.Before(g.changed.Add(settle+b.Window)) {
+	if partitioned || now.Before(g.changed.Add(settleTime+b.Window)) {
 		calls = b.Unsure
 	}
-	return g.fleet.Part(e.Hash, calls)
+	return g.fleet.Share(e.Hash, calls)
 }
 
-// Sent notes a call to an endpoint.
+// Sent records a call to an endpoint.
 func (g *Gate) Sent(id string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	calls := g.sent[id]
-	for len(calls) > 0 && now.Sub(calls[0]) >= Longest {
+	for len(calls) > 0 && now.Sub(calls[0]) >= MaxWindow {
 		calls = calls[1:]
 	}
 	g.sent[id] = append(calls, now)
 }
 
-// Forget drops what is known of endpoints that are gone.
+// Forget drops the state of endpoints that are gone.
 func (g *Gate) Forget(known func(id string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,8 +149,8 @@
 	}
 }
 
-// within counts the calls of the last window.
-func (g *Gate) within(id string, window time.Duration, now time.Time) int {
+// sentWithin counts the calls of the last window.
+func (g *Gate) sentWithin(id string, window time.Duration, now time.Time) int {
 	calls := g.sent[id]
 	for i, at := range calls {
 		if now.Sub(at) < window {
--- a/fleet/relay/choice/baseline.go
+++ b/fleet/relay/choice/baseline.go
@@ -46,7 +46,7 @@
 
 // Cold reports whether the endpoint was cold when it was chosen.
 func (t *Placement) Cold() bool {
-	return cold.Cold(t.Engine, t.request.Profile.ColdStart, t.request.Now)
+	return cold.IsCold(t.Engine, t.request.Profile.ColdStart, t.request.Now)
 }
 
 // Lasts returns the expected duration of a call with the given number of events if its whole
--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -10,7 +10,7 @@
 
 // isCold reports whether the rate of a cold endpoint applies to the endpoint.
 func (r Request) isCold(e engine.Engine) bool {
-	return r.Profile.ColdPerSecond > 0 && cold.Cold(e, r.Profile.ColdStart, r.Now)
+	return r.Profile.ColdPerSecond > 0 && cold.IsCold(e, r.Profile.ColdStart, r.Now)
 }
 
 // withinBounds reports whether this node may send one more call to an endpoint without exceeding
@@ -18,17 +18,17 @@
 // if each node applied it alone, or only the nodes that received it did, the fleet would exceed
 // it by a multiple.
 func (p *Picker) withinBounds(r Request, e engine.Engine) bool {
-	if r.isCold(e) && !p.gate.May(e, p.cold.Bound(r.Profile.ColdPerSecond), r.Now) {
+	if r.isCold(e) && !p.gate.Allows(e, p.cold.Bound(r.Profile.ColdPerSecond), r.Now) {
 		return false
 	}
 	if p.limits == nil {
 		return true
 	}
 	perSecond, named := p.limits.Of(e.Life())
-	if !named || p.gate.May(e, p.limits.Bound(perSecond), r.Now) {
+	if !named || p.gate.Allows(e, p.limits.Bound(perSecond), r.Now) {
 		return true
 	}
-	return p.limits.MayTry(e.Life(), p.gate.Count(), r.Now)
+	return p.limits.MayProbe(e.Life(), p.gate.Count(), r.Now)
 }
 
 // endpointsWithStaleLimit returns the endpoints whose limit was not confirmed lately. They get
@@ -40,7 +40,7 @@
 		return nil
 	}
 	var of []engine.Engine
-	for _, life := range p.limits.Unheard(r.Now) {
+	for _, life := range p.limits.Unconfirmed(r.Now) {
 		if e, ok := find(r.Engines, life.ID); ok && e.Life() == life {
 			of = append(of, e)
 		}
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -138,7 +138,7 @@
 	p.capacity = max(p.capacity, r.Profile.Capacity)
 	p.gate.Sent(t.Engine.ID, r.Now)
 	if p.limits != nil {
-		p.limits.Tried(t.Engine.Life(), r.Now)
+		p.limits.Placed(t.Engine.Life(), r.Now)
 	}
 	if p.notices != nil {
 		p.notices.Placed(t.Engine.Life(), r.Now)
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -18,7 +18,7 @@
 	switch p.notices.Use(e.Life(), r.Now) {
 	case notice.Closed:
 		return true
-	case notice.Spare:
+	case notice.LastResort:
 		return level != allowAll
 	case notice.Probe:
 		return level != allowAll && !r.Elsewhere
--- a/fleet/relay/cold/cold.go
+++ b/fleet/relay/cold/cold.go
@@ -1,5 +1,5 @@
-// Package cold says which endpoints are slow after their start, and how many calls one
-// bears then: it falls over at well above that.
+// Package cold decides which endpoints are slow after their start, and how many calls such an
+// endpoint gets: well above that it fails.
 package cold
 
 import (
@@ -10,45 +10,46 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Rule says how far the calls of one second may lie above what a cold endpoint bears.
+// Rule defines how far the calls in one second may exceed what a cold endpoint takes.
 type Rule struct {
-	Overrun   float64 // times what it bears
-	Tolerance float64 // calls beyond that
+	Overrun   float64 // factor on what it takes
+	Tolerance float64 // calls on top of that
 }
 
-// window is the time in which a part may be sent once: a second, and what may lie
-// between the choice of an endpoint and the arrival there, so that calls that were
-// held up do not meet the next ones.
+// window is the time in which a share may be sent once: a second, plus the time that may pass
+// between the choice of an endpoint and the arrival there, so that delayed calls don't coincide
+// with the next ones.
 const window = 1200 * time.Millisecond
 
-// views is how many lists of nodes may be in force at once.
-const views = 2
+// maxViews is how many lists of nodes may be in use at once.
+const maxViews = 2
 
-// Most is how many calls all nodes together may send within any second to an
-// endpoint that bears so many.
+// Most returns how many calls all nodes together may send within any second to an endpoint with
+// the given rate.
 func (r Rule) Most(perSecond float64) int {
 	return int(math.Floor(perSecond*r.Overrun + r.Tolerance))
 }
 
-// Target is how many calls of one second the parts of all nodes add up to: what the
-// endpoint bears, within the bound for each view of the fleet, and one at least.
+// Target returns the number of calls in one second that the shares of all nodes add up to: the
+// endpoint's rate, but at most the bound divided by the lists of nodes in use, and at least one.
 func (r Rule) Target(perSecond float64) int {
-	return max(min(int(math.Floor(perSecond)), r.Most(perSecond)/views), 1)
+	return max(min(int(math.Floor(perSecond)), r.Most(perSecond)/maxViews), 1)
 }
 
-// Bound is what the nodes keep to at a cold endpoint that bears so many a second.
+// Bound returns the bound that the nodes keep at a cold endpoint with the given rate.
 func (r Rule) Bound(perSecond float64) bound.Bound {
 	target := r.Target(perSecond)
 	return bound.Bound{Window: window, Calls: target, Unsure: target}
 }
 
-// Cold is whether an endpoint is slow now, as far as is known: by its own word, or
-// since it started again, or its zone was given back, less than a start ago.
-func Cold(e engine.Engine, start time.Duration, now time.Time) bool {
-	return now.Before(e.ColdUntil) || within(e.RebornAt, start, now) || within(e.ReturnedAt, start, now)
+// IsCold reports whether an endpoint is slow now, as far as this node knows: the endpoint
+// reports it itself, or it restarted or its zone was given back less than one start time ago.
+func IsCold(e engine.Engine, start time.Duration, now time.Time) bool {
+	return now.Before(e.ColdUntil) || isWithin(e.RebornAt, start, now) || isWithin(e.ReturnedAt, start, now)
 }
 
-// within is whether something came less than a time ago; zero: it never did.
-func within(at time.Time, length time.Duration, now time.Time) bool {
+// isWithin reports whether a time lies less than the given length in the past; the zero time
+// never does.
+func isWithin(at time.Time, length time.Duration, now time.Time) bool {
 	return !at.IsZero() && now.Before(at.Add(length))
 }
--- a/fleet/relay/cold/cold_test.go
+++ b/fleet/relay/cold/cold_test.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-func TestEndpointsAreColdByTheirOwnWordAndAfterAnEvacuation(t *testing.T) {
+func TestIsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name   string
@@ -18,12 +18,12 @@
 		want   bool
 	}{
 		{"warm", engine.Engine{}, false},
-		{"it says so", engine.Engine{ColdUntil: now.Add(time.Second)}, true},
-		{"it did", engine.Engine{ColdUntil: now}, false},
+		{"it reports so", engine.Engine{ColdUntil: now.Add(time.Second)}, true},
+		{"it reported so until now", engine.Engine{ColdUntil: now}, false},
 		{"its zone was given back", engine.Engine{ReturnedAt: now.Add(-time.Second)}, true},
 		{"long ago", engine.Engine{ReturnedAt: now.Add(-4 * time.Second)}, false},
 	}
 	for _, c := range cases {
-		assert.Equal(t, c.want, cold.Cold(c.engine, 3*time.Second, now), c.name)
+		assert.Equal(t, c.want, cold.IsCold(c.engine, 3*time.Second, now), c.name)
 	}
 }
--- a/fleet/relay/limit/returns.go
+++ b/fleet/relay/limit/returns.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Bounds of when a caller is told to come back.
+// Bounds of the delay after which a caller is told to retry.
 const (
-	soonest = 300 * time.Millisecond
-	latest  = 10 * time.Second
+	minWait = 300 * time.Millisecond
+	maxWait = 10 * time.Second
 )
 
-// Returns says when callers that the limits of a service's endpoints leave out may come
-// back: each at a time of its own, as fast as the limits allow. It is safe for concurrent
-// use.
+// Returns schedules the retries of callers that are refused due to the limits of a service's
+// endpoints. Each gets its own time, at the rate that the limits allow. It is safe for
+// concurrent use.
 type Returns struct {
 	mu   sync.Mutex
 	next map[string]time.Time // by service
 }
 
-// NewReturns returns one that has told nobody to come back.
+// NewReturns returns a schedule without pending retries.
 func NewReturns() *Returns { return &Returns{next: map[string]time.Time{}} }
 
-// After is how long a caller is to wait whose service takes so many calls a second of this
-// node. Beyond the latest time no place is promised: more callers wait than can be served.
+// After returns how long a caller is to wait, given the calls per second that the service
+// accepts from this node. Callers beyond the maximum delay get no slot of their own: more of
+// them wait than can be served.
 func (r *Returns) After(service string, perSecond float64, now time.Time) time.Duration {
 	if perSecond <= 0 {
-		return latest
+		return maxWait
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,9 +36,9 @@
 		at = now
 	}
 	wait := at.Sub(now) + time.Duration(float64(time.Second)/perSecond)
-	if wait > latest {
-		return latest
+	if wait > maxWait {
+		return maxWait
 	}
 	r.next[service] = now.Add(wait)
-	return max(wait, soonest)
+	return max(wait, minWait)
 }
--- a/fleet/relay/limit/rule.go
+++ b/fleet/relay/limit/rule.go
@@ -1,9 +1,10 @@
-// Package limit is what a node knows of endpoints in need: each names in its answers how many
-// calls a second it takes from all nodes together, for as long as that holds.
+// Package limit tracks the limits of endpoints in need. Such an endpoint names in its answers
+// how many calls per second it accepts from all nodes together, for as long as that holds.
 //
-// A node learns of a limit by an answer of its own or another node's word, and of its end
-// by the answer to a call that it sent knowing of it: answers overtake each other, so that
-// any other one may be from before. Whoever learns of a change tells the others at once.
+// A node learns of a limit from an answer of its own or from another node's report. It learns of
+// the end of a limit from the answer to a call that it sent after it knew of the limit: answers
+// can overtake each other, so any other answer may be older than the limit. A node that learns
+// of a change announces it at once.
 package limit
 
 import (
@@ -13,37 +14,37 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/bound"
 )
 
-// Rule says how far the calls of a window may lie above what a limit allows.
+// Rule defines how far the calls in a window may exceed what a limit allows.
 type Rule struct {
-	Overrun   float64       // times what it allows
-	Tolerance float64       // calls beyond that
-	Window    time.Duration // in which they are counted
+	Overrun   float64       // factor on what it allows
+	Tolerance float64       // calls on top of that
+	Window    time.Duration // in which calls are counted
 }
 
 const (
-	// heldUp is what may lie between the choice of an endpoint and the arrival there.
-	heldUp = 200 * time.Millisecond
-	// rarest is the time in which an endpoint gets one call however low its limit is: its
-	// answer is the only way to learn that the limit is over.
-	rarest = bound.Longest
-	// mostPerSecond is a rate that no endpoint can get: a higher limit binds nothing.
-	mostPerSecond = 1e6
+	// maxTransit is the maximum time between the choice of an endpoint and the arrival there.
+	maxTransit = 200 * time.Millisecond
+	// maxCallInterval is the time in which an endpoint gets one call however low its limit is: only
+	// an answer shows that the limit is over.
+	maxCallInterval = bound.MaxWindow
+	// maxPerSecond is a rate that no endpoint receives: a higher limit has no effect.
+	maxPerSecond = 1e6
 )
 
-// Most is how many calls of a window all nodes together may send under a limit.
+// Most returns how many calls in a window all nodes together may send under a limit.
 func (r Rule) Most(perSecond float64) int {
-	return int(math.Floor(r.Overrun*min(perSecond, mostPerSecond)*r.Window.Seconds() + r.Tolerance))
+	return int(math.Floor(r.Overrun*min(perSecond, maxPerSecond)*r.Window.Seconds() + r.Tolerance))
 }
 
-// Bound is what the nodes keep to under a limit: all that it allows, and where nodes come
-// and go as much as they can send beside those that don't know of it yet. The window is the
-// one in which the limit allows a whole number of calls.
+// Bound returns the bound that the nodes keep under a limit: all that it allows or, while the
+// list of nodes changes, as much as they may send in addition to nodes with the old list. The
+// window is extended to one in which the limit allows a whole number of calls.
 func (r Rule) Bound(perSecond float64) bound.Bound {
-	perSecond = min(perSecond, mostPerSecond)
-	window := (r.Window + heldUp).Seconds()
+	perSecond = min(perSecond, maxPerSecond)
+	window := (r.Window + maxTransit).Seconds()
 	calls := max(math.Ceil(perSecond*window), 1)
 	if calls > perSecond*window {
-		window = min(calls/max(perSecond, 1/rarest.Seconds()), rarest.Seconds())
+		window = min(calls/max(perSecond, 1/maxCallInterval.Seconds()), maxCallInterval.Seconds())
 	}
 	most := r.Most(perSecond)
 	sure := min(int(calls), most)
--- a/fleet/relay/limit/book_test.go
+++ b/fleet/relay/limit/tracker_test.go
@@ -20,11 +20,11 @@
 	other = engine.Engine{ID: "f", Service: "s"}
 )
 
-// at is a moment of a test, in milliseconds.
+// at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func newBook(changes *[]limit.Change) *limit.Book {
-	b := limit.NewBook(promised, func(c limit.Change) {
+	b := limit.NewBook(testRule, func(c limit.Change) {
 		if changes != nil {
 			*changes = append(*changes, c)
 		}
@@ -33,43 +33,43 @@
 	return b
 }
 
-func named(t *testing.T, b *limit.Book, perSecond float64) {
+func expectLimit(t *testing.T, b *limit.Book, perSecond float64) {
 	t.Helper()
 	got, ok := b.Of(first.Life())
 	assert.True(t, ok)
 	assert.Equal(t, perSecond, got)
 }
 
-func unnamed(t *testing.T, b *limit.Book) {
+func expectNoLimit(t *testing.T, b *limit.Book) {
 	t.Helper()
 	_, ok := b.Of(first.Life())
 	assert.False(t, ok)
 }
 
-func TestALimitLastsUntilACallThatWasSentUnderItIsAnsweredWithoutOne(t *testing.T) {
+func TestLimitEndsWithAnAnswerToALaterCall(t *testing.T) {
 	var changes []limit.Change
 	b := newBook(&changes)
 	b.Unnamed(first.Life(), at(0), at(5))
-	assert.Empty(t, changes, "nothing is known of endpoints that name none")
+	assert.Empty(t, changes, "endpoints that name no limit are not tracked")
 	b.Named(first.Life(), 2, at(100))
-	named(t, b, 2)
+	expectLimit(t, b, 2)
 	_, ok := b.Of(other.Life())
 	assert.False(t, ok)
 	b.Unnamed(first.Life(), at(90), at(150))
-	named(t, b, 2) // the answer may be from before the limit
+	expectLimit(t, b, 2) // the answer may be from before the limit
 	b.Named(first.Life(), 2, at(200))
 	b.Named(first.Life(), 0.5, at(300))
-	named(t, b, 0.5)
+	expectLimit(t, b, 0.5)
 	b.Unnamed(first.Life(), at(250), at(400))
-	unnamed(t, b)
+	expectNoLimit(t, b)
 	b.Named(first.Life(), 1, at(500))
 	b.Unnamed(first.Life(), at(450), at(600))
-	named(t, b, 1) // sent before it named one again
+	expectLimit(t, b, 1) // sent before it named one again
 	assert.Equal(t, []bool{true, true, false, true}, lo.Map(changes, func(c limit.Change, _ int) bool { return c.Named }))
 	assert.Equal(t, []float64{0, 2, 0.5, 0}, lo.Map(changes, func(c limit.Change, _ int) float64 { return c.Before }))
 }
 
-func TestALimitIsOfOneLifeOfAListedEndpoint(t *testing.T) {
+func TestLimitBelongsToOneIncarnation(t *testing.T) {
 	b := newBook(nil)
 	b.Named(engine.Life{ID: "unknown"}, 1, at(0))
 	b.Named(engine.Life{ID: first.ID, Born: 7}, 1, at(0))
@@ -78,75 +78,75 @@
 	reborn := first
 	reborn.Born = 2
 	b.Engines([]engine.Engine{reborn, other})
-	assert.Empty(t, b.List(at(1)), "another life, and an address that passed on, are under no limit")
+	assert.Empty(t, b.List(at(1)), "another incarnation is under no limit")
 	_, ok := b.Of(reborn.Life())
 	assert.False(t, ok)
 }
 
-// rate is the rate of a word.
+// rate returns a pointer to the rate.
 func rate(perSecond float64) *float64 { return &perSecond }
 
-func TestWordsOfOtherNodes(t *testing.T) {
-	word := func(perSecond *float64, ageMs int64) []limit.Word {
+func TestReportsOfOtherNodes(t *testing.T) {
+	reportOf := func(perSecond *float64, ageMs int64) []limit.Word {
 		return []limit.Word{{Endpoint: first.ID, Born: first.Born, PerSecond: perSecond, AgeMs: ageMs}}
 	}
 	cases := []struct {
-		name  string
-		words []limit.Word
-		want  float64 // below zero: none
+		name    string
+		reports []limit.Word
+		want    float64 // below zero: none
 	}{
-		{"a lower limit", word(rate(1), 0), 1},
-		{"none at all", word(rate(0), 0), 0},
-		{"an older one than this node's", word(rate(1), 600), 4},
-		{"its end", word(nil, 10), -1},
-		{"an end from before", word(nil, 600), 4},
-		{"below zero", word(rate(-1), 0), 4},
-		{"not a number", word(rate(math.NaN()), 0), 4},
-		{"without end", word(rate(math.Inf(1)), 0), 4},
-		{"from the future", word(rate(1), -1), 4},
-		{"too old to count", word(rate(1), math.MaxInt64), 4},
-		{"of another life", []limit.Word{{Endpoint: first.ID, Born: 9, PerSecond: rate(1)}}, 4},
+		{"a lower limit", reportOf(rate(1), 0), 1},
+		{"a limit of zero", reportOf(rate(0), 0), 0},
+		{"an older one than this node's", reportOf(rate(1), 600), 4},
+		{"its end", reportOf(nil, 10), -1},
+		{"an end from before", reportOf(nil, 600), 4},
+		{"below zero", reportOf(rate(-1), 0), 4},
+		{"not a number", reportOf(rate(math.NaN()), 0), 4},
+		{"infinite", reportOf(rate(math.Inf(1)), 0), 4},
+		{"from the future", reportOf(rate(1), -1), 4},
+		{"too old to count", reportOf(rate(1), math.MaxInt64), 4},
+		{"of another incarnation", []limit.Word{{Endpoint: first.ID, Born: 9, PerSecond: rate(1)}}, 4},
 		{"of an endpoint that is not listed", []limit.Word{{Endpoint: "x", PerSecond: rate(1)}}, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBook(nil)
 			b.Named(first.Life(), 4, at(500))
-			b.Heard("peer", c.words, at(1000))
+			b.Heard("peer", c.reports, at(1000))
 			if c.want < 0 {
-				unnamed(t, b)
+				expectNoLimit(t, b)
 				return
 			}
-			named(t, b, c.want)
+			expectLimit(t, b, c.want)
 		})
 	}
 }
 
-// A node tells what its answers said, at once where it is news, and along with all else for
-// a while; one that passes on what it hears tells that, too, and others do not.
-func TestWhatIsTold(t *testing.T) {
+// A node sends what its answers signaled: changes at once, and then with the digests for a
+// while. Only a node that forwards also sends what it received.
+func TestSentReports(t *testing.T) {
 	b := newBook(nil)
 	assert.Nil(t, b.Words(true, at(0)))
 	b.Named(first.Life(), 1.5, at(0))
 	select {
 	case <-b.Urgent():
 	default:
-		assert.Fail(t, "news are urgent")
+		assert.Fail(t, "updates are urgent")
 	}
 	want := []limit.Word{{Endpoint: "e", Born: 1, PerSecond: rate(1.5), AgeMs: 20}}
 	assert.Equal(t, want, b.News(false, at(20)))
-	assert.Empty(t, b.News(false, at(30)), "told once")
+	assert.Empty(t, b.News(false, at(30)), "sent once")
 	assert.Equal(t, want, b.Words(false, at(20)))
 	assert.Len(t, b.Words(false, at(1000)), 1)
 	b.Named(first.Life(), 1.5, at(2000))
 	assert.Empty(t, b.Words(false, at(2000)), "nothing new")
 	assert.Empty(t, b.News(false, at(2000)))
 	b.Named(first.Life(), 1.5, at(11_000))
-	assert.Len(t, b.Words(false, at(11_000)), 1, "again, for those that heard nothing")
+	assert.Len(t, b.Words(false, at(11_000)), 1, "again, for nodes that received nothing")
 
 	listener := newBook(nil)
 	listener.Heard("n", want, at(50))
-	named(t, listener, 1.5)
+	expectLimit(t, listener, 1.5)
 	assert.Empty(t, listener.Words(false, at(60)))
 	assert.Len(t, listener.Words(true, at(60)), 1)
 	assert.Len(t, listener.News(true, at(60)), 1)
@@ -155,21 +155,20 @@
 	assert.JSONEq(t, `[{"e":"e","b":1,"r":1.5,"a":20}]`, string(data))
 }
 
-// The end of a limit that one node missed reaches it with a later word.
-func TestAnEndThatWasMissedIsToldAgain(t *testing.T) {
+// A node that missed the end of a limit learns of it from a later report.
+func TestMissedEndIsSentAgain(t *testing.T) {
 	b, listener := newBook(nil), newBook(nil)
 	b.Named(first.Life(), 1, at(0))
 	listener.Heard("n", b.Words(false, at(0)), at(0))
 	b.Unnamed(first.Life(), at(100), at(200))
 	b.Unnamed(first.Life(), at(11_000), at(11_010))
 	listener.Heard("n", b.Words(false, at(11_020)), at(11_020))
-	unnamed(t, listener)
+	expectNoLimit(t, listener)
 }
 
-// A node that has no part, and hears nothing for long, finds out by a call of its own whether
-// the limit is over: the more seldom the more nodes do, half of the limit together at
-// the most.
-func TestANodeThatHearsNothingTriesNowAndThen(t *testing.T) {
+// A node without a share that receives nothing for long probes whether the limit is over. With
+// more nodes each probes less often; together they use at most half of the limit.
+func TestSilenceLeadsToProbes(t *testing.T) {
 	cases := []struct {
 		perSecond float64
 		nodes     int
@@ -178,19 +177,19 @@
 	for _, c := range cases {
 		b := newBook(nil)
 		b.Named(first.Life(), c.perSecond, start)
-		assert.False(t, b.MayTry(first.Life(), c.nodes, start.Add(c.after-time.Second)), "%+v", c)
-		assert.True(t, b.MayTry(first.Life(), c.nodes, start.Add(c.after)), "%+v", c)
-		b.Tried(first.Life(), start.Add(c.after))
-		assert.False(t, b.MayTry(first.Life(), c.nodes, start.Add(2*c.after-time.Second)), "%+v", c)
+		assert.False(t, b.MayProbe(first.Life(), c.nodes, start.Add(c.after-time.Second)), "%+v", c)
+		assert.True(t, b.MayProbe(first.Life(), c.nodes, start.Add(c.after)), "%+v", c)
+		b.Placed(first.Life(), start.Add(c.after))
+		assert.False(t, b.MayProbe(first.Life(), c.nodes, start.Add(2*c.after-time.Second)), "%+v", c)
 		if c.perSecond > 0 {
 			assert.LessOrEqual(t, float64(c.nodes)/c.after.Seconds(), max(c.perSecond/2, 8.0/30), "%+v", c)
 		}
 	}
 }
 
-// Callers who are left out come back each at a time of its own, as fast as the limits allow,
-// and those for whom there is no place are told the latest time.
-func TestCallersComeBackAsFastAsLimitsAllow(t *testing.T) {
+// Refused callers retry each at their own time, at the rate of the limits. Those without a slot
+// get the maximum delay.
+func TestRetriesFollowTheLimits(t *testing.T) {
 	r := limit.NewReturns()
 	assert.Equal(t, 500*time.Millisecond, r.After("s", 2, at(0)))
 	assert.Equal(t, time.Second, r.After("s", 2, at(0)))
@@ -201,5 +200,5 @@
 	}
 	assert.Equal(t, 10*time.Second, r.After("s", 2, at(900)))
 	assert.Equal(t, 10*time.Second, r.After("s", 0, at(900)))
-	assert.Equal(t, 300*time.Millisecond, r.After("many", 1000, at(0)), "no sooner than it takes to tell")
+	assert.Equal(t, 300*time.Millisecond, r.After("many", 1000, at(0)), "never below the minimum delay")
 }
