--- a/fleet/relay/distance/distance_test.go
+++ b/fleet/relay/distance/distance_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// A round trip is assumed until one was measured, and then the median of the last:
-// a few connects that a full endpoint slowed say nothing of the distance.
-func TestRoundTripIsTheMedianOfWhatWasMeasured(t *testing.T) {
+// The round trip is the default until one was measured, and then the median of the latest: a few
+// connects slowed by a full endpoint must not count.
+func TestRoundTripIsTheMedianOfMeasurements(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := distance.From("a1", regions, distance.DefaultCosts())
 	unknown := p.To("b1", now)
@@ -59,10 +59,10 @@
 	for range 31 {
 		p.Measured("b1", 80*time.Millisecond, now)
 	}
-	assert.Equal(t, 80*time.Millisecond, p.To("b1", now).RoundTrip, "a way that has become longer is taken in")
+	assert.Equal(t, 80*time.Millisecond, p.To("b1", now).RoundTrip, "a round trip that became longer is adopted")
 }
 
-func TestLeavingCosts(t *testing.T) {
+func TestCostOfLeavingTheZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := distance.DefaultCosts().WithBytes(100, 400)
 	p := distance.From("a1", regions, c)
@@ -72,11 +72,11 @@
 	assert.InDelta(t, 0.03*10_000+100, near.Call(10_000, 1_000_000), 1)
 	assert.GreaterOrEqual(t, far.Call(10_000, 1_000_000), near.Call(10_000, 1_000_000)+300)
 	assert.GreaterOrEqual(t, far.Plain(), near.Plain())
-	nothing := distance.From("a1", regions, distance.None()).To("b1", now)
-	assert.Zero(t, nothing.Call(10_000, 1_000_000)+nothing.Plain()+nothing.DelayMs())
+	noCosts := distance.From("a1", regions, distance.None()).To("b1", now)
+	assert.Zero(t, noCosts.Call(10_000, 1_000_000)+noCosts.Plain()+noCosts.DelayMs())
 }
 
-func TestTripsAreMeasuredByManyAtOnce(t *testing.T) {
+func TestConcurrentMeasurements(t *testing.T) {
 	p := distance.From("a1", regions, distance.DefaultCosts())
 	var all sync.WaitGroup
 	for range 8 {
--- a/fleet/relay/distance/places.go
+++ b/fleet/relay/distance/places.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// Places is which availability zone lies where, seen from a node's own. It does not
-// change; round trips come in as they are measured.
+// Places maps availability zones to regions, seen from a node's own zone. It is immutable except
+// for the round trips, which are added as they are measured.
 type Places struct {
-	zone    string
-	regions map[string]string // by zone
-	costs   Costs
-	trips   *Trips
+	zone       string
+	regions    map[string]string // by zone
+	costs      Costs
+	roundTrips *RoundTrips
 }
 
-// From returns the places seen from a zone. Zones whose region is not named count as
-// one region.
+// From returns the places seen from a zone. Zones without a named region count as one region.
 func From(zone string, regions map[string]string, c Costs) Places {
-	return Places{zone: zone, regions: regions, costs: c, trips: newTrips()}
+	return Places{zone: zone, regions: regions, costs: c, roundTrips: newRoundTrips()}
 }
 
-// Zone is the node's own.
+// Zone returns the node's own zone.
 func (p Places) Zone() string { return p.zone }
 
-// Region names the region of a zone; "" is not known.
+// Region returns the region of a zone, or "" if it is unknown.
 func (p Places) Region(zone string) string { return p.regions[zone] }
 
-// Has is whether a zone of a region is known.
+// Has reports whether the region has a known zone.
 func (p Places) Has(region string) bool {
 	for _, known := range p.regions {
 		if known == region {
@@ -33,7 +32,7 @@
 	return false
 }
 
-// Class is how far a zone lies.
+// Class returns the distance class of a zone.
 func (p Places) Class(zone string) Class { return p.class(p.zone, zone) }
 
 func (p Places) class(one, other string) Class {
@@ -46,21 +45,21 @@
 	return OtherRegion
 }
 
-// Near is whether a zone is of the node's own region.
+// Near reports whether a zone is in the node's own region.
 func (p Places) Near(zone string) bool { return p.Class(zone) != OtherRegion }
 
-// To is how far a zone lies, as measured until now.
+// To returns the distance of a zone, with the round trip measured so far.
 func (p Places) To(zone string, now time.Time) Distance {
 	d := Distance{Class: p.Class(zone), costs: p.costs}
-	d.RoundTrip = assumed[d.Class]
-	if t, ok := p.trips.to(zone); ok {
+	d.RoundTrip = defaultRoundTrips[d.Class]
+	if t, ok := p.roundTrips.to(zone); ok {
 		d.RoundTrip, d.Age, d.Measured = t.median, now.Sub(t.at), true
 	}
 	return d
 }
 
-// Between is how far two zones lie from each other. A way that does not begin here is
-// taken to be as long as the last that was measured of its class.
+// Between returns the distance between two zones. If neither is the node's own, the round trip
+// last measured for the same class is used.
 func (p Places) Between(from, to string, now time.Time) Distance {
 	if from == p.zone {
 		return p.To(to, now)
@@ -71,23 +70,23 @@
 	return p.OfClass(p.class(from, to), now)
 }
 
-// OfClass is how far zones of a class lie, by the last that was measured.
+// OfClass returns the distance of zones of a class, with the round trip last measured for it.
 func (p Places) OfClass(c Class, now time.Time) Distance {
-	d := Distance{Class: c, costs: p.costs, RoundTrip: assumed[c]}
-	if t, ok := p.trips.of(c, p.Class); ok {
+	d := Distance{Class: c, costs: p.costs, RoundTrip: defaultRoundTrips[c]}
+	if t, ok := p.roundTrips.of(c, p.Class); ok {
 		d.RoundTrip, d.Age, d.Measured = t.median, now.Sub(t.at), true
 	}
 	return d
 }
 
-// Measured notes how long a round trip to a zone took.
+// Measured records the round trip time to a zone.
 func (p Places) Measured(zone string, took time.Duration, now time.Time) {
-	p.trips.add(zone, took, now)
+	p.roundTrips.add(zone, took, now)
 }
 
-// assumed are round trips of classes of which none was measured yet.
-var assumed = [classes]time.Duration{
+// defaultRoundTrips are used for classes without a measurement.
+var defaultRoundTrips = [numClasses]time.Duration{
 	SameZone:    300 * time.Microsecond,
 	SameRegion:  time.Millisecond,
-	OtherRegion: 20 * time.Millisecond, // regions of one continent
+	OtherRegion: 20 * time.Millisecond, // regions on one continent
 }
--- a/fleet/relay/distance/roundtrips.go
+++ b/fleet/relay/distance/roundtrips.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// tripsKept is how many round trips to a zone the median is taken of: connects are
-// slowed by full endpoints now and then, and rarely half of them at once.
-const tripsKept = 31
+// maxSamples is the number of round trips to a zone of which the median is taken. Full endpoints
+// slow down some connects, but rarely half of them at once.
+const maxSamples = 31
 
-// Trips are the round trips that were measured, by zone. It is safe for concurrent use;
-// reading takes no lock.
-type Trips struct {
+// RoundTrips holds the measured round trips by zone. It is safe for concurrent use; reading
+// takes no lock.
+type RoundTrips struct {
 	mu      sync.Mutex
-	samples map[string][]time.Duration // the last ones, by zone, in a ring
+	samples map[string][]time.Duration // ring buffer of the latest by zone
 	next    map[string]int
-	medians atomic.Pointer[map[string]trip]
+	medians atomic.Pointer[map[string]roundTrip]
 }
 
-type trip struct {
+type roundTrip struct {
 	median time.Duration
-	at     time.Time // when the newest was measured
+	at     time.Time // of the newest measurement
 }
 
-func newTrips() *Trips {
-	t := &Trips{samples: map[string][]time.Duration{}, next: map[string]int{}}
-	t.medians.Store(&map[string]trip{})
+func newRoundTrips() *RoundTrips {
+	t := &RoundTrips{samples: map[string][]time.Duration{}, next: map[string]int{}}
+	t.medians.Store(&map[string]roundTrip{})
 	return t
 }
 
-func (t *Trips) to(zone string) (trip, bool) {
+func (t *RoundTrips) to(zone string) (roundTrip, bool) {
 	one, ok := (*t.medians.Load())[zone]
 	return one, ok
 }
 
-// of is the newest trip to a zone of a class.
-func (t *Trips) of(c Class, class func(zone string) Class) (trip, bool) {
-	var newest trip
+// of returns the newest measurement of any zone of the class.
+func (t *RoundTrips) of(c Class, class func(zone string) Class) (roundTrip, bool) {
+	var newest roundTrip
 	for zone, one := range *t.medians.Load() {
 		if class(zone) == c && one.at.After(newest.at) {
 			newest = one
@@ -48,23 +48,23 @@
 	return newest, !newest.at.IsZero()
 }
 
-// add notes a round trip; one that is not positive was not measured.
-func (t *Trips) add(zone string, took time.Duration, now time.Time) {
+// add records a round trip. Values that are not positive were not measured and are ignored.
+func (t *RoundTrips) add(zone string, took time.Duration, now time.Time) {
 	if took <= 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	samples := t.samples[zone]
-	if len(samples) < tripsKept {
+	if len(samples) < maxSamples {
 		samples = append(samples, took)
 	} else {
 		samples[t.next[zone]] = took
 	}
-	t.next[zone] = (t.next[zone] + 1) % tripsKept
+	t.next[zone] = (t.next[zone] + 1) % maxSamples
 	t.samples[zone] = samples
 	medians := maps.Clone(*t.medians.Load())
-	medians[zone] = trip{median: median(samples), at: now}
+	medians[zone] = roundTrip{median: median(samples), at: now}
 	t.medians.Store(&medians)
 }
 
--- a/fleet/relay/engine/engine.go
+++ b/fleet/relay/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is what the relay knows of endpoints: what they say of
-// themselves in the store, and what this node has seen of them.
+// Package engine holds what the relay knows of endpoints: their entries in the store, and what
+// this node observed of them.
 package engine
 
 import (
@@ -12,47 +12,47 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// State is what an endpoint says of itself.
+// State is the state of an endpoint.
 type State int
 
 // The states.
 const (
 	Ready State = iota
 	Draining
-	Evacuated // not its own word: its zone is to get no new work
-	Leaving   // by its answers, whatever its entry says
+	Evacuated // not reported by itself: its zone is to get no new work
+	Leaving   // signaled in its answers, whatever its entry says
 )
 
-// Life is one life of an endpoint: one that starts again may keep its id, but not its
-// birth. What a node knows of an endpoint holds for one life alone.
+// Life identifies one incarnation of an endpoint. An endpoint that restarts may keep its id but
+// not its start time. State that a node keeps of an endpoint belongs to one incarnation.
 type Life struct {
 	ID   string
-	Born int64 // Unix milliseconds of its start, as it says itself; 0: it does not say
+	Born int64 // start time in Unix milliseconds, as reported by the endpoint; 0: unknown
 }
 
-// Engine is what one life of an endpoint says of itself.
+// Engine is an endpoint's entry, for one of its incarnations.
 type Engine struct {
 	ID      string
-	Born    int64 // Unix milliseconds of its start, as it says itself; 0: it does not say
+	Born    int64 // start time in Unix milliseconds, as reported by the endpoint; 0: unknown
 	Service string
 	Address string // IP:PORT
 	Zone    string
-	Version string         // of its software; "" is not told
-	Seen    store.Revision // of its entry in the store
+	Version string         // of its software; "" if not reported
+	Seen    store.Revision // revision of its entry in the store
 	Slots   int
 	State   State
-	Hash    uint64 // of the id, for placement; a directory fills it in
+	Hash    uint64 // of the id, for placement; set by the directory
 
-	ColdUntil  time.Time // it says that it is slow until then; zero: it is not
-	RebornAt   time.Time // when this node learned that it has started again under its id; zero: no earlier life was known
-	LeavesBy   time.Time // of one that is Leaving: until then it may get calls that no other endpoint may take
+	ColdUntil  time.Time // the endpoint reports that it is slow until then; zero: it is not
+	RebornAt   time.Time // when this node learned that it had restarted under its id; zero: no earlier incarnation was known
+	LeavesBy   time.Time // in state Leaving: until then it may get calls that no other endpoint may take
 	ReturnedAt time.Time // when its zone was last given back after an evacuation; zero: never
 }
 
-// Life returns which life of the endpoint this is.
+// Life returns the incarnation of the endpoint.
 func (e Engine) Life() Life { return Life{ID: e.ID, Born: e.Born} }
 
-// Ends is whether the endpoint is about to end, by its own word.
+// Ends reports whether the endpoint signals that it is about to end.
 func (e Engine) Ends() bool { return e.State == Draining || e.State == Leaving }
 
 // Directory is an immutable set of endpoints.
@@ -62,7 +62,7 @@
 	byID      map[string]Engine
 }
 
-// NewDirectory builds a directory of endpoints, in order of their ids.
+// NewDirectory builds a directory of endpoints, ordered by id.
 func NewDirectory(revision store.Revision, engines []Engine) *Directory {
 	d := &Directory{Revision: revision, byService: map[string][]Engine{}, byID: map[string]Engine{}}
 	sorted := slices.Clone(engines)
@@ -75,8 +75,8 @@
 	return d
 }
 
-// Limited returns the directory whose lists hold only some of each service's endpoints;
-// all of them are still found by id.
+// Limited returns a directory that lists only the allowed endpoints of each service. Get still
+// finds all of them.
 func (d *Directory) Limited(allowed func(service string, all []Engine) []Engine) *Directory {
 	limited := &Directory{Revision: d.Revision, byService: make(map[string][]Engine, len(d.byService)), byID: d.byID}
 	for service, all := range d.byService {
@@ -85,16 +85,16 @@
 	return limited
 }
 
-// Of lists the endpoints of a service that may get work.
+// Of returns the endpoints of a service that may get work.
 func (d *Directory) Of(service string) []Engine { return d.byService[service] }
 
-// Get finds an endpoint by id.
+// Get returns an endpoint by id.
 func (d *Directory) Get(id string) (Engine, bool) {
 	e, ok := d.byID[id]
 	return e, ok
 }
 
-// All lists every endpoint, in no order.
+// All returns every endpoint, in no particular order.
 func (d *Directory) All() []Engine {
 	all := make([]Engine, 0, len(d.byID))
 	for _, e := range d.byID {
--- a/fleet/relay/evacuation/evacuation.go
+++ b/fleet/relay/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation is which availability zones operators want emptied: their
-// endpoints get no new work until that is taken back. A zone that was given back
-// may be cold for a while, whatever its endpoints last said of themselves.
+// Package evacuation tracks the availability zones that operators evacuate: their endpoints get
+// no new work until the zone is given back. After that its endpoints may be cold for a while,
+// whatever they last reported of themselves.
 package evacuation
 
 import (
@@ -17,24 +17,25 @@
 type Zones struct {
 	revision store.Revision
 	active   map[string]bool      // by zone
-	returned map[string]time.Time // by zone: when it was last seen to be given back, by the steady clock
+	returned map[string]time.Time // by zone: when this node last learned that it was given back, on the monotonic clock
 }
 
-// Revision is the store's revision of the last change.
+// Revision returns the store's revision of the last change.
 func (z Zones) Revision() store.Revision { return z.revision }
 
-// Active is whether a zone is to get no new work.
+// Active reports whether a zone is to get no new work.
 func (z Zones) Active(zone string) bool { return z.active[zone] }
 
-// Names lists the zones that are to get no new work, in order.
+// Names returns the zones that are to get no new work, sorted.
 func (z Zones) Names() []string { return slices.Sorted(maps.Keys(z.active)) }
 
-// ReturnedAt is when a zone was last given back; zero where it never was.
+// ReturnedAt returns when a zone was last given back, and the zero time if it never was.
 func (z Zones) ReturnedAt(zone string) time.Time { return z.returned[zone] }
 
-// WithListed returns the set that a whole list names: a zone that it lacks was given back.
+// WithListed returns the set after a complete list was read. Active zones that the list lacks
+// were given back.
 func (z Zones) WithListed(zones []string, revision store.Revision, now time.Time) Zones {
-	next := z.at(revision)
+	next := z.atRevision(revision)
 	for zone := range z.active {
 		if !slices.Contains(zones, zone) {
 			next = next.WithEnded(zone, revision, now)
@@ -46,16 +47,16 @@
 	return next
 }
 
-// WithBegun returns the set with a zone that is to get no new work.
+// WithBegun returns the set with a zone added that is to get no new work.
 func (z Zones) WithBegun(zone string, revision store.Revision) Zones {
-	next := z.at(revision)
+	next := z.atRevision(revision)
 	next.active = lo.Assign(z.active, map[string]bool{zone: true})
 	return next
 }
 
 // WithEnded returns the set with a zone given back.
 func (z Zones) WithEnded(zone string, revision store.Revision, now time.Time) Zones {
-	next := z.at(revision)
+	next := z.atRevision(revision)
 	if !z.active[zone] {
 		return next
 	}
@@ -64,7 +65,7 @@
 	return next
 }
 
-func (z Zones) at(revision store.Revision) Zones {
+func (z Zones) atRevision(revision store.Revision) Zones {
 	z.revision = max(z.revision, revision)
 	return z
 }
--- a/fleet/relay/evacuation/evacuation_test.go
+++ b/fleet/relay/evacuation/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-func TestZonesFollowWhatOperatorsSay(t *testing.T) {
+func TestZonesFollowEvacuations(t *testing.T) {
 	now := time.Unix(1000, 0)
 	later := now.Add(time.Second)
 	cases := []struct {
@@ -22,9 +22,9 @@
 		{"none", evacuation.Zones{}, nil, map[string]time.Time{"a": {}}},
 		{"two at once", evacuation.Zones{}.WithListed([]string{"b", "a"}, 3, now), []string{"a", "b"}, map[string]time.Time{"a": {}, "b": {}}},
 		{"one given back", evacuation.Zones{}.WithBegun("a", 3).WithBegun("b", 4).WithEnded("a", 5, now), []string{"b"}, map[string]time.Time{"a": now, "b": {}}},
-		{"given back and asked for again", evacuation.Zones{}.WithBegun("a", 3).WithEnded("a", 4, now).WithBegun("a", 5), []string{"a"}, map[string]time.Time{"a": now}},
+		{"given back and evacuated again", evacuation.Zones{}.WithBegun("a", 3).WithEnded("a", 4, now).WithBegun("a", 5), []string{"a"}, map[string]time.Time{"a": now}},
 		{"given back twice", evacuation.Zones{}.WithBegun("a", 3).WithEnded("a", 4, now).WithBegun("a", 5).WithEnded("a", 6, later), nil, map[string]time.Time{"a": later}},
-		{"one that never was", evacuation.Zones{}.WithEnded("a", 4, now), nil, map[string]time.Time{"a": {}}},
+		{"one that was never evacuated", evacuation.Zones{}.WithEnded("a", 4, now), nil, map[string]time.Time{"a": {}}},
 		{"a list without it", evacuation.Zones{}.WithBegun("a", 3).WithListed([]string{"b"}, 9, now), []string{"b"}, map[string]time.Time{"a": now, "b": {}}},
 		{"the same list again", evacuation.Zones{}.WithListed([]string{"a"}, 3, now).WithListed([]string{"a"}, 9, later), []string{"a"}, map[string]time.Time{"a": {}}},
 	}
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -7,17 +7,18 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// leaving is what is known of one life's leaving. The zero value is nothing.
+// leaving is the state of a notice that an endpoint leaves. The zero value means there was none.
 type leaving struct {
-	since    time.Time // this node knows of it
-	observed time.Time // the latest answer, of any node, that said so
-	own      bool      // an answer to this node did
-	by       string    // the node that told this one
+	since    time.Time // when this node learned of it
+	observed time.Time // latest answer to any node with the notice
+	own      bool      // an answer to this node had it
+	by       string    // the node that reported it
 	due      telling.Due
 }
 
-// told takes in that an answer to this node said so; true where it did not hold before.
-func (l *leaving) told(now time.Time) (began bool) {
+// answered records the notice of an answer to this node. It returns true if it did not hold
+// before.
+func (l *leaving) answered(now time.Time) (began bool) {
 	began = !l.holds(now)
 	if began {
 		l.since = now
@@ -27,8 +28,8 @@
 	return began
 }
 
-// heard takes in another node's word; true where it did not hold before.
-func (l *leaving) heard(from string, observed, now time.Time) (began bool) {
+// received records another node's report. It returns true if the notice did not hold before.
+func (l *leaving) received(from string, observed, now time.Time) (began bool) {
 	if !observed.After(l.observed) {
 		return false
 	}
@@ -41,9 +42,9 @@
 	return began
 }
 
-// holds is whether the endpoint is taken to leave. An answer to this node binds it for good: no
-// later one takes it back, and the store's word may be the older one. Another node's
-// word is believed for a while: it may have been misled.
+// holds reports whether the endpoint is considered to be leaving. An answer to this node is
+// final: no later answer revokes it, and the store may be older. Another node's report, which
+// may be wrong, counts only for a while.
 func (l *leaving) holds(now time.Time) bool {
 	return l.own || !l.observed.IsZero() && now.Sub(l.observed) < Believed
 }
@@ -56,7 +57,7 @@
 	return one
 }
 
-// Leaves is whether an endpoint is about to end, and until when it may get calls that no
+// Leaves reports whether an endpoint is about to end, and until when it may get calls that no
 // other endpoint may take.
 func (b *Book) Leaves(life engine.Life, now time.Time) (until time.Time, leaves bool) {
 	b.mu.Lock()
--- a/fleet/relay/notice/leaving_test.go
+++ b/fleet/relay/notice/leaving_test.go
@@ -20,7 +20,7 @@
 	rule  = notice.Rule{Serves: time.Second}
 )
 
-// at is a moment of a test, in milliseconds.
+// at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func newBook(changes *[]notice.Change) *notice.Book {
@@ -38,14 +38,14 @@
 	return yes
 }
 
-// word is another node's on the first endpoint's leaving.
-func word(ageMs int64) notice.Word {
+// leavingReport is another node's report that the first endpoint leaves.
+func leavingReport(ageMs int64) notice.Word {
 	return notice.Word{Endpoint: first.ID, Born: first.Born, LeavingMs: lo.ToPtr(ageMs)}
 }
 
-// What an endpoint told this node holds for its life, whatever becomes of its entry; what another node
-// tells holds for a while.
-func TestForHowLongAnEndpointLeaves(t *testing.T) {
+// A leaving notice that this node received holds for the endpoint's incarnation, whatever
+// happens to its entry. Another node's report holds for a while.
+func TestHowLongALeavingNoticeHolds(t *testing.T) {
 	none := func(*notice.Book) {}
 	cases := []struct {
 		name   string
@@ -54,36 +54,36 @@
 		now    time.Time
 		leaves bool
 	}{
-		{"nobody said so", none, other, at(1), false},
-		{"it said so", func(b *notice.Book) { b.Saw(first, call.Leaving{}, at(0)) }, first, at(0), true},
+		{"no notice", none, other, at(1), false},
+		{"an answer to this node", func(b *notice.Book) { b.Saw(first, call.Leaving{}, at(0)) }, first, at(0), true},
 		{"an hour later", func(b *notice.Book) { b.Saw(first, call.Leaving{}, at(0)) }, first, at(3_600_000), true},
-		{"another life under its id", func(b *notice.Book) { b.Saw(first, call.Leaving{}, at(0)) }, later, at(1), false},
+		{"another incarnation under its id", func(b *notice.Book) { b.Saw(first, call.Leaving{}, at(0)) }, later, at(1), false},
 		{"its entry lapses, and is back", func(b *notice.Book) {
 			b.Saw(first, call.Leaving{}, at(0))
 			b.Engines([]engine.Engine{other}, at(1000))
 			b.Engines([]engine.Engine{first, other}, at(120_000))
 		}, first, at(130_000), true},
-		{"it said so after its entry went", func(b *notice.Book) {
+		{"an answer after its entry was removed", func(b *notice.Book) {
 			b.Engines([]engine.Engine{other}, at(0))
 			b.Saw(first, call.Leaving{}, at(10))
 			b.Engines([]engine.Engine{first, other}, at(1000))
 		}, first, at(2000), true},
-		{"another node says so", func(b *notice.Book) { b.Heard("n", []notice.Word{word(100)}, at(100)) }, first, at(100), true},
-		{"and not any more", func(b *notice.Book) { b.Heard("n", []notice.Word{word(100)}, at(100)) }, first, at(40_000), false},
-		{"and again, by a later answer", func(b *notice.Book) {
-			b.Heard("n", []notice.Word{word(100)}, at(100))
-			b.Heard("n", []notice.Word{word(500)}, at(20_000))
+		{"another node's report", func(b *notice.Book) { b.Heard("n", []notice.Word{leavingReport(100)}, at(100)) }, first, at(100), true},
+		{"another node's report, expired", func(b *notice.Book) { b.Heard("n", []notice.Word{leavingReport(100)}, at(100)) }, first, at(40_000), false},
+		{"another node's report, renewed by a later answer", func(b *notice.Book) {
+			b.Heard("n", []notice.Word{leavingReport(100)}, at(100))
+			b.Heard("n", []notice.Word{leavingReport(500)}, at(20_000))
 		}, first, at(40_000), true},
-		{"of another life", func(b *notice.Book) {
+		{"a report on another incarnation", func(b *notice.Book) {
 			b.Heard("n", []notice.Word{{Endpoint: first.ID, Born: 7, LeavingMs: lo.ToPtr[int64](1)}}, at(100))
 		}, first, at(100), false},
-		{"of an endpoint without an entry", func(b *notice.Book) {
+		{"a report on an endpoint without an entry", func(b *notice.Book) {
 			b.Engines([]engine.Engine{other}, at(0))
-			b.Heard("n", []notice.Word{word(1)}, at(100))
+			b.Heard("n", []notice.Word{leavingReport(1)}, at(100))
 		}, first, at(100), false},
-		{"a word that can't be true", func(b *notice.Book) { b.Heard("n", []notice.Word{word(-5)}, at(100)) }, first, at(100), false},
-		{"a word that is too old", func(b *notice.Book) { b.Heard("n", []notice.Word{word(3_600_000)}, at(100)) }, first, at(100), false},
-		{"a word of something else", func(b *notice.Book) { b.Heard("n", []notice.Word{{Endpoint: first.ID, Born: first.Born}}, at(100)) }, first, at(100), false},
+		{"an invalid report", func(b *notice.Book) { b.Heard("n", []notice.Word{leavingReport(-5)}, at(100)) }, first, at(100), false},
+		{"a report that is too old", func(b *notice.Book) { b.Heard("n", []notice.Word{leavingReport(3_600_000)}, at(100)) }, first, at(100), false},
+		{"a report without a notice", func(b *notice.Book) { b.Heard("n", []notice.Word{{Endpoint: first.ID, Born: first.Born}}, at(100)) }, first, at(100), false},
 	}
 	for _, c := range cases {
 		b := newBook(nil)
@@ -92,9 +92,9 @@
 	}
 }
 
-// What a node learned is told at once, once; again with the digests; and by those alone that were told by
-// the endpoint, or tell on what they hear.
-func TestWhatIsToldOfALeaving(t *testing.T) {
+// A new notice is sent once at once, and again with the digests. Only nodes that received it
+// from the endpoint, or that forward, send it.
+func TestSentLeavingReports(t *testing.T) {
 	var changes []notice.Change
 	b := newBook(&changes)
 	assert.Empty(t, b.News(true, at(0)))
@@ -102,15 +102,15 @@
 	b.Saw(first, call.Leaving{}, at(10))
 	assert.Len(t, changes, 1, "it began once")
 	<-b.Urgent()
-	assert.Equal(t, []notice.Word{word(10)}, b.News(false, at(20)))
+	assert.Equal(t, []notice.Word{leavingReport(10)}, b.News(false, at(20)))
 	assert.Empty(t, b.News(false, at(30)))
-	assert.Equal(t, []notice.Word{word(190)}, b.Words(false, at(200)))
+	assert.Equal(t, []notice.Word{leavingReport(190)}, b.Words(false, at(200)))
 	assert.Empty(t, b.Words(false, at(5_000)))
-	assert.Equal(t, []notice.Word{word(10_990)}, b.Words(false, at(11_000)), "for those that heard nothing")
+	assert.Equal(t, []notice.Word{leavingReport(10_990)}, b.Words(false, at(11_000)), "for nodes that received nothing")
 
-	heard := newBook(nil)
-	heard.Heard("n", []notice.Word{word(10)}, at(20))
-	assert.Empty(t, heard.Words(false, at(20)))
-	assert.Equal(t, []notice.Word{word(10)}, heard.News(true, at(20)))
-	assert.Equal(t, "n", heard.List(at(20))[0].From)
+	receiver := newBook(nil)
+	receiver.Heard("n", []notice.Word{leavingReport(10)}, at(20))
+	assert.Empty(t, receiver.Words(false, at(20)))
+	assert.Equal(t, []notice.Word{leavingReport(10)}, receiver.News(true, at(20)))
+	assert.Equal(t, "n", receiver.List(at(20))[0].From)
 }
--- a/fleet/relay/notice/notice.go
+++ b/fleet/relay/notice/notice.go
@@ -1,28 +1,29 @@
-// Package notice is what endpoints say in answers about the calls that they want, and what a node
-// does by it.
+// Package notice tracks the notices that endpoints put into their answers, about the calls that
+// they want.
 //
-// An endpoint that leaves ends soon, whatever the store says of it: the entry may be late, or the
-// store away. It holds for the rest of its life, and for all nodes: whoever is told tells
-// the others at once. New calls go there only where no other endpoint may take them, and only for a
-// part of the time in which it still serves them.
+// An endpoint that is leaving ends soon, whatever its entry in the store says: the entry may be
+// late or the store unavailable. The notice holds for the rest of its incarnation and for all
+// nodes, and a node that receives it announces it to the others at once. New calls go there only
+// if no other endpoint may take them, and only for a part of the time in which the endpoint
+// still serves them.
 //
-// An endpoint that turns a call away may ask the node for rest. That node sends nothing until the end,
-// and comes back by one call. Others are told, and send there what no other endpoint may
-// take.
+// An endpoint that turns a call away may ask the node for rest. That node sends nothing until
+// the rest ends, and returns with a single call. Other nodes are informed, and use the endpoint
+// only if no other one may take a call.
 package notice
 
 import "time"
 
-// Rule says for how long an endpoint that leaves may get calls.
+// Rule defines how long an endpoint that leaves may get calls.
 type Rule struct {
-	Serves time.Duration // after a node was told, where no other endpoint may take a call
+	Serves time.Duration // after the node received the notice, if no other endpoint may take a call
 }
 
 const (
-	// Believed is for how long a node acts on another one's word: it may have been misled. What it was
-	// told itself holds for as long as the endpoint said, or lives.
+	// Believed is how long a node acts on another node's report, which may be wrong. A notice that
+	// it received itself holds as long as the endpoint asked for, or for its incarnation.
 	Believed = 30 * time.Second
-	// kept is how long after its entry went what an endpoint said is remembered: entries lapse while
-	// the store is away, and come back.
-	kept = 10 * time.Minute
+	// entryRetention is how long a notice is kept after the endpoint's entry is gone: entries lapse
+	// while the store is unavailable, and come back.
+	entryRetention = 10 * time.Minute
 )
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -10,89 +10,90 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Use is how far a node uses an endpoint, by the rests that were asked for.
+// Use is how far a node uses an endpoint that asked for rest.
 type Use int
 
 // The uses.
 const (
-	Free   Use = iota // as any other
-	Probe             // for one call that may be sent elsewhere if it is turned away
-	Spare             // for calls that no other endpoint may take
-	Closed            // not at all
+	Free       Use = iota // like any other endpoint
+	Probe                 // for one call that may be sent elsewhere if it is turned away
+	LastResort            // for calls that no other endpoint may take
+	Closed                // not at all
 )
 
 const (
-	// mostSpread is the time after a rest over which nodes come back one after the other: they were
-	// asked at about the same moment, by an endpoint that was just too full.
-	mostSpread = 2 * time.Second
-	// answerWait is how long the first call after a rest is waited for before the next one is sent.
-	answerWait = time.Second
-	// probeWait is how long after its turn a node leaves the first call to those that lose nothing
-	// if the endpoint still turns them away.
-	probeWait = time.Second
-	// restKept is how long after its end a rest is remembered that no call showed to be over.
-	restKept = 10 * time.Second
+	// maxSpread is the maximum time after a rest over which nodes return one after the other. They
+	// were asked at about the same time, by an endpoint that had just become too full.
+	maxSpread = 2 * time.Second
+	// answerTimeout is how long to wait for the answer to the first call after a rest before sending
+	// the next one.
+	answerTimeout = time.Second
+	// probePeriod is how long after its slot a node leaves the first call to those that can go
+	// elsewhere if the endpoint still turns them away.
+	probePeriod = time.Second
+	// restRetention is how long after its end a rest is kept that no call showed to be over.
+	restRetention = 10 * time.Second
 )
 
-// rest is what is known of the rests of one life. The zero value is none.
+// rest is the state of the rests of one incarnation. The zero value means there was none.
 type rest struct {
-	since, until time.Time // that this node was asked for
-	heard        time.Time // until when another node was
+	since, until time.Time // requested from this node
+	peerUntil    time.Time // end of the rest requested from another node
 	by           string    // that node
-	tried        time.Time // when the first call after it was sent
+	probed       time.Time // when the first call after the rest was sent
 	due          telling.Due
 }
 
-// asked takes in that this node is to send nothing for a while; true where it was not asked before.
-// The latest end holds: answers overtake each other.
-func (r *rest) asked(length time.Duration, now time.Time) (began bool) {
+// requested records that this node is to send nothing for a while. It returns true if no rest
+// was in effect. The latest end holds, since answers can overtake each other.
+func (r *rest) requested(length time.Duration, now time.Time) (began bool) {
 	began = !now.Before(r.until)
 	if began {
 		r.since = now
 	}
-	if began && !now.Before(r.heard) {
-		r.due.News(now) // else others know of one
+	if began && !now.Before(r.peerUntil) {
+		r.due.News(now) // otherwise the others know of one
 	}
 	if until := now.Add(length); until.After(r.until) {
 		r.until = until
 	}
-	r.tried = time.Time{}
+	r.probed = time.Time{}
 	return began
 }
 
-// told takes in that another node was asked; true where nothing was known.
-func (r *rest) told(from string, until, now time.Time) (began bool) {
-	if !until.After(r.heard) {
+// received records that another node was asked for rest. It returns true if none was known.
+func (r *rest) received(from string, until, now time.Time) (began bool) {
+	if !until.After(r.peerUntil) {
 		return false
 	}
 	began = !now.Before(r.end())
 	if began {
-		r.since, r.tried = now, time.Time{}
+		r.since, r.probed = now, time.Time{}
 		r.due.News(now)
 	}
-	r.heard, r.by = until, from
+	r.peerUntil, r.by = until, from
 	return began
 }
 
-// end is when the latest rest ends that is known of.
+// end returns the end of the latest known rest.
 func (r *rest) end() time.Time {
-	if r.heard.After(r.until) {
-		return r.heard
+	if r.peerUntil.After(r.until) {
+		return r.peerUntil
 	}
 	return r.until
 }
 
-// use is how far an endpoint is used; the node comes back after a part of the time that nodes
-// have to. Another node's rest is no word on this one's calls: the endpoint may want them,
-// but the next one is more likely to be turned away there than elsewhere.
-func (r *rest) use(part float64, now time.Time) Use {
+// use returns how far an endpoint is used. The node returns after its position in the spread. A
+// rest requested from another node does not forbid this node's calls, which the endpoint may
+// want, but the next one is more likely to be turned away there than elsewhere.
+func (r *rest) use(position float64, now time.Time) Use {
 	end := r.end()
-	switch turn := time.Duration(part * float64(min(end.Sub(r.since), mostSpread))); {
+	switch slot := time.Duration(position * float64(min(end.Sub(r.since), maxSpread))); {
 	case now.Before(r.until):
 		return Closed
-	case now.Before(end.Add(turn)), !r.tried.IsZero() && now.Sub(r.tried) < answerWait:
-		return Spare
-	case now.Before(end.Add(turn + probeWait)):
+	case now.Before(end.Add(slot)), !r.probed.IsZero() && now.Sub(r.probed) < answerTimeout:
+		return LastResort
+	case now.Before(end.Add(slot + probePeriod)):
 		return Probe
 	}
 	return Free
@@ -106,13 +107,14 @@
 	return one
 }
 
-// partOf is this node's place among those that come back to a life of an endpoint, from 0 to 1.
-func (b *Book) partOf(life engine.Life) float64 {
-	const shift = 11 // leaves as many bits of a hash as a fraction has
+// spreadPosition returns this node's position among those that return to an endpoint, from 0 to
+// 1.
+func (b *Book) spreadPosition(life engine.Life) float64 {
+	const shift = 11 // leaves as many bits of a hash as a float64 has in its fraction
 	return float64(ident.Mix(b.self^xxhash.Sum64String(life.ID))>>shift) / (1 << (64 - shift))
 }
 
-// Use is how far this node uses an endpoint now.
+// Use returns how far this node uses an endpoint now.
 func (b *Book) Use(life engine.Life, now time.Time) Use {
 	if b.count.Load() == 0 {
 		return Free
@@ -123,10 +125,11 @@
 	if !ok || k.rest.end().IsZero() {
 		return Free
 	}
-	return k.rest.use(b.partOf(life), now)
+	return k.rest.use(b.spreadPosition(life), now)
 }
 
-// Resting is whether an endpoint wants nothing from this node now, and for how long in all.
+// Resting reports whether an endpoint wants nothing from this node now, until when, and the
+// length of the whole rest.
 func (b *Book) Resting(life engine.Life, now time.Time) (until time.Time, length time.Duration, resting bool) {
 	if b.count.Load() == 0 {
 		return time.Time{}, 0, false
@@ -140,7 +143,7 @@
 	return k.rest.until, k.rest.until.Sub(k.rest.since), true
 }
 
-// Placed notes a call to an endpoint: after a rest the first one goes alone.
+// Placed records a call to an endpoint. After a rest the first call is sent alone.
 func (b *Book) Placed(life engine.Life, now time.Time) {
 	if b.count.Load() == 0 {
 		return
@@ -148,11 +151,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if k, ok := b.known[life]; ok && !now.Before(k.rest.end()) {
-		k.rest.tried = now
+		k.rest.probed = now
 	}
 }
 
-// Took notes that an endpoint took a call that was sent then. After a rest it is used as before.
+// Took records that an endpoint accepted a call that was sent at the given time. If that was
+// after a rest, the endpoint is used as before.
 func (b *Book) Took(life engine.Life, sent time.Time) {
 	if b.count.Load() == 0 {
 		return
@@ -162,7 +166,7 @@
 	over := ok && !k.rest.end().IsZero() && !sent.Before(k.rest.end())
 	if over {
 		k.rest = rest{}
-		b.forget(life, k)
+		b.dropEmpty(life, k)
 	}
 	b.mu.Unlock()
 	if over {
--- a/fleet/relay/notice/rest_test.go
+++ b/fleet/relay/notice/rest_test.go
@@ -11,21 +11,21 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// asked has the first endpoint ask this node for rest.
-func asked(b *notice.Book, length time.Duration, ms int) {
+// askForRest lets the first endpoint ask this node for rest.
+func askForRest(b *notice.Book, length time.Duration, ms int) {
 	b.Saw(first, call.Rest{For: length}, at(ms))
 }
 
-// restWord is another node's on a rest that it was asked for.
-func restWord(ms int64) notice.Word {
+// restReport is another node's report of a rest that it was asked for.
+func restReport(ms int64) notice.Word {
 	return notice.Word{Endpoint: first.ID, Born: first.Born, RestMs: ms}
 }
 
-// A node that was asked for rest sends nothing until the latest end, and then a call at a time until one
-// is taken; one that heard of it uses the endpoint last.
-func TestHowFarARestingEndpointIsUsed(t *testing.T) {
+// A node that was asked for rest sends nothing until the latest end, and then one call at a time
+// until one is accepted. A node that received a report of the rest uses the endpoint last.
+func TestUseOfARestingEndpoint(t *testing.T) {
 	none := func(*notice.Book) {}
-	three := func(b *notice.Book) { asked(b, 3*time.Second, 0) }
+	three := func(b *notice.Book) { askForRest(b, 3*time.Second, 0) }
 	cases := []struct {
 		name string
 		then func(b *notice.Book)
@@ -37,34 +37,34 @@
 		{"asked", three, first, at(0), notice.Closed},
 		{"just before the end", three, first, at(2_999), notice.Closed},
 		{"another endpoint", three, other, at(10), notice.Free},
-		{"another life under its id", three, later, at(10), notice.Free},
-		{"at the end: the others' turns", three, first, at(3_000), notice.Spare},
-		{"after all turns: a probe", three, first, at(5_000), notice.Probe},
-		{"no probe came", three, first, at(6_500), notice.Free},
-		{"the first call is on its way", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_000)) }, first, at(5_500), notice.Spare},
-		{"it is not answered", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_500)) }, first, at(6_600), notice.Free},
-		{"it was taken", func(b *notice.Book) { three(b); b.Took(first.Life(), at(5_000)) }, first, at(5_100), notice.Free},
-		{"a call of before the rest was taken", func(b *notice.Book) { three(b); b.Took(first.Life(), at(-10)) }, first, at(20), notice.Closed},
-		{"asked again, for less", func(b *notice.Book) { three(b); asked(b, time.Second, 10) }, first, at(2_000), notice.Closed},
-		{"asked again, for longer", func(b *notice.Book) { three(b); asked(b, 5*time.Second, 10) }, first, at(5_000), notice.Closed},
-		{"asked again by the first call after it", func(b *notice.Book) { three(b); asked(b, 3*time.Second, 5_000) }, first, at(7_900), notice.Closed},
+		{"another incarnation under its id", three, later, at(10), notice.Free},
+		{"at the end: the slots of other nodes", three, first, at(3_000), notice.LastResort},
+		{"after all slots: a probe", three, first, at(5_000), notice.Probe},
+		{"without a probe", three, first, at(6_500), notice.Free},
+		{"the first call is pending", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_000)) }, first, at(5_500), notice.LastResort},
+		{"the first call was not answered in time", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_500)) }, first, at(6_600), notice.Free},
+		{"the first call was accepted", func(b *notice.Book) { three(b); b.Took(first.Life(), at(5_000)) }, first, at(5_100), notice.Free},
+		{"a call sent before the rest was accepted", func(b *notice.Book) { three(b); b.Took(first.Life(), at(-10)) }, first, at(20), notice.Closed},
+		{"asked again, for less", func(b *notice.Book) { three(b); askForRest(b, time.Second, 10) }, first, at(2_000), notice.Closed},
+		{"asked again, for longer", func(b *notice.Book) { three(b); askForRest(b, 5*time.Second, 10) }, first, at(5_000), notice.Closed},
+		{"asked again by the first call after it", func(b *notice.Book) { three(b); askForRest(b, 3*time.Second, 5_000) }, first, at(7_900), notice.Closed},
 		{"its entry lapses, and is back", func(b *notice.Book) {
 			three(b)
 			b.Engines([]engine.Engine{other}, at(100))
 			b.Engines([]engine.Engine{first, other}, at(1_000))
 		}, first, at(1_100), notice.Closed},
-		{"another node was asked", func(b *notice.Book) { b.Heard("n", []notice.Word{restWord(3_000)}, at(0)) }, first, at(100), notice.Spare},
-		{"and its rest is over", func(b *notice.Book) { b.Heard("n", []notice.Word{restWord(3_000)}, at(0)) }, first, at(6_500), notice.Free},
-		{"for a day, as it says: not believed for longer than half a minute", func(b *notice.Book) { b.Heard("n", []notice.Word{restWord(86_400_000)}, at(0)) }, first, at(33_500), notice.Free},
-		{"both were, the other one for longer", func(b *notice.Book) {
-			asked(b, time.Second, 0)
-			b.Heard("n", []notice.Word{restWord(3_000)}, at(0))
-		}, first, at(2_000), notice.Spare},
-		{"of another life", func(b *notice.Book) {
+		{"another node was asked", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(3_000)}, at(0)) }, first, at(100), notice.LastResort},
+		{"another node was asked, and its rest is over", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(3_000)}, at(0)) }, first, at(6_500), notice.Free},
+		{"another node was asked for a day: counts for half a minute", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(86_400_000)}, at(0)) }, first, at(33_500), notice.Free},
+		{"both were asked, the other node for longer", func(b *notice.Book) {
+			askForRest(b, time.Second, 0)
+			b.Heard("n", []notice.Word{restReport(3_000)}, at(0))
+		}, first, at(2_000), notice.LastResort},
+		{"a report on another incarnation", func(b *notice.Book) {
 			b.Heard("n", []notice.Word{{Endpoint: first.ID, Born: 9, RestMs: 3_000}}, at(0))
 		}, first, at(100), notice.Free},
-		{"a word that can't be true", func(b *notice.Book) { b.Heard("n", []notice.Word{restWord(-1)}, at(0)) }, first, at(100), notice.Free},
-		{"a word of longer than is believed", func(b *notice.Book) { b.Heard("n", []notice.Word{restWord(1e12)}, at(0)) }, first, at(100), notice.Free},
+		{"an invalid report", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(-1)}, at(0)) }, first, at(100), notice.Free},
+		{"a report beyond the maximum rest", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(1e12)}, at(0)) }, first, at(100), notice.Free},
 	}
 	for _, c := range cases {
 		b := newBook(nil)
@@ -73,44 +73,44 @@
 	}
 }
 
-// A rest is told when it begins, unless others know of one; it is known to be over when a call was taken.
-func TestWhatIsToldOfARest(t *testing.T) {
+// A rest is sent when it begins, unless the others know of one. It is over once a call was accepted.
+func TestSentRestReports(t *testing.T) {
 	var changes []notice.Change
 	b := newBook(&changes)
-	asked(b, 3*time.Second, 0)
-	asked(b, 3*time.Second, 10)
+	askForRest(b, 3*time.Second, 0)
+	askForRest(b, 3*time.Second, 10)
 	assert.Len(t, changes, 1, "it began once")
-	assert.Equal(t, []notice.Word{restWord(2_990)}, b.News(false, at(20)))
+	assert.Equal(t, []notice.Word{restReport(2_990)}, b.News(false, at(20)))
 	assert.Empty(t, b.News(false, at(30)))
-	assert.Equal(t, []notice.Word{restWord(2_810)}, b.Words(false, at(200)))
+	assert.Equal(t, []notice.Word{restReport(2_810)}, b.Words(false, at(200)))
 	assert.Empty(t, b.Words(false, at(2_000)))
 	b.Took(first.Life(), at(3_500))
 	assert.Equal(t, notice.Ended{Engine: first}, changes[1])
 	assert.Empty(t, b.List(at(3_600)))
 
-	heard := newBook(nil)
-	heard.Heard("n", []notice.Word{restWord(3_000)}, at(0))
-	assert.Equal(t, []notice.Word{restWord(3_000)}, heard.News(true, at(0)), "a delegate tells on")
-	asked(heard, time.Second, 100)
-	assert.Empty(t, heard.News(false, at(100)), "all know of the longer one")
-	until, length, resting := heard.Resting(first.Life(), at(200))
+	receiver := newBook(nil)
+	receiver.Heard("n", []notice.Word{restReport(3_000)}, at(0))
+	assert.Equal(t, []notice.Word{restReport(3_000)}, receiver.News(true, at(0)), "a delegate forwards")
+	askForRest(receiver, time.Second, 100)
+	assert.Empty(t, receiver.News(false, at(100)), "the others know of the longer one")
+	until, length, resting := receiver.Resting(first.Life(), at(200))
 	assert.True(t, resting)
 	assert.Equal(t, at(1_100), until)
 	assert.Equal(t, time.Second, length)
 }
 
-// Nodes that were asked at the same moment come back one after the other.
-func TestNodesComeBackByTurns(t *testing.T) {
+// Nodes that were asked at the same time return one after the other.
+func TestNodesReturnOneAfterTheOther(t *testing.T) {
 	const nodes = 60
-	back := map[int]int{} // by tenth of a second after the end
+	waiting := map[int]int{} // by tenth of a second after the end
 	for i := range nodes {
 		b := notice.NewBook(string(rune('a'+i)), rule, func(notice.Change) {})
 		b.Engines([]engine.Engine{first}, start)
 		b.Saw(first, call.Rest{For: 3 * time.Second}, at(0))
 		for ms := 3_000; b.Use(first.Life(), at(ms)) > notice.Probe; ms += 100 {
-			back[(ms-3_000)/100]++
+			waiting[(ms-3_000)/100]++
 		}
 	}
-	assert.GreaterOrEqual(t, back[0], nodes*8/10, "few come back at once")
-	assert.LessOrEqual(t, back[19], nodes/10, "nearly all are back after two seconds")
+	assert.GreaterOrEqual(t, waiting[0], nodes*8/10, "few return at once")
+	assert.LessOrEqual(t, waiting[19], nodes/10, "nearly all have returned after two seconds")
 }
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -15,27 +15,27 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Book is what a node knows of endpoints by what they say. It is safe for concurrent use.
+// Book tracks the notices that a node knows. It is safe for concurrent use.
 type Book struct {
 	rule    Rule
 	self    uint64 // hash of this node's name
 	changed func(Change)
 	urgent  telling.Urgent
-	count   atomic.Int64 // of the lives that are known, so that nothing is asked where none is
+	count   atomic.Int64 // of known incarnations; 0 skips the lock
 
 	mu     sync.Mutex
 	listed map[engine.Life]engine.Engine
 	known  map[engine.Life]*known
 }
 
-// Change is what changes by what endpoints say: sealed.
+// Change is a change due to a notice: Began or Ended.
 type Change interface{ change() }
 
-// Began is a notice that began to hold at this node.
+// Began is a notice that took effect at this node.
 type Began struct {
 	Engine engine.Engine
 	Notice call.Notice
-	From   string // the node by whose word; "" by an answer to this node
+	From   string // the node that reported it; "" if it was an answer to this node
 	Age    time.Duration
 }
 
@@ -45,20 +45,20 @@
 func (Began) change() {}
 func (Ended) change() {}
 
-// known is what is known of one life of an endpoint.
+// known is the state of one incarnation of an endpoint.
 type known struct {
 	engine  engine.Engine
-	gone    time.Time // when its entry went; zero: it is listed
+	gone    time.Time // when its entry was removed; zero: it is listed
 	leaving leaving
 	rest    rest
 }
 
-// NewBook returns a node's book that knows of nothing; changed is told of each change.
+// NewBook returns an empty tracker of a node. It calls changed on each change.
 func NewBook(self string, r Rule, changed func(Change)) *Book {
 	return &Book{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Life]engine.Engine{}, known: map[engine.Life]*known{}}
 }
 
-// Engines sets which endpoints there are. What is known of others is dropped after a while.
+// Engines sets the listed endpoints. The state of others is dropped after entryRetention.
 func (b *Book) Engines(all []engine.Engine, now time.Time) {
 	listed := lo.KeyBy(all, engine.Engine.Life)
 	b.mu.Lock()
@@ -71,23 +71,23 @@
 			k.gone = time.Time{}
 		case k.gone.IsZero():
 			k.gone = now
-		case now.Sub(k.gone) > kept:
+		case now.Sub(k.gone) > entryRetention:
 			delete(b.known, life)
 		}
 	}
 	b.count.Store(int64(len(b.known)))
 }
 
-// Saw takes in what an endpoint said in an answer to this node.
+// Saw records a notice in an answer to this node.
 func (b *Book) Saw(e engine.Engine, n call.Notice, now time.Time) {
 	b.mu.Lock()
-	k := b.of(e, now)
+	k := b.get(e, now)
 	var began bool
 	switch n := n.(type) {
 	case call.Leaving:
-		began = k.leaving.told(now)
+		began = k.leaving.answered(now)
 	case call.Rest:
-		began = k.rest.asked(n.For, now)
+		began = k.rest.requested(n.For, now)
 	}
 	b.mu.Unlock()
 	if began {
@@ -96,8 +96,8 @@
 	}
 }
 
-// of is what is known of an endpoint, nothing as yet where it is new.
-func (b *Book) of(e engine.Engine, now time.Time) *known {
+// get returns the state of an endpoint, creating it if necessary.
+func (b *Book) get(e engine.Engine, now time.Time) *known {
 	life := e.Life()
 	k, ok := b.known[life]
 	if !ok {
@@ -111,15 +111,15 @@
 	return k
 }
 
-// forget drops a life of which nothing is known any more.
-func (b *Book) forget(life engine.Life, k *known) {
+// dropEmpty drops an incarnation without any notice.
+func (b *Book) dropEmpty(life engine.Life, k *known) {
 	if k.leaving.observed.IsZero() && k.rest.end().IsZero() {
 		delete(b.known, life)
 		b.count.Store(int64(len(b.known)))
 	}
 }
 
-// find is what is known of a life; false where nothing is.
+// find returns the state of an incarnation, and false if there is none.
 func (b *Book) find(life engine.Life) (*known, bool) {
 	if b.count.Load() == 0 {
 		return nil, false
@@ -128,18 +128,18 @@
 	return k, ok
 }
 
-// Listed is what an endpoint says, as an operator sees it.
+// Listed is a notice as shown to operators.
 type Listed struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Zone     string `json:"zone"`
 	Says     string `json:"says"`
-	SinceMs  int64  `json:"sinceMs"` // that this node knows of it
-	LeftMs   int64  `json:"leftMs"`  // for which it still holds; 0: for the endpoint's life
-	From     string `json:"from"`    // the node that was told; "" is this one
+	SinceMs  int64  `json:"sinceMs"` // since this node knows of it
+	LeftMs   int64  `json:"leftMs"`  // how long it still holds; 0: for the endpoint's incarnation
+	From     string `json:"from"`    // the node that reported it; "" is this one
 }
 
-// List lists what endpoints say that have an entry, in the order of their ids.
+// List returns the notices of listed endpoints, ordered by id.
 func (b *Book) List(now time.Time) []Listed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
