--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -39,23 +39,23 @@
 	if p.limits == nil {
 		return nil
 	}
-	var of []engine.Engine
+	var stale []engine.Engine
 	for _, life := range p.limits.Unconfirmed(r.Now) {
 		if e, ok := find(r.Engines, life.ID); ok && e.Life() == life {
-			of = append(of, e)
+			stale = append(stale, e)
 		}
 	}
-	return of
+	return stale
 }
 
 // Limits returns how many calls per second the ready endpoints accept from all nodes together.
 // It returns false if one of them names no limit.
-func (p *Picker) Limits(among []engine.Engine) (perSecond float64, all bool) {
+func (p *Picker) Limits(engines []engine.Engine) (perSecond float64, all bool) {
 	if p.limits == nil {
 		return 0, false
 	}
 	ready := 0
-	for _, e := range among {
+	for _, e := range engines {
 		if e.State != engine.Ready {
 			continue
 		}
--- a/fleet/relay/choice/cache.go
+++ b/fleet/relay/choice/cache.go
@@ -10,18 +10,18 @@
 type holders map[string]map[string]bool
 
 func (h holders) add(part, endpoint string) {
-	of, ok := h[part]
+	endpoints, ok := h[part]
 	if !ok {
-		of = map[string]bool{}
-		h[part] = of
+		endpoints = map[string]bool{}
+		h[part] = endpoints
 	}
-	of[endpoint] = true
+	endpoints[endpoint] = true
 }
 
 func (h holders) remove(part, endpoint string) {
-	of := h[part]
-	delete(of, endpoint)
-	if len(of) == 0 {
+	endpoints := h[part]
+	delete(endpoints, endpoint)
+	if len(endpoints) == 0 {
 		delete(h, part)
 	}
 }
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -172,11 +172,11 @@
 	if best, found := p.best(r, p.endpointsWithStaleLimit(r), affinity, key, healthyOnly); found {
 		return best, true
 	}
-	some := candidates(r, affinity, key)
-	if best, found := p.best(r, some, affinity, key, healthyOnly); found {
+	sample := candidates(r, affinity, key)
+	if best, found := p.best(r, sample, affinity, key, healthyOnly); found {
 		return best, true
 	}
-	if len(some) < len(r.Engines) {
+	if len(sample) < len(r.Engines) {
 		if best, found := p.best(r, r.Engines, affinity, key, healthyOnly); found {
 			return best, true
 		}
@@ -189,12 +189,12 @@
 
 // best returns the endpoint of lowest cost. Equal costs are ranked by a hash of call and
 // endpoint.
-func (p *Picker) best(r Request, among []engine.Engine, affinity string, key uint64, level tolerance) (Placement, bool) {
+func (p *Picker) best(r Request, engines []engine.Engine, affinity string, key uint64, level tolerance) (Placement, bool) {
 	var best Placement
 	bestRank := uint64(0)
 	found := false
 	source := p.source(r, affinity)
-	for _, e := range among {
+	for _, e := range engines {
 		s, why := p.usable(&r, &e, key, level)
 		if why != Usable {
 			continue
@@ -216,14 +216,14 @@
 	if len(r.Engines) <= sampleSize+sampleSize/2 {
 		return r.Engines
 	}
-	some := make([]engine.Engine, 0, sampleSize+1)
+	sample := make([]engine.Engine, 0, sampleSize+1)
 	for i := range sampleSize {
-		some = append(some, r.Engines[ident.Mix(key+uint64(i))%uint64(len(r.Engines))])
+		sample = append(sample, r.Engines[ident.Mix(key+uint64(i))%uint64(len(r.Engines))])
 	}
 	if e, ok := find(r.Engines, affinity); ok {
-		some = append(some, e)
+		sample = append(sample, e)
 	}
-	return some
+	return sample
 }
 
 // find looks up an endpoint by id in a list ordered by id.
--- a/fleet/relay/choice/choice_test.go
+++ b/fleet/relay/choice/choice_test.go
@@ -71,7 +71,7 @@
 		require.True(t, ok)
 		used[placement.Engine.ID]++
 	}
-	assert.Greater(t, len(used), 3, "forty prompts at once do not wait at one endpoint: %v", used)
+	assert.Greater(t, len(used), 3, "forty simultaneous prompts do not wait at one endpoint: %v", used)
 }
 
 func TestIneligibleEndpointsGetNoCalls(t *testing.T) {
@@ -98,7 +98,7 @@
 			return a
 		}, ""},
 		{"none at all", func(*choice.Picker) choice.Request { return ask(prompt("a", "s"), nil, now) }, ""},
-		{"endpoints at this node's bound", func(p *choice.Picker) choice.Request {
+		{"endpoints with this node's maximum of calls", func(p *choice.Picker) choice.Request {
 			a := ask(prompt("a", "s"), all, now)
 			a.Cap = 1
 			for range 2 {
--- a/fleet/relay/choice/cost.go
+++ b/fleet/relay/choice/cost.go
@@ -28,7 +28,7 @@
 		return t
 	}
 	slowdown := s.speed.slowdown(r.Now)
-	way := p.places.To(e.Zone, r.Now)
+	dist := p.places.To(e.Zone, r.Now)
 	kept := p.keptTokens(r, e, s, affinity)
 	fetchMs := 0.0
 	if p.tuning.Fetch && from.id != e.ID && from.tokens > kept {
@@ -41,9 +41,9 @@
 	}
 	t.Uncached = max(r.Call.PromptMax-kept, 0)
 	t.ahead = waiting + t.Uncached
-	first, beside := m.firstMs(t.ahead), fetchMs+p.slotMs(m, e, inFlight)+way.DelayMs()
-	t.baselineMs = first + beside
-	t.FirstMs = slowdown*first + beside
+	first, overheadMs := m.firstMs(t.ahead), fetchMs+p.slotMs(m, e, inFlight)+dist.DelayMs()
+	t.baselineMs = first + overheadMs
+	t.FirstMs = slowdown*first + overheadMs
 	value := valueOf(r.Call)
 	t.Cost = value * (chanceOfMore(t.FirstMs, objectiveMs(r)) + p.tuning.Waiting*t.FirstMs/objectiveMs(r))
 	if p.tuning.Pauses {
@@ -53,37 +53,37 @@
 		t.PauseMs = slowdown * (m.eventMs(inFlight) + m.readMs(t.ahead))
 		t.Cost += m.value.mean() * float64(inFlight) * chanceOfMore(t.PauseMs, gapMs(r))
 	}
-	t.Cost += way.Call(value, r.Bytes)
+	t.Cost += dist.Call(value, r.Bytes)
 	return t
 }
 
 // plainCost ranks endpoints that read no prompts by their utilization.
 func (p *Picker) plainCost(r Request, e engine.Engine, s *endpoint, inFlight int) float64 {
 	slots := float64(max(e.Slots, 1))
-	full := float64(inFlight)
+	calls := float64(inFlight)
 	if r.Now.Sub(s.loadAt) < p.tuning.LoadAge {
-		full = max(full, float64(s.load.Running+s.load.Waiting))
+		calls = max(calls, float64(s.load.Running+s.load.Waiting))
 	}
-	cost := max(s.speed.slowdown(r.Now), 1) * (full + 1) / slots
-	way := p.places.To(e.Zone, r.Now)
-	return cost + way.Plain() + way.DelayMs()/objectiveMs(r)
+	cost := max(s.speed.slowdown(r.Now), 1) * (calls + 1) / slots
+	dist := p.places.To(e.Zone, r.Now)
+	return cost + dist.Plain() + dist.DelayMs()/objectiveMs(r)
 }
 
 // keptTokens estimates how many tokens of the prompt the endpoint has cached.
 func (p *Picker) keptTokens(r Request, e engine.Engine, s *endpoint, affinity string) int64 {
-	kept, believed := int64(0), 0.0
+	kept, assumed := int64(0), 0.0
 	shared := len(r.Call.Shared())
 	for i, part := range r.Call.Parts {
 		switch {
 		case s.cache.has(part.ID):
 			kept += part.Tokens
 		case i < shared && affinity == e.ID && len(p.holders[part.ID]) == 0:
-			believed += p.tuning.AffinityTrust * float64(part.Tokens)
+			assumed += p.tuning.AffinityTrust * float64(part.Tokens)
 		default:
-			return kept + int64(believed)
+			return kept + int64(assumed)
 		}
 	}
-	return kept + int64(believed)
+	return kept + int64(assumed)
 }
 
 // slotMs estimates how long a call waits for a free slot.
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -105,7 +105,7 @@
 	return all
 }
 
-// precision is the number of steps that shares are rounded to.
+// precision is the number of steps between 0 and 1 to which sent shares are rounded: hundredths.
 const precision = 100
 
 func rounded(x float64) float64 { return math.Round(x*precision) / precision }
--- a/fleet/relay/choice/incarnation.go
+++ b/fleet/relay/choice/incarnation.go
@@ -82,7 +82,7 @@
 
 // forget drops the connect failures of an earlier incarnation.
 func (z zones) forget(id string) {
-	for _, of := range z {
-		delete(of.failed, id)
+	for _, zone := range z {
+		delete(zone.failed, id)
 	}
 }
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -30,12 +30,12 @@
 // Resting returns how long callers are to wait when all ready endpoints want no calls from this
 // node, and false if one of them may be used. The wait is the whole length of the rest, so that
 // callers come back after it in the order and at the rate in which they came.
-func (p *Picker) Resting(among []engine.Engine, now time.Time) (wait time.Duration, all bool) {
+func (p *Picker) Resting(engines []engine.Engine, now time.Time) (wait time.Duration, all bool) {
 	if p.notices == nil {
 		return 0, false
 	}
 	var first time.Time
-	for _, e := range among {
+	for _, e := range engines {
 		if e.State == engine.Leaving && now.Before(e.LeavesBy) {
 			return 0, false
 		}
--- a/fleet/relay/choice/reason_test.go
+++ b/fleet/relay/choice/reason_test.go
@@ -21,25 +21,25 @@
 		setup func(p *Picker, r *Request)
 		want  string
 	}{
-		{"nothing speaks against them", func(*Picker, *Request) {}, "2 usable"},
+		{"all may get calls", func(*Picker, *Request) {}, "2 usable"},
 		{"none is known", func(_ *Picker, r *Request) { r.Engines = nil }, "no endpoint is known"},
-		{"one drains, one leaves and serves no longer", func(_ *Picker, r *Request) {
+		{"one drains, one leaves and no longer serves", func(_ *Picker, r *Request) {
 			r.Engines[0].State = engine.Draining
 			r.Engines[1].State, r.Engines[1].LeavesBy = engine.Leaving, now
 		}, "2 ending"},
 		{"one leaves and still serves", func(_ *Picker, r *Request) {
 			r.Engines[1].State, r.Engines[1].LeavesBy = engine.Leaving, now.Add(time.Second)
 		}, "2 usable"},
-		{"a zone is emptied", func(_ *Picker, r *Request) { r.Engines[0].State = engine.Evacuated }, "1 usable, 1 emptied"},
-		{"the call was there", func(_ *Picker, r *Request) { r.Exclude = map[engine.Life]bool{r.Engines[0].Life(): true} }, "1 usable, 1 tried"},
+		{"a zone is evacuated", func(_ *Picker, r *Request) { r.Engines[0].State = engine.Evacuated }, "1 usable, 1 emptied"},
+		{"the call was already there", func(_ *Picker, r *Request) { r.Exclude = map[engine.Life]bool{r.Engines[0].Life(): true} }, "1 usable, 1 tried"},
 		{"another one has its address", func(p *Picker, r *Request) {
 			t, _ := p.Pick(*r)
 			t.Close(Gone, now)
 		}, "1 usable, 1 replaced"},
-		{"as many calls as it may have", func(p *Picker, r *Request) { p.Pick(*r); r.Cap = 1 }, "1 usable, 1 busy"},
+		{"the maximum of calls in flight", func(p *Picker, r *Request) { p.Pick(*r); r.Cap = 1 }, "1 usable, 1 busy"},
 		{"it asked for rest", func(p *Picker, r *Request) { p.notices.Saw(r.Engines[0], call.Rest{For: time.Second}, now) }, "1 usable, 1 resting"},
-		{"it is under a limit, of which this node has no part", func(p *Picker, r *Request) { p.limits.Named(r.Engines[0].Life(), 1, now) }, "1 usable, 1 bounded"},
-		{"it failed of late: it is used last", func(p *Picker, r *Request) {
+		{"it names a limit, and this node has no share", func(p *Picker, r *Request) { p.limits.Named(r.Engines[0].Life(), 1, now) }, "1 usable, 1 bounded"},
+		{"it failed lately: it is used last", func(p *Picker, r *Request) {
 			t, _ := p.Pick(*r)
 			t.Close(Bad, now)
 		}, "2 usable"},
--- a/fleet/relay/choice/source.go
+++ b/fleet/relay/choice/source.go
@@ -32,8 +32,8 @@
 )
 
 // moveMs returns how long it takes to move the tokens over a distance.
-func (s source) moveMs(tokens int64, way distance.Distance) float64 {
-	return max(moveSetupMs, moveExchanges*way.DelayMs()) + float64(tokens*s.bytes)/s.bytesMs
+func (s source) moveMs(tokens int64, dist distance.Distance) float64 {
+	return max(moveSetupMs, moveExchanges*dist.DelayMs()) + float64(tokens*s.bytes)/s.bytesMs
 }
 
 // source returns the endpoint that caches most of the shared parts, and the zero value if
@@ -66,7 +66,7 @@
 // simultaneous calls do not all load the same link.
 func (p *Picker) holderOf(r Request, parts []call.Part, affinity string) (engine.Engine, bool) {
 	var best engine.Engine
-	found, seen := false, 0
+	found, checked := false, 0
 	key := xxhash.Sum64String(r.Call.ID)
 	before := func(a, b engine.Engine) bool {
 		if x, y := p.places.Class(a.Zone), p.places.Class(b.Zone); x != y {
@@ -81,7 +81,7 @@
 		}
 	}
 	for id := range holders {
-		if seen++; seen > maxHoldersChecked {
+		if checked++; checked > maxHoldersChecked {
 			break
 		}
 		if !p.keepsAll(id, parts) {
--- a/fleet/relay/choice/zones.go
+++ b/fleet/relay/choice/zones.go
@@ -11,8 +11,8 @@
 type zones map[string]*zone
 
 type zone struct {
-	failed  map[string]bool // endpoints whose connects failed since one of the zone was last reached
-	avoided time.Time       // no other endpoint of the zone is tried until then
+	failed       map[string]bool // endpoints whose connects failed since one of the zone was last reached
+	avoidedUntil time.Time       // no other endpoint of the zone is tried until then
 }
 
 // zoneFailures is how many endpoints of a zone have to fail, with none reached in between,
@@ -21,14 +21,14 @@
 
 // unreached records a failed connect to an endpoint.
 func (z zones) unreached(e engine.Engine, now time.Time, avoid time.Duration) {
-	of, ok := z[e.Zone]
+	failing, ok := z[e.Zone]
 	if !ok {
-		of = &zone{failed: map[string]bool{}}
-		z[e.Zone] = of
+		failing = &zone{failed: map[string]bool{}}
+		z[e.Zone] = failing
 	}
-	of.failed[e.ID] = true
-	if n := len(of.failed); n >= zoneFailures {
-		of.avoided = now.Add(avoid * time.Duration(min(n-1, maxFailures)))
+	failing.failed[e.ID] = true
+	if n := len(failing.failed); n >= zoneFailures {
+		failing.avoidedUntil = now.Add(avoid * time.Duration(min(n-1, maxFailures)))
 	}
 }
 
@@ -37,6 +37,6 @@
 
 // unreachable reports whether an availability zone is avoided now. The node's own zone never is.
 func (p *Picker) unreachable(name string, now time.Time) bool {
-	of, ok := p.zones[name]
-	return ok && name != p.places.Zone() && now.Before(of.avoided)
+	zone, ok := p.zones[name]
+	return ok && name != p.places.Zone() && now.Before(zone.avoidedUntil)
 }
--- a/fleet/relay/doubt/harness_test.go
+++ b/fleet/relay/doubt/harness_test.go
@@ -190,8 +190,8 @@
 	for _, n := range all {
 		select {
 		case <-n.book.Urgent():
-			news := n.book.News(n.delegate, now)
-			sent += sendTo(all, n, n.book.Words(n.delegate, now), n.audience(news), now)
+			audience := n.book.News(n.delegate, now)
+			sent += sendTo(all, n, n.book.Words(n.delegate, now), n.audience(audience), now)
 		default:
 		}
 	}
@@ -233,9 +233,9 @@
 		}
 	case delegates:
 		for i, n := range all {
-			news := n.book.News(n.delegate, now)
+			audience := n.book.News(n.delegate, now)
 			reports := n.book.Words(n.delegate, now)
-			sent += sendTo(all, n, reports, n.audience(news), now)
+			sent += sendTo(all, n, reports, n.audience(audience), now)
 			digest := n.delegate || (round+i)%digestIntervals == 0
 			send(n, reports, func(to *modelNode) bool {
 				return digest && to.zone == n.zone && (to.delegate || n.delegate && (i+round)%roundIntervals == 0)
--- a/fleet/relay/doubt/reports.go
+++ b/fleet/relay/doubt/reports.go
@@ -61,14 +61,14 @@
 
 // reportable returns the endpoints that may be reported.
 func (b *Book) reportable() map[engine.Life]engine.Engine {
-	lives := map[engine.Life]engine.Engine{}
+	incarnations := map[engine.Life]engine.Engine{}
 	for life := range b.own {
-		lives[life] = b.fleet.engines[life]
+		incarnations[life] = b.fleet.engines[life]
 	}
 	for life := range b.periods {
-		lives[life] = b.fleet.engines[life]
+		incarnations[life] = b.fleet.engines[life]
 	}
-	return lives
+	return incarnations
 }
 
 // reporters returns the nodes that observed failures at an endpoint, as far as this node reports
--- a/fleet/relay/limit/rule.go
+++ b/fleet/relay/limit/rule.go
@@ -47,10 +47,10 @@
 		window = min(calls/max(perSecond, 1/maxCallInterval.Seconds()), maxCallInterval.Seconds())
 	}
 	most := r.Most(perSecond)
-	sure := min(int(calls), most)
+	settled := min(int(calls), most)
 	return bound.Bound{
 		Window: time.Duration(window * float64(time.Second)),
-		Calls:  sure,
-		Unsure: max(min(sure, most-sure), 1),
+		Calls:  settled,
+		Unsure: max(min(settled, most-settled), 1),
 	}
 }
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -163,13 +163,13 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var lives []engine.Life
+	var incarnations []engine.Life
 	for life, k := range b.known {
 		if k.named && now.Sub(k.observed) >= confirmInterval && now.Sub(k.placed) >= confirmInterval {
-			lives = append(lives, life)
+			incarnations = append(incarnations, life)
 		}
 	}
-	return lives
+	return incarnations
 }
 
 const (
