--- /dev/null
+++ b/fleet/relay/notice/reports.go
@@ -0,0 +1,139 @@
+package notice
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/lynxshed/lynxshed/fleet/relay/call"
+	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/telling"
+)
+
+// Word reports an endpoint's notices to another node.
+type Word struct {
+	Endpoint  string `json:"e"`
+	Born      int64  `json:"b,omitempty"` // start of the incarnation
+	LeavingMs *int64 `json:"l,omitempty"` // since the latest answer with a leaving notice; nil: none
+	RestMs    int64  `json:"r,omitempty"` // remaining rest; 0: none was requested
+}
+
+func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+
+// Bounds of the reports that are sent.
+const (
+	maxReports = 48             // per message
+	maxRest    = 24 * time.Hour // that another node may report
+)
+
+// Urgent is signaled when there are updates that should not wait for the next digests.
+func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+
+// News returns what this node learned since the last call: from answers and, if it forwards,
+// from reports.
+func (b *Book) News(forward bool, now time.Time) []Word {
+	return b.reports(forward, now, func(d *telling.Due) bool { return d.TakeNews() })
+}
+
+// Words returns the reports to be sent along with the digests.
+func (b *Book) Words(forward bool, now time.Time) []Word {
+	return b.reports(forward, now, func(d *telling.Due) bool { return d.Along(now) })
+}
+
+func (b *Book) reports(forward bool, now time.Time, due func(*telling.Due) bool) []Word {
+	if b.count.Load() == 0 {
+		return nil // the common case
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var reports []Word
+	for life, k := range b.known {
+		k.expire(now)
+		b.dropEmpty(life, k)
+		if w := k.report(life, forward, now, due); k.gone.IsZero() && w.hasContent() {
+			reports = append(reports, w)
+		}
+	}
+	slices.SortFunc(reports, func(a, b Word) int {
+		return cmp.Or(-cmp.Compare(a.priority(), b.priority()), cmp.Compare(a.Endpoint, b.Endpoint))
+	})
+	return reports[:min(len(reports), maxReports)]
+}
+
+// expire drops a rest that ended long ago, and schedules a leaving notice to be sent again if it
+// was not for long.
+func (k *known) expire(now time.Time) {
+	if end := k.rest.end(); !end.IsZero() && now.Sub(end) > restRetention {
+		k.rest = rest{}
+	}
+	if !k.leaving.observed.IsZero() {
+		k.leaving.due.Renew(now)
+	}
+}
+
+// report returns what is due to be sent of one incarnation.
+func (k *known) report(life engine.Life, forward bool, now time.Time, due func(*telling.Due) bool) Word {
+	w := Word{Endpoint: life.ID, Born: life.Born}
+	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
+		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
+	}
+	until := k.rest.until
+	if forward {
+		until = k.rest.end()
+	}
+	if due(&k.rest.due) && now.Before(until) {
+		w.RestMs = until.Sub(now).Milliseconds()
+	}
+	return w
+}
+
+// hasContent reports whether the report holds any notice.
+func (w Word) hasContent() bool { return w.LeavingMs != nil || w.RestMs > 0 }
+
+// priority orders reports when a message can't hold all: leaving notices first, the latest ones
+// before others, and then long rests.
+func (w Word) priority() int64 {
+	if w.LeavingMs != nil {
+		return maxRest.Milliseconds() + Believed.Milliseconds() - *w.LeavingMs
+	}
+	return w.RestMs
+}
+
+// Heard records another node's reports on listed endpoints.
+func (b *Book) Heard(from string, reports []Word, now time.Time) {
+	for _, w := range reports[:min(len(reports), maxReports)] {
+		if w.valid() {
+			b.record(from, w, now)
+		}
+	}
+}
+
+// valid reports whether the report is plausible. Other nodes' reports are not trusted.
+func (w Word) valid() bool {
+	leaving := w.LeavingMs == nil || *w.LeavingMs >= 0 && *w.LeavingMs < Believed.Milliseconds()
+	return w.hasContent() && leaving && w.RestMs >= 0 && w.RestMs <= maxRest.Milliseconds()
+}
+
+func (b *Book) record(from string, w Word, now time.Time) {
+	var began []Change
+	b.mu.Lock()
+	if e, listed := b.listed[w.life()]; listed {
+		k := b.get(e, now)
+		if w.LeavingMs != nil {
+			age := time.Duration(*w.LeavingMs) * time.Millisecond
+			if k.leaving.received(from, now.Add(-age), now) {
+				began = append(began, Began{Engine: e, Notice: call.Leaving{}, From: from, Age: age})
+			}
+		}
+		if left := min(time.Duration(w.RestMs)*time.Millisecond, Believed); left > 0 && k.rest.received(from, now.Add(left), now) {
+			began = append(began, Began{Engine: e, Notice: call.Rest{For: left}, From: from})
+		}
+	}
+	b.mu.Unlock()
+	for _, c := range began {
+		b.urgent.Hurry()
+		b.changed(c)
+	}
+}
