--- a/fleet/relay/apply.go
+++ b/fleet/relay/apply.go
@@ -6,11 +6,11 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// applyPolicy takes a newer policy in force; an older one never.
+// applyPolicy applies a policy if it is newer than the one in force.
 func (n *Node) applyPolicy(name string, c store.Change) {
 	switch c := c.(type) {
 	case store.Snapshot:
-		n.confirming.heardPolicy()
+		n.confirmation.policyReceived()
 		for _, o := range c.Objects {
 			n.tryPolicy(name, o)
 		}
@@ -40,18 +40,18 @@
 	}
 	n.policy.Store(p.Indexed())
 	n.allowance.Budget(budgets(p))
-	n.bound(p.Limits)
+	n.applyBounds(p.Limits)
 	n.log.WithField("policy", p.Version).WithField("revision", o.Revision.Number()).WithField("routes", len(p.Routes)).WithField("prepaid", budgets(p)).Info("policy in force")
 }
 
-// bound lets new connections of callers follow the policy's bounds.
-func (n *Node) bound(l policy.Limits) {
+// applyBounds applies the bounds of the policy to new connections of callers.
+func (n *Node) applyBounds(l policy.Limits) {
 	if n.ingress == nil {
 		return
 	}
 	b := ingress.Bounds{HeaderBytes: l.HeaderBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}.Or(ingress.DefaultBounds)
 	if n.ingress.Bound(b) {
-		n.log.WithField("headerBytes", b.HeaderBytes).WithField("headerMs", b.HeaderTimeout.Milliseconds()).WithField("idleMs", b.IdleTimeout.Milliseconds()).Info("callers' bounds in force")
+		n.log.WithField("headerBytes", b.HeaderBytes).WithField("headerMs", b.HeaderTimeout.Milliseconds()).WithField("idleMs", b.IdleTimeout.Milliseconds()).Info("bounds of connections in force")
 	}
 }
 
--- a/fleet/relay/chain_test.go
+++ b/fleet/relay/chain_test.go
@@ -176,7 +176,7 @@
 		short = 2 * time.Second // the shortest bound that settings have by default
 		long  = 3 * time.Second // of the shorter ones of several zones and regions
 	)
-	rest := part(max(policyRestPart, engineRestPart), short)
+	rest := fraction(max(policyRestShare, engineRestShare), short)
 	cases := []struct {
 		name string
 		fail string
@@ -244,7 +244,7 @@
 		held.Apply(store.Snapshot{Revision: 1}, store.FromStore)
 		platform := &platformStore{cacheReader: cacheReader{held, store.FromStore}}
 		s := func() store.Store { return store.Probed(platform) }
-		rest := part(engineRestPart, 2*time.Second)
+		rest := fraction(engineRestShare, 2*time.Second)
 		watchers := []*hand{follow(ctx, s(), rest, false), follow(ctx, s(), rest, false)}
 		time.Sleep(time.Second)
 		var delegates, others []*hand
--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -12,36 +12,35 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Entries lapse together, when the store is away for longer than they last without a
-// heartbeat. One that goes while most of its service stay has left, whatever is doubted:
-// it gets no new work at once, and so no node is late with it.
-
-// lapsePart is the part of the time in which a leaving endpoint must get no new
-// work that an entry is kept in use after it went while the store was in doubt.
-// Entries lapse while the store is away, though their endpoints live, and are
-// back some two seconds after its return; one that has left in truth is bound by
-// the whole of that time.
-const lapsePart = 0.7
-
-// engineTable builds the directory from the store's changes. It is safe for
-// concurrent use: lapsed entries are dropped by a timer.
+// Entries lapse together when the store is unavailable for longer than they last without a
+// heartbeat. An entry that goes while most of its service stay belongs to an endpoint that has
+// left, also while the store is suspected: it gets no new work at once, so that no node is late.
+
+// lapseShare is the share of the time limit for leaving endpoints for which an entry that went
+// while the store was suspected stays in use. Entries lapse while the store is unavailable, though
+// their endpoints run, and return some two seconds after the store does. An endpoint that really
+// left is bound by the whole time limit.
+const lapseShare = 0.7
+
+// engineTable builds the directory of endpoints from the store's changes. It is safe for
+// concurrent use: a timer drops lapsed entries.
 type engineTable struct {
 	*Node
-	mu       sync.Mutex
-	byName   map[string]engine.Engine
-	lapsed   map[string]time.Time // entries that went while the store was in doubt, and when they are dropped
-	revision store.Revision
-	asking   bool          // the orders are asked for again
-	listed   chan struct{} // closed once the endpoints were listed
-	once     sync.Once
-	births   map[string]int64           // that ids last told
-	untold   map[string]bool            // ids that are in use without a birth; false: kept out of use
-	used     map[string]map[string]bool // versions that may get work, by service, while any endpoint has them
-	eras     erasOfLives
+	mu               sync.Mutex
+	byName           map[string]engine.Engine
+	lapsed           map[string]time.Time // entries that went while the store was suspected, and when they are dropped
+	revision         store.Revision
+	requestingOrders bool          // the orders are being requested again
+	listed           chan struct{} // closed once the endpoints were listed
+	once             sync.Once
+	births           map[string]int64           // the last known birth by id
+	withoutBirth     map[string]bool            // ids without a birth: in use (true) or kept out of use (false)
+	usedVersions     map[string]map[string]bool // versions that may get work, by service, while any endpoint runs them
+	eras             eraRecords
 }
 
 func newEngineTable(n *Node) *engineTable {
-	return &engineTable{Node: n, byName: map[string]engine.Engine{}, lapsed: map[string]time.Time{}, listed: make(chan struct{}), births: map[string]int64{}, untold: map[string]bool{}, used: map[string]map[string]bool{}, eras: newErasOfLives()}
+	return &engineTable{Node: n, byName: map[string]engine.Engine{}, lapsed: map[string]time.Time{}, listed: make(chan struct{}), births: map[string]int64{}, withoutBirth: map[string]bool{}, usedVersions: map[string]map[string]bool{}, eras: newEraRecords()}
 }
 
 func (t *engineTable) apply(c store.Change) {
@@ -49,7 +48,7 @@
 	defer t.mu.Unlock()
 	switch c := c.(type) {
 	case store.Snapshot:
-		t.confirming.heardEngines()
+		t.confirmation.enginesReceived()
 		fromCopy := t.revision.IsOfEraBefore(c.Revision)
 		t.revision = c.Revision
 		t.replace(c.Objects, fromCopy)
@@ -66,12 +65,12 @@
 	t.publish()
 }
 
-// listedWait bounds how long the orders of rollouts wait for the first list of endpoints.
-const listedWait = time.Second
+// listTimeout bounds how long the orders of rollouts wait for the first list of endpoints.
+const listTimeout = time.Second
 
-// awaitListed returns once the endpoints were listed, or soon.
+// awaitListed returns once the endpoints were listed, or after listTimeout.
 func (t *engineTable) awaitListed(ctx context.Context) {
-	timer := time.NewTimer(listedWait)
+	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
 	case <-t.listed:
@@ -80,7 +79,7 @@
 	}
 }
 
-// replace takes a whole list in force; what it does not name is gone.
+// replace applies a whole list; an entry that it does not name is gone.
 func (t *engineTable) replace(objects []store.Object, fromCopy bool) {
 	listed := map[string]bool{}
 	for _, o := range objects {
@@ -91,7 +90,7 @@
 		switch {
 		case listed[name]:
 		case fromCopy:
-			t.missing(name)
+			t.keepUnlisted(name)
 		default:
 			t.gone(name)
 		}
@@ -107,12 +106,12 @@
 	t.put(e.Object, false)
 }
 
-// put takes an entry in force. One that can't be read names no endpoint, whatever it said
-// before, also while the store is in doubt.
+// put applies an entry. An unreadable one names no endpoint, whatever it held before, also while
+// the store is suspected.
 func (t *engineTable) put(o store.Object, fromCopy bool) {
 	before, known := t.byName[o.Name]
 	if known && o.Revision < before.Seen {
-		t.log.WithField("endpoint", o.Name).WithField("revision", o.Revision.Number()).WithField("known", before.Seen.Number()).Info("entry of an endpoint older than the one known, ignored")
+		t.log.WithField("endpoint", o.Name).WithField("revision", o.Revision.Number()).WithField("known", before.Seen.Number()).Info("entry of an endpoint ignored: older than the one known")
 		return
 	}
 	e, err := t.adapter.Engine(o, clock.Now())
@@ -126,33 +125,33 @@
 	t.faults.Read(o)
 	delete(t.lapsed, o.Name)
 	delete(t.eras.unlisted, o.Name)
-	e = t.believed(t.live(before, known, e), known, fromCopy)
+	e = t.reconciled(t.trackIncarnation(before, known, e), known, fromCopy)
 	if !known || before.State != e.State || turnedCold(before, e) {
 		t.log.WithFields(engineFields(e)).Info("endpoint seen")
 	}
 	t.byName[o.Name] = e
 }
 
-// turnedCold is whether an endpoint that was not slow, as far as it said, is slow now.
+// turnedCold reports whether the entry of an endpoint newly signals a cold start.
 func turnedCold(before, e engine.Engine) bool {
 	return clock.Now().Before(e.ColdUntil) && !clock.Now().Before(before.ColdUntil)
 }
 
-// gone drops an endpoint, or keeps it for a while where its entry may have
-// lapsed for want of the store. One that was leaving is dropped at once.
+// gone drops an endpoint, or keeps it for a while if its entry may have lapsed because the store
+// was unavailable. One that was leaving is dropped at once.
 func (t *engineTable) gone(name string) {
 	e, known := t.byName[name]
 	if !known || !t.lapsed[name].IsZero() {
 		return
 	}
-	if t.leaves(e).State != engine.Ready || !t.health.Doubted() {
+	if t.withNotice(e).State != engine.Ready || !t.health.Doubted() {
 		t.drop(name)
 		return
 	}
-	wait := part(lapsePart, t.settings.EndpointDrain())
+	wait := fraction(lapseShare, t.settings.EndpointDrain())
 	t.lapsed[name] = clock.Now().Add(wait)
 	time.AfterFunc(wait, t.expire)
-	t.log.WithField("endpoint", name).WithField("revision", t.revision.Number()).WithField("keptMs", wait.Milliseconds()).Info("endpoint's entry went while the store was in doubt, kept")
+	t.log.WithField("endpoint", name).WithField("revision", t.revision.Number()).WithField("keptMs", wait.Milliseconds()).Info("entry of an endpoint went while the store was suspected: endpoint kept")
 }
 
 func (t *engineTable) drop(name string) {
@@ -160,11 +159,11 @@
 	delete(t.byName, name)
 	delete(t.lapsed, name)
 	delete(t.births, name)
-	delete(t.untold, name)
+	delete(t.withoutBirth, name)
 	t.log.WithField("endpoint", name).Info("endpoint gone")
 }
 
-// expire drops the lapsed entries that have not come back in time.
+// expire drops the lapsed entries that have not returned in time.
 func (t *engineTable) expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,8 +176,8 @@
 	t.publish()
 }
 
-// lapsedApart names the services of which more endpoints are listed than lapsed.
-func (t *engineTable) lapsedApart() map[string]bool {
+// partlyLapsed names the services of which more endpoints are listed than lapsed.
+func (t *engineTable) partlyLapsed() map[string]bool {
 	lapsed, listed := map[string]int{}, map[string]int{}
 	for name, e := range t.byName {
 		if t.lapsed[name].IsZero() {
@@ -190,7 +189,7 @@
 	return lo.PickBy(lo.MapValues(lapsed, func(n int, service string) bool { return listed[service] > n }), func(_ string, apart bool) bool { return apart })
 }
 
-// refresh takes evacuations in force that have changed.
+// refresh publishes the directory again after evacuations, orders or notices changed.
 func (t *engineTable) refresh() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,20 +198,20 @@
 	}
 }
 
-// publish hands the directory on. Nothing is sent anywhere before it is known which
-// zones, and which versions, are to get no new work.
+// publish publishes the directory and notifies all who depend on it. No call is sent before the
+// node knows which zones and which versions are to get no new work.
 func (t *engineTable) publish() {
 	if t.evacuations.Load() == nil || t.rollouts.Load() == nil {
 		return
 	}
 	zones := t.evacuated()
 	all := make([]engine.Engine, 0, len(t.byName))
-	apart, foreign := t.lapsedApart(), t.foreign()
+	apart, foreign := t.partlyLapsed(), t.foreign()
 	for _, e := range t.byName {
 		if !t.lapsed[e.ID].IsZero() && apart[e.Service] && !t.eras.unlisted[e.ID] || foreign[e.ID] {
 			continue
 		}
-		e = t.leaves(e)
+		e = t.withNotice(e)
 		if e.State == engine.Ready && zones.Active(e.Zone) {
 			e.State = engine.Evacuated
 		}
@@ -221,8 +220,8 @@
 	}
 	d := t.byVersion(engine.NewDirectory(t.revision, all))
 	t.engines.Store(d)
-	if t.doubts != nil {
-		t.doubts.Engines(d.All())
+	if t.suspicions != nil {
+		t.suspicions.Engines(d.All())
 	}
 	if t.limits != nil {
 		t.limits.Engines(d.All())
--- a/fleet/relay/evacuations.go
+++ b/fleet/relay/evacuations.go
@@ -11,7 +11,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// evacuated is which zones are to get no new work, as far as is known.
+// evacuated returns the zones that are to get no new work, as far as known.
 func (n *Node) evacuated() evacuation.Zones {
 	if z := n.evacuations.Load(); z != nil {
 		return *z
@@ -19,8 +19,8 @@
 	return evacuation.Zones{}
 }
 
-// applyEvacuations takes what operators say of zones in force; the follower never
-// hands on an older revision than one before.
+// applyEvacuations applies the evacuations that operators request. The follower never passes on an
+// older revision than the one before.
 func (n *Node) applyEvacuations(c store.Change) {
 	before := n.evacuated()
 	next := before
@@ -28,9 +28,9 @@
 	switch c := c.(type) {
 	case store.Snapshot:
 		listed := n.listedZones(before, c.Objects)
-		if before.Revision().IsOfEraBefore(c.Revision) { // operators write again what the copy lacks
+		if before.Revision().IsOfEraBefore(c.Revision) { // operators write what the copy lacks again
 			listed = lo.Union(listed, before.Names())
-			time.AfterFunc(writtenAgain, n.evacuationsAgain.Ask)
+			time.AfterFunc(rewriteWindow, n.evacuationsRefresh.Ask)
 		}
 		next = before.WithListed(listed, c.Revision, now)
 	case store.Update:
@@ -54,8 +54,8 @@
 	}
 }
 
-// zoneOf is the zone that an object is about; false where its name can't be read. The name
-// is all of it that counts: what else it says may be unreadable, and it holds.
+// zoneOf returns the zone that an object is about; false if its name is unreadable. Only the name
+// counts: the evacuation holds even if the rest of the object is unreadable.
 func (n *Node) zoneOf(o store.Object) (string, bool) {
 	zone := n.adapter.Evacuation(o)
 	if err := o.Readable(); err != nil {
@@ -66,8 +66,8 @@
 	return zone, zone != ""
 }
 
-// listedZones lists the zones of a whole list. One of its objects whose name can't be read
-// may be any of those that were known, so that none of these is given back by it.
+// listedZones returns the zones of a whole list. An object with an unreadable name may be any of
+// the known ones, so none of these ends by it.
 func (n *Node) listedZones(before evacuation.Zones, objects []store.Object) []string {
 	var zones []string
 	for _, o := range objects {
@@ -81,25 +81,25 @@
 	return zones
 }
 
-// logEvacuations tells which zones were asked for or given back; true where any was.
+// logEvacuations logs which evacuations began or ended, and reports whether any changed.
 func (n *Node) logEvacuations(before, next evacuation.Zones) bool {
 	begun, ended := lo.Difference(next.Names(), before.Names())
 	for _, zone := range begun {
 		entry := n.log.WithField("zone", zone).WithField("revision", next.Revision().Number())
 		if !n.knownZone(zone) {
-			entry.Warn("evacuation of a zone that the settings don't name: it changes nothing unless endpoints register there")
+			entry.Warn("evacuation of a zone that the settings don't name: no effect unless endpoints register there")
 			continue
 		}
 		entry.Info("evacuation of a zone in force: its endpoints get no new work")
 	}
 	for _, zone := range ended {
-		n.log.WithField("zone", zone).WithField("revision", next.Revision().Number()).Info("evacuation of a zone taken back")
+		n.log.WithField("zone", zone).WithField("revision", next.Revision().Number()).Info("evacuation of a zone ended")
 	}
 	n.metrics.Evacuated(len(next.Names()))
 	return len(begun)+len(ended) > 0 || slices.ContainsFunc(before.Names(), func(zone string) bool { return !next.ReturnedAt(zone).Equal(before.ReturnedAt(zone)) })
 }
 
-// knownZone is whether the settings name a zone; where they name none, any is.
+// knownZone reports whether the settings name a zone; if they name none, every zone is known.
 func (n *Node) knownZone(zone string) bool {
 	_, known := n.settings.Regions[zone]
 	return known || len(n.settings.Regions) == 0
--- a/fleet/relay/limits.go
+++ b/fleet/relay/limits.go
@@ -12,11 +12,11 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/peer"
 )
 
-// LimitsPath is where a node tells operators which endpoints name a limit.
+// LimitsPath is where operators list the endpoints that name a limit.
 const LimitsPath = "/limits"
 
-// keepLimits has the node keep to the limits that endpoints name, with all others.
-func (n *Node) keepLimits(g *peer.Gossip) {
+// enableLimits has the node keep the limits that endpoints name, jointly with all other nodes.
+func (n *Node) enableLimits(g *peer.Gossip) {
 	if !n.settings.Enabled(limitsMechanism) {
 		return
 	}
@@ -25,7 +25,8 @@
 	g.WithLimits(n.limits)
 }
 
-// logLimit tells that an endpoint names a limit, or none any more, and by whose word.
+// logLimit logs that an endpoint names a limit, or none any more, and from which node that is
+// known.
 func (n *Node) logLimit(c limit.Change) {
 	fields := log.Fields{
 		"endpoint": c.Engine.ID, "born": c.Engine.Born, "service": c.Engine.Service, "zone": c.Engine.Zone,
@@ -36,11 +37,11 @@
 	}
 	if !c.Named {
 		n.metrics.Limited("ended")
-		n.log.WithFields(fields).Info("endpoint names no limit any more")
+		n.log.WithFields(fields).Info("endpoint no longer names a limit")
 		return
 	}
 	n.metrics.Limited(lo.Ternary(c.WasNamed, "changed", "named"))
-	n.log.WithFields(fields).WithField("limit", c.PerSecond).Info("endpoint names a limit: all nodes keep to it together")
+	n.log.WithFields(fields).WithField("limit", c.PerSecond).Info("endpoint names a limit: all nodes keep it jointly")
 }
 
 func (n *Node) listLimits(w http.ResponseWriter, _ *http.Request) {
@@ -57,6 +58,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(all); err != nil {
-		n.log.WithError(err).Warn("limits not told to an operator")
+		n.log.WithError(err).Warn("list of limits not sent to an operator")
 	}
 }
--- a/fleet/relay/log.go
+++ b/fleet/relay/log.go
@@ -22,8 +22,8 @@
 // logLines is how many lines may wait for a slow reader of the log.
 const logLines = 2048
 
-// Sink writes log lines without ever holding a caller up: where the reader is
-// slow, lines are dropped and counted.
+// Sink writes log lines without ever blocking its caller: if the reader is slow, lines are dropped
+// and counted.
 type Sink struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -50,7 +50,7 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were lost.
+// Dropped returns how many lines were dropped.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 // NewLogger returns a node's logger of JSON lines to a sink.
--- a/fleet/relay/metrics.go
+++ b/fleet/relay/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/memory"
 )
 
-// Metrics of a relaying node.
+// Metrics holds the instruments of a relaying node.
 type Metrics struct {
 	finished metric.Int64Counter
 	store    metric.Int64Counter
@@ -38,10 +38,10 @@
 	short                      metric.Int64Gauge
 }
 
-// latencyBuckets are seconds, from a local call to a long stream.
+// latencyBuckets are bucket bounds in seconds, from a local call to a long stream.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .6, 1, 2, 4, 8, 15}
 
-// NewMetrics returns the instruments of a meter.
+// NewMetrics creates the instruments on a meter.
 func NewMetrics(m metric.Meter) (*Metrics, error) {
 	metrics := &Metrics{}
 	var err, failed error
@@ -123,7 +123,7 @@
 	m.store.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind), attribute.String("verb", verb), attribute.String("outcome", outcome)))
 }
 
-// NewLife counts an endpoint that has started again under its id.
+// NewLife counts an endpoint that restarted under its id.
 func (m *Metrics) NewLife(birth string) {
 	m.lives.Add(context.Background(), 1, metric.WithAttributes(attribute.String("birth", birth)))
 }
@@ -133,12 +133,12 @@
 	m.bad.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
-// Quarantined counts a request that is held back from now on, or let go.
+// Quarantined counts a request that was quarantined or released.
 func (m *Metrics) Quarantined(released bool) {
 	m.isolated.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", lo.Ternary(released, "let go", "held back"))))
 }
 
-// Noticed counts something that endpoints say in answers, and that this node acts on.
+// Noticed counts a notice in answers of endpoints that this node acts on.
 func (m *Metrics) Noticed(kind string) {
 	m.noticed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
@@ -163,30 +163,30 @@
 	m.builds.Record(context.Background(), int64(n))
 }
 
-// Rollout records where a service's order stands, as this node knows.
+// Rollout records the progress of the order of a service, as this node knows it.
 func (m *Metrics) Rollout(service string, stage int64, share float64) {
 	of := metric.WithAttributes(attribute.String("service", service))
 	m.stage.Record(context.Background(), stage, of)
 	m.share.Record(context.Background(), share, of)
 }
 
-// RolloutAnswers records how many answers this node had of one version on a route since
-// the open order, and how many of them were bad.
+// RolloutAnswers records how many answers of one version this node received on a route since the
+// open order, and how many of them were bad.
 func (m *Metrics) RolloutAnswers(service, route, version string, answers, bad int) {
 	of := metric.WithAttributes(attribute.String("service", service), attribute.String("route", route), attribute.String("version", version))
 	m.answers.Record(context.Background(), int64(answers), of)
 	m.badAnswers.Record(context.Background(), int64(bad), of)
 }
 
-// Link records how full the link is, whether new connections are welcome, and how many
-// writes have had to wait.
+// Link records the link utilization, whether new connections are accepted, and how many writes had
+// to wait.
 func (m *Metrics) Link(used float64, open bool, waited int64) {
 	m.paced.Record(context.Background(), waited)
 	m.link.Record(context.Background(), used)
 	m.intake.Record(context.Background(), lo.Ternary[int64](open, 1, 0))
 }
 
-// Memory records what calls in progress hold, in bytes, and how often one did not fit.
+// Memory records the bytes that calls in progress hold, and how many calls did not fit.
 func (m *Metrics) Memory(s memory.State) {
 	m.held.Record(context.Background(), s.Held)
 	m.peak.Record(context.Background(), s.Peak)
--- a/fleet/relay/notices.go
+++ b/fleet/relay/notices.go
@@ -15,30 +15,31 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/peer"
 )
 
-// NoticesPath is where a node tells operators what endpoints say in their answers.
+// NoticesPath is where operators list the notices that endpoints gave in their answers.
 const NoticesPath = "/notices"
 
-// servesPart is the part of the time in which a leaving endpoint must get no new work that
-// calls may be sent there which no other endpoint may take: they have to arrive in the rest.
-const servesPart = 0.7
+// servesShare is the share of the time limit for leaving endpoints in which calls that no other
+// endpoint may take are still sent to one. They have to arrive in the rest of the time.
+const servesShare = 0.7
 
-// heedNotices has the node act on what endpoints say in their answers, and tell others.
-func (n *Node) heedNotices(g *peer.Gossip) {
+// enableNotices has the node act on the notices in answers of endpoints, and pass them on to other
+// nodes.
+func (n *Node) enableNotices(g *peer.Gossip) {
 	if !n.settings.Enabled(noticesMechanism) {
 		return
 	}
-	n.notices = notice.NewBook(n.settings.Node, notice.Rule{Serves: part(servesPart, n.settings.EndpointDrain())}, n.noticed)
+	n.notices = notice.NewBook(n.settings.Node, notice.Rule{Serves: fraction(servesShare, n.settings.EndpointDrain())}, n.onNotice)
 	n.picker.WithNotices(n.notices)
 	g.WithNotices(n.notices)
 }
 
-// noticed takes a change in force.
-func (n *Node) noticed(c notice.Change) {
+// onNotice applies a change of a notice.
+func (n *Node) onNotice(c notice.Change) {
 	switch c := c.(type) {
 	case notice.Began:
-		n.began(c)
+		n.noticeBegan(c)
 	case notice.Ended:
-		n.log.WithFields(noticeFields(c.Engine)).Info("endpoint takes calls again")
+		n.log.WithFields(noticeFields(c.Engine)).Info("endpoint accepts calls again")
 	}
 }
 
@@ -46,23 +47,24 @@
 	return log.Fields{"endpoint": e.ID, "born": e.Born, "service": e.Service, "zone": e.Zone}
 }
 
-func (n *Node) began(c notice.Began) {
+func (n *Node) noticeBegan(c notice.Began) {
 	fields := noticeFields(c.Engine)
 	fields["from"], fields["ageMs"] = lo.CoalesceOrEmpty(c.From, n.settings.Node), c.Age.Milliseconds()
-	switch said := c.Notice.(type) {
+	switch signaled := c.Notice.(type) {
 	case call.Rest:
 		n.metrics.Noticed("rest")
-		n.log.WithFields(fields).WithField("restMs", said.For.Milliseconds()).Info("endpoint asks a node for rest")
+		n.log.WithFields(fields).WithField("restMs", signaled.For.Milliseconds()).Info("endpoint asked a node to pause calls")
 	case call.Leaving:
 		n.metrics.Noticed("leaving")
-		n.log.WithFields(fields).Info("endpoint leaves, as it says in its answers: it gets no new calls")
+		n.log.WithFields(fields).Info("endpoint signaled in its answers that it leaves: it gets no new calls")
 		go n.engineTable.refresh()
-		time.AfterFunc(notice.Believed-c.Age, n.engineTable.refresh) // another node's word may be over then
+		time.AfterFunc(notice.Believed-c.Age, n.engineTable.refresh) // the notice from another node may have expired then
 	}
 }
 
-// leaves is the endpoint as its answers say: the store may be late with its leaving, or away.
-func (t *engineTable) leaves(e engine.Engine) engine.Engine {
+// withNotice returns an endpoint with its state as signaled in its answers: the store may report
+// later that it leaves, or be unavailable.
+func (t *engineTable) withNotice(e engine.Engine) engine.Engine {
 	if t.notices == nil || e.State != engine.Ready {
 		return e
 	}
@@ -82,6 +84,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(all); err != nil {
-		n.log.WithError(err).Warn("notices of endpoints not told to an operator")
+		n.log.WithError(err).Warn("list of notices not sent to an operator")
 	}
 }
--- a/fleet/relay/operators.go
+++ b/fleet/relay/operators.go
@@ -10,12 +10,12 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// QuarantinePath is where a node tells operators which requests are held back, and lets
-// one go (DELETE of the path and its print). It is served beside what the balancer asks,
-// at an address that callers don't reach.
+// QuarantinePath is where operators list the quarantined requests of a node, and release one
+// (DELETE of the path and its fingerprint). It is served beside the readiness check of the
+// balancer, at an address that callers cannot reach.
 const QuarantinePath = "/quarantine"
 
-// serveOperators adds what operators ask of this node alone.
+// serveOperators registers the handlers for operators.
 func (n *Node) serveOperators(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+QuarantinePath, n.listQuarantine)
 	mux.HandleFunc("GET "+NodesPath, n.listNodes)
@@ -26,12 +26,12 @@
 
 func (n *Node) listQuarantine(w http.ResponseWriter, _ *http.Request) {
 	held := []quarantine.HeldWord{}
-	if book, now := n.book(), clock.Now(); book != nil {
-		held = lo.Map(book.List(now), func(h quarantine.Held, _ int) quarantine.HeldWord { return quarantine.WordOf(h, now) })
+	if tracker, now := n.quarantineTracker(), clock.Now(); tracker != nil {
+		held = lo.Map(tracker.List(now), func(h quarantine.Held, _ int) quarantine.HeldWord { return quarantine.WordOf(h, now) })
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(held); err != nil {
-		n.log.WithError(err).Warn("requests that are held back not told to an operator")
+		n.log.WithError(err).Warn("list of quarantined requests not sent to an operator")
 	}
 }
 
@@ -41,7 +41,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if book := n.book(); book == nil || !book.Release(print, clock.Now()) {
+	if tracker := n.quarantineTracker(); tracker == nil || !tracker.Release(print, clock.Now()) {
 		http.Error(w, "no such request is held back", http.StatusNotFound)
 		return
 	}
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -18,41 +18,42 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// quarantineKind is the store's kind of requests that are held back. They outlast all
-// nodes there; while nodes run they tell each other, and nobody watches the kind.
+// quarantineKind is the store's kind of quarantined requests. The store preserves them when all
+// nodes are lost. While nodes run they notify each other, and none of them watches the kind.
 const quarantineKind = "lynxshed-quarantine"
 
-// Bounds of asking whether an endpoint has ended. A process that ends closes its
-// connections before its port at times.
+// Intervals of checking whether an endpoint has ended. A process that ends sometimes closes its
+// connections before its port.
 const (
-	endedAfter   = 20 * time.Millisecond
-	endedAgain   = 200 * time.Millisecond
-	endedTimeout = 300 * time.Millisecond
+	firstEndCheck   = 20 * time.Millisecond
+	secondEndCheck  = 200 * time.Millisecond
+	endCheckTimeout = 300 * time.Millisecond
 )
 
-// Bounds of keeping requests in the store.
+// Intervals of writing quarantined requests to the store and of reading them.
 const (
-	keepTurn    = 500 * time.Millisecond // after which the next node writes where the one before did not
-	keepPause   = time.Second            // between the first tries
-	keepTries   = 20                     // that are the first ones
-	keepSlowly  = 8 * time.Second        // between the later ones
-	keepTimeout = time.Second
-	loadMost    = 8 * time.Second // between tries to read them at the start, at the most
+	writeSlot         = 500 * time.Millisecond // after which the next node writes if the one before did not
+	firstWriteRetry   = time.Second            // between the first attempts
+	firstWriteRetries = 20                     // attempts at firstWriteRetry
+	laterWriteRetry   = 8 * time.Second        // between later attempts
+	quarantineTimeout = time.Second
+	maxLoadDelay      = 8 * time.Second // longest delay between attempts to read them at the start
 )
 
-// quarantined is what a node does about requests under which endpoints end.
-type quarantined struct {
+// quarantineManager connects the quarantine of this node to the store, the other nodes and the
+// log.
+type quarantineManager struct {
 	*Node
 	*quarantine.Book
-	turn func(key string) int // this node's place among those who judge, for what one of them does
+	slot func(key string) int // the slot of this node among the judging nodes, for work that one of them does
 }
 
-// holdBack has the node hold requests back under which endpoints end.
-func (n *Node) holdBack(g *peer.Gossip) {
+// enableQuarantine has the node quarantine requests under which endpoints end.
+func (n *Node) enableQuarantine(g *peer.Gossip) {
 	if !n.settings.Enabled(quarantineMechanism) {
 		return
 	}
-	q := &quarantined{Node: n, turn: g.TurnFor}
+	q := &quarantineManager{Node: n, slot: g.TurnFor}
 	q.Book = quarantine.NewBook(quarantine.DefaultRule(), q, func() quarantine.Role {
 		switch {
 		case !g.Writes():
@@ -66,21 +67,21 @@
 	g.WithQuarantine(q)
 }
 
-// book is what calls ask; nil: no request is held back.
-func (n *Node) book() *quarantine.Book {
+// quarantineTracker returns the tracker that calls consult; nil: no request is quarantined.
+func (n *Node) quarantineTracker() *quarantine.Book {
 	if n.quarantine == nil {
 		return nil
 	}
 	return n.quarantine.Book
 }
 
-// Verify implements quarantine.Observer: an endpoint that refuses connections has ended.
-// One that takes them lives, or was started again so soon that only its entry tells.
-func (q *quarantined) Verify(e engine.Engine) {
+// Verify implements quarantine.Observer: an endpoint that refuses connections has ended. One that
+// accepts them still runs, or restarted so quickly that only its entry shows it.
+func (q *quarantineManager) Verify(e engine.Engine) {
 	go func() {
-		for _, pause := range []time.Duration{endedAfter, endedAgain} {
+		for _, pause := range []time.Duration{firstEndCheck, secondEndCheck} {
 			time.Sleep(pause)
-			c, err := net.DialTimeout("tcp4", e.Address, endedTimeout)
+			c, err := net.DialTimeout("tcp4", e.Address, endCheckTimeout)
 			switch {
 			case errors.Is(err, syscall.ECONNREFUSED):
 				q.Ended(e.Life(), clock.Now())
@@ -93,89 +94,90 @@
 }
 
 // EndSeen implements quarantine.Observer.
-func (q *quarantined) EndSeen(life engine.Life, under []quarantine.Suspect) {
-	some := under[:min(len(under), namedPrints)]
+func (q *quarantineManager) EndSeen(incarnation engine.Life, under []quarantine.Suspect) {
+	some := under[:min(len(under), maxLoggedFingerprints)]
 	q.log.WithFields(log.Fields{
-		"endpoint": life.ID, "born": life.Born, "calls": len(under), "unanswered": lo.CountBy(under, func(s quarantine.Suspect) bool { return s.Progress == quarantine.Nothing }),
+		"endpoint": incarnation.ID, "born": incarnation.Born, "calls": len(under), "unanswered": lo.CountBy(under, func(s quarantine.Suspect) bool { return s.Progress == quarantine.Nothing }),
 		"prints": lo.Map(some, func(s quarantine.Suspect, _ int) string { return s.Print.String() }),
-	}).Info("endpoint ended under calls of this node")
+	}).Info("endpoint ended during calls of this node")
 }
 
-// namedPrints is how many requests a log line names.
-const namedPrints = 8
+// maxLoggedFingerprints is how many requests a log line names.
+const maxLoggedFingerprints = 8
 
 // Judged implements quarantine.Observer.
-func (q *quarantined) Judged(h quarantine.Held) {
-	q.tell(h, q.settings.Node)
-	go q.keep(h)
+func (q *quarantineManager) Judged(h quarantine.Held) {
+	q.onChange(h, q.settings.Node)
+	go q.persist(h)
 }
 
 // Heard implements peer.Quarantine.
-func (q *quarantined) Heard(from string, w quarantine.Words, now time.Time) {
+func (q *quarantineManager) Heard(from string, w quarantine.Words, now time.Time) {
 	for _, h := range q.Book.Heard(w, now) {
-		q.tell(h, from)
+		q.onChange(h, from)
 	}
 }
 
-// tell logs that a request is held back, or let go, and by whose word.
-func (q *quarantined) tell(h quarantine.Held, from string) {
+// onChange logs that a request was quarantined or released and which node reported it, and
+// schedules its expiry and probe.
+func (q *quarantineManager) onChange(h quarantine.Held, from string) {
 	fields := log.Fields{
 		"print": h.Print.String(), "customer": h.Customer, "route": h.Route, "round": h.Round, "ends": h.Ends,
 		"ageMs": clock.Since(h.Since).Milliseconds(), "forMs": h.For.Milliseconds(), "from": from,
 	}
 	q.metrics.Quarantined(h.Released)
 	if h.Released {
-		q.log.WithFields(fields).WithField("why", h.Why).Warn("request let go")
+		q.log.WithFields(fields).WithField("why", h.Why).Warn("request released from quarantine")
 		return
 	}
-	q.log.WithFields(fields).Warn("request held back: endpoints ended under it, it is sent to none")
+	q.log.WithFields(fields).Warn("request quarantined: endpoints ended while running it")
 	time.AfterFunc(clock.Until(h.Since.Add(h.For)), func() { q.expire(h) })
-	q.probeLater(h)
+	q.scheduleProbe(h)
 }
 
-// expire takes a request whose time is over out of the store, by one node.
-func (q *quarantined) expire(h quarantine.Held) {
+// expire deletes an expired request from the store; one node does it.
+func (q *quarantineManager) expire(h quarantine.Held) {
 	now, known := q.Of(h.Print)
 	if !known || now.Round != h.Round || now.Released {
 		return
 	}
-	q.log.WithFields(log.Fields{"print": h.Print.String(), "customer": h.Customer, "round": h.Round}).Info("request held back no longer: its time is over, one end more holds it back again")
-	if q.turn(h.Print.String()) != 0 {
+	q.log.WithFields(log.Fields{"print": h.Print.String(), "customer": h.Customer, "round": h.Round}).Info("quarantine of a request expired: another endpoint that ends under it renews it")
+	if q.slot(h.Print.String()) != 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
 	if err := ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Print.String())); err != nil {
-		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("request whose time is over not taken away: nodes that start hold it back once more")
+		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("expired request not deleted: nodes that start quarantine it again")
 	}
 }
 
-// keep has the store keep what this node judged, unless another one does.
-func (q *quarantined) keep(h quarantine.Held) {
-	q.keepInTurn(h, q.turn(h.Print.String()), func(now quarantine.Held) bool { return now.Stored })
+// persist writes the judgement of this node to the store, unless another node does.
+func (q *quarantineManager) persist(h quarantine.Held) {
+	q.persistInSlot(h, q.slot(h.Print.String()), func(now quarantine.Held) bool { return now.Stored })
 }
 
-// restorers is how many nodes write back what a copy of the store lacks of one request, one
-// after the other: the second one in case the first is cut off.
+// restorers is how many nodes write back what a copy of the store lacks of one request, one after
+// the other: the second covers for a first that is partitioned.
 const restorers = 2
 
-// writeBack has the store hold again what it lost of the requests that are held back, or were
-// let go, since it came back from a copy.
-func (q *quarantined) writeBack() {
+// writeBack writes the quarantined and released requests again that the store lost when it was
+// restored from a copy.
+func (q *quarantineManager) writeBack() {
 	for _, h := range q.All() {
-		turn := q.turn(h.Print.String())
-		if turn >= restorers || !h.Released && clock.Since(h.Since) >= h.For {
+		slot := q.slot(h.Print.String())
+		if slot >= restorers || !h.Released && clock.Since(h.Since) >= h.For {
 			continue
 		}
-		go q.keepInTurn(h, turn, func(quarantine.Held) bool { return false })
+		go q.persistInSlot(h, slot, func(quarantine.Held) bool { return false })
 	}
 }
 
-// keepInTurn has the store keep a request as it is, in this node's turn, unless that is done
-// or it is no longer so.
-func (q *quarantined) keepInTurn(h quarantine.Held, turn int, done func(now quarantine.Held) bool) {
-	time.Sleep(time.Duration(turn) * keepTurn)
-	for try := 0; ; try++ {
+// persistInSlot writes a request to the store in the slot of this node, unless that is done or the
+// state of the request has changed.
+func (q *quarantineManager) persistInSlot(h quarantine.Held, slot int, done func(now quarantine.Held) bool) {
+	time.Sleep(time.Duration(slot) * writeSlot)
+	for attempt := 0; ; attempt++ {
 		now, known := q.Of(h.Print)
 		over := !now.Released && clock.Since(now.Since) >= now.For
 		if !known || now.Round != h.Round || now.Released != h.Released || over || done(now) {
@@ -186,28 +188,29 @@
 			q.Stored(now)
 			return
 		}
-		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("request that is held back, or let go, not kept yet")
-		time.Sleep(store.Jittered(pauseAfter(try)))
+		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("quarantined or released request not written yet")
+		time.Sleep(store.Jittered(retryDelay(attempt)))
 	}
 }
 
-// pauseAfter is the pause after a try that the store did not answer. It is asked again as long as
-// the request is held back: what it does not keep is neither known to nodes that start nor probed.
-func pauseAfter(try int) time.Duration {
-	if try < keepTries {
-		return keepPause
+// retryDelay returns the delay after an attempt that the store did not answer. Attempts go on for
+// as long as the request is quarantined: one that is not stored is neither known to nodes that
+// start nor probed.
+func retryDelay(attempt int) time.Duration {
+	if attempt < firstWriteRetries {
+		return firstWriteRetry
 	}
-	return keepSlowly
+	return laterWriteRetry
 }
 
-// write keeps a request that is held back, and takes one away that was let go.
-func (q *quarantined) write(h quarantine.Held) error {
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+// write stores a quarantined request, and deletes a released one.
+func (q *quarantineManager) write(h quarantine.Held) error {
+	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
 	if h.Released {
 		return ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Print.String()))
 	}
-	data, err := kept(h)
+	data, err := encodeHeld(h)
 	if err != nil {
 		return err
 	}
@@ -216,8 +219,8 @@
 	if !errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	if w, err := keptOf(there); err == nil && (w.Round > h.Round || w.Round == h.Round && w.Probes >= h.Probes) {
-		return nil // another node has written it
+	if w, err := decodeHeld(there); err == nil && (w.Round > h.Round || w.Round == h.Round && w.Probes >= h.Probes) {
+		return nil // already written by another node
 	}
 	o.Revision = there.Revision
 	_, err = q.store.Put(ctx, o)
@@ -231,26 +234,26 @@
 	return err
 }
 
-// keptOf reads what the store keeps of a request.
-func keptOf(o store.Object) (quarantine.HeldWord, error) {
+// decodeHeld decodes a stored request.
+func decodeHeld(o store.Object) (quarantine.HeldWord, error) {
 	var k quarantine.HeldWord
 	if err := o.Readable(); err != nil {
 		return k, err
 	}
 	if err := json.Unmarshal(o.Data, &k); err != nil {
-		return k, errors.Wrap(err, "request that is held back")
+		return k, errors.Wrap(err, "decode quarantined request")
 	}
 	if k.Print.String() != o.Name {
-		return k, errors.Newf("request %s under the name %.40q", k.Print, o.Name)
+		return k, errors.Newf("request %s stored under the name %.40q", k.Print, o.Name)
 	}
 	return k, nil
 }
 
-// load reads what the store keeps, once, at the start: a node that knows nothing, as all
-// do after a loss of power, would send each of them on until endpoints end again. The time
-// for which they are held back begins anew.
-func (q *quarantined) load(ctx context.Context) {
-	for pause := keepPause; ctx.Err() == nil; pause = min(2*pause, loadMost) {
+// load reads the stored requests once, at the start. Without it nodes that know nothing, as all do
+// after a power loss, would send each of them on until endpoints end again. The quarantine period
+// of each begins anew.
+func (q *quarantineManager) load(ctx context.Context) {
+	for pause := firstWriteRetry; ctx.Err() == nil; pause = min(2*pause, maxLoadDelay) {
 		if q.loadOnce(ctx) {
 			return
 		}
@@ -261,23 +264,23 @@
 	}
 }
 
-func (q *quarantined) loadOnce(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (q *quarantineManager) loadOnce(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	objects, _, err := q.store.Store.List(ctx, quarantineKind)
 	if err != nil {
-		q.log.WithField("dependency", "store").WithError(err).Warn("requests that are held back not read yet")
+		q.log.WithField("dependency", "store").WithError(err).Warn("quarantined requests not read yet")
 		return false
 	}
 	for _, o := range objects {
-		k, err := keptOf(o)
+		k, err := decodeHeld(o)
 		if err != nil {
-			q.faults.Tell(o, "request that is held back", "nothing of it", err)
+			q.faults.Tell(o, "quarantined request", "nothing of it", err)
 			continue
 		}
 		k.AgeMs, k.Stored = 0, true
 		if h, news := q.Learn(k, clock.Now()); news {
-			q.tell(h, "store")
+			q.onChange(h, "store")
 		}
 	}
 	return true
--- a/fleet/relay/quarantine_probe.go
+++ b/fleet/relay/quarantine_probe.go
@@ -13,60 +13,60 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// probeTurn is the time after which the next node probes: an end under the first probe is known
-// by then.
-const probeTurn = 10 * time.Second
+// probeSlot is the time after which the next node probes: an endpoint that ends under the first
+// probe is known by then.
+const probeSlot = 10 * time.Second
 
-// probeLater has this node probe a request that is held back, in its turn. Whether it was
+// scheduleProbe has this node probe a quarantined request in its slot. Whether the request was
 // answered before may be known only by then.
-func (q *quarantined) probeLater(h quarantine.Held) {
+func (q *quarantineManager) scheduleProbe(h quarantine.Held) {
 	time.AfterFunc(clock.Until(q.ProbeAt(h)), func() {
-		turn := q.turn(h.Print.String())
-		if turn >= quarantine.MostProbes {
+		slot := q.slot(h.Print.String())
+		if slot >= quarantine.MostProbes {
 			return
 		}
-		time.Sleep(time.Duration(turn) * probeTurn)
+		time.Sleep(time.Duration(slot) * probeSlot)
 		q.probe(h)
 	})
 }
 
-// probe claims one of the probes of a round in the store, so that nodes that are cut off from
-// each other, or start anew, send no more of them together than one would. It waits for the store
-// as long as the request is held back.
-func (q *quarantined) probe(h quarantine.Held) {
+// probe claims one of the probes of a round in the store, so that nodes that are partitioned or
+// restart send no more of them together than one node would. It waits for the store for as long as
+// the request is quarantined.
+func (q *quarantineManager) probe(h quarantine.Held) {
 	entry := q.log.WithFields(log.Fields{"print": h.Print.String(), "customer": h.Customer, "round": h.Round})
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		if !q.MayProbe(h, clock.Now()) {
 			return
 		}
 		claimed, ok, err := q.claim(h)
 		if err == nil {
-			entry.WithField("probes", claimed.Probes).WithField("claimed", ok).Info("probe of a request that is held back: the next call of it is sent on if this node claimed it")
+			entry.WithField("probes", claimed.Probes).WithField("claimed", ok).Info("probe of a quarantined request: its next call is sent if this node claimed the probe")
 			if ok {
 				q.Arm(claimed)
 			}
 			return
 		}
-		entry.WithField("dependency", "store").WithError(err).Warn("probe of a request that is held back not claimed yet")
-		time.Sleep(store.Jittered(pauseAfter(try)))
+		entry.WithField("dependency", "store").WithError(err).Warn("probe of a quarantined request not claimed yet")
+		time.Sleep(store.Jittered(retryDelay(attempt)))
 	}
 }
 
-// claim counts one more probe of a round in the store, if any is left. What is not kept there
-// yet, or no longer, is not probed: a request that was let go would be kept again.
-func (q *quarantined) claim(h quarantine.Held) (claimed quarantine.Held, ok bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+// claim counts one more probe of a round in the store, if any is left. A request that is not
+// stored yet, or no longer, is not probed: the claim would store a released request again.
+func (q *quarantineManager) claim(h quarantine.Held) (claimed quarantine.Held, ok bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
 	o, err := q.store.Get(ctx, quarantineKind, h.Print.String())
 	if err != nil {
 		return h, false, err
 	}
-	there, err := keptOf(o)
+	there, err := decodeHeld(o)
 	if err != nil {
 		return h, false, err
 	}
 	if now, known := q.Of(h.Print); known && now.Round == h.Round {
-		h.Probes = max(h.Probes, now.Probes) // the store may be back from a copy of before
+		h.Probes = max(h.Probes, now.Probes) // the store may have been restored from an earlier copy
 	}
 	if there.Round == h.Round {
 		h.Probes = max(h.Probes, there.Probes)
@@ -74,19 +74,19 @@
 	if there.Round > h.Round || h.Probes >= quarantine.MostProbes {
 		return h, false, nil
 	}
-	h.Probes, h.Answered = h.Probes+1, true // else it would not be probed
-	if o.Data, err = kept(h); err != nil {
+	h.Probes, h.Answered = h.Probes+1, true // otherwise it would not be probed
+	if o.Data, err = encodeHeld(h); err != nil {
 		return h, false, err
 	}
 	_, err = q.store.Put(ctx, o)
 	return h, err == nil, err
 }
 
-// kept is a request as the store keeps it: of no age, since the store has no clock that only
-// goes on.
-func kept(h quarantine.Held) (json.RawMessage, error) {
-	word := quarantine.WordOf(h, h.Since)
-	word.Stored = true
-	data, err := json.Marshal(word)
-	return data, errors.Wrap(err, "request to keep")
+// encodeHeld encodes a request for the store. Its age is zero, since the store has no monotonic
+// clock.
+func encodeHeld(h quarantine.Held) (json.RawMessage, error) {
+	report := quarantine.WordOf(h, h.Since)
+	report.Stored = true
+	data, err := json.Marshal(report)
+	return data, errors.Wrap(err, "encode quarantined request")
 }
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -16,7 +16,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-func (s *keptStore) Get(_ context.Context, _, name string) (store.Object, error) {
+func (s *quarantineStore) Get(_ context.Context, _, name string) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
@@ -29,8 +29,8 @@
 	return o, nil
 }
 
-func (q *quarantined) probes() bool {
-	_, ok := q.Probe(deadlyPrint, clock.Now())
+func (q *quarantineManager) probes() bool {
+	_, ok := q.Probe(deadlyFingerprint, clock.Now())
 	return ok
 }
 
@@ -38,12 +38,12 @@
 // are cut off from each other and those that start anew among them.
 func TestProbesOfARequestAreBoundedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}}
+		s := &quarantineStore{objects: map[string]store.Object{}}
 		sent := 0
 		for range 5 {
 			q := keeping(s) // each one believes that it is the first
 			h := q.heldBack(t, 1)
-			q.keep(h)
+			q.persist(h)
 			q.probe(h)
 			for q.probes() {
 				sent++
@@ -52,7 +52,7 @@
 		assert.Equal(t, quarantine.MostProbes, sent)
 		later := keeping(s)
 		h := later.heldBack(t, 2)
-		later.keep(h)
+		later.persist(h)
 		later.probe(h)
 		assert.True(t, later.probes(), "each round has its own")
 	})
@@ -60,9 +60,9 @@
 
 func TestANodeThatFindsARequestInTheStoreProbesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}}
+		s := &quarantineStore{objects: map[string]store.Object{}}
 		q := keeping(s)
-		q.keep(q.heldBack(t, 1))
+		q.persist(q.heldBack(t, 1))
 		started := keeping(s)
 		require.True(t, started.loadOnce(t.Context()))
 		assert.False(t, started.probes())
@@ -78,12 +78,12 @@
 			turn  int
 			after time.Duration
 			want  bool
-		}{{1, probeTurn - time.Second, false}, {1, probeTurn, true}, {2, time.Minute / 2, false}} {
-			q := keeping(&keptStore{objects: map[string]store.Object{}}) // none was claimed by others
-			q.turn = func(string) int { return c.turn }
+		}{{1, probeSlot - time.Second, false}, {1, probeSlot, true}, {2, time.Minute / 2, false}} {
+			q := keeping(&quarantineStore{objects: map[string]store.Object{}}) // none was claimed by others
+			q.slot = func(string) int { return c.turn }
 			h := q.heldBack(t, 1)
 			require.NoError(t, q.write(h))
-			q.probeLater(h)
+			q.scheduleProbe(h)
 			time.Sleep(quarantine.DefaultRule().Probe + c.after)
 			synctest.Wait()
 			assert.Equal(t, c.want, q.probes(), "turn %d after %s", c.turn, c.after)
@@ -93,10 +93,10 @@
 
 func TestNoProbeIsSentThatTheStoreDidNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}, lost: true}
+		s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 		q := keeping(s)
 		h := q.heldBack(t, 1)
-		go q.keep(h)
+		go q.persist(h)
 		go q.probe(h)
 		time.Sleep(2 * time.Second)
 		assert.False(t, q.probes())
@@ -112,7 +112,7 @@
 // was claimed while it was let go.
 func TestAProbeKeepsNoRequestThatWasLetGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}}
+		s := &quarantineStore{objects: map[string]store.Object{}}
 		q := keeping(s)
 		q.probe(q.heldBack(t, 1))
 		assert.Empty(t, s.objects)
@@ -124,16 +124,16 @@
 func TestProbesStayCountedWhereTheStoreIsAnOlderCopy(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(t *testing.T, s *keptStore, q *quarantined) *quarantined // who probes next
+		then func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager // who probes next
 	}{
-		{"it is written back, and a node starts", func(t *testing.T, s *keptStore, q *quarantined) *quarantined {
+		{"it is written back, and a node starts", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
 			q.writeBack()
 			synctest.Wait()
 			started := keeping(s)
 			require.True(t, started.loadOnce(t.Context()))
 			return started
 		}},
-		{"another node was told of them", func(t *testing.T, s *keptStore, q *quarantined) *quarantined {
+		{"another node was told of them", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
 			other := keeping(s)
 			other.heldBack(t, 1)
 			other.Book.Heard(q.Digest(clock.Now()), clock.Now())
@@ -143,10 +143,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &keptStore{objects: map[string]store.Object{}}
+				s := &quarantineStore{objects: map[string]store.Object{}}
 				q := keeping(s)
 				h := q.heldBack(t, 1)
-				q.keep(h)
+				q.persist(h)
 				older := maps.Clone(s.objects)
 				for range quarantine.MostProbes {
 					q.probe(h)
@@ -156,7 +156,7 @@
 				s.objects = older
 				s.mu.Unlock()
 				next := c.then(t, s, q)
-				h, _ = next.Of(deadlyPrint)
+				h, _ = next.Of(deadlyFingerprint)
 				next.probe(h)
 				assert.False(t, next.probes())
 			})
@@ -167,13 +167,13 @@
 // Guards against probes without end by a word of fewer than none.
 func TestAWordOfFewerProbesThanNoneIsOfNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}}
-		data, err := json.Marshal(quarantine.HeldWord{Print: deadlyPrint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
+		s := &quarantineStore{objects: map[string]store.Object{}}
+		data, err := json.Marshal(quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
 		require.NoError(t, err)
-		s.objects[deadlyPrint.String()] = store.Object{Kind: quarantineKind, Name: deadlyPrint.String(), Data: data, Revision: 1}
+		s.objects[deadlyFingerprint.String()] = store.Object{Kind: quarantineKind, Name: deadlyFingerprint.String(), Data: data, Revision: 1}
 		q := keeping(s)
 		require.True(t, q.loadOnce(t.Context()))
-		h, _ := q.Of(deadlyPrint)
+		h, _ := q.Of(deadlyFingerprint)
 		sent := 0
 		for range 2 * quarantine.MostProbes {
 			q.probe(h)
@@ -190,15 +190,15 @@
 func TestWhoeverKnowsThatARequestWasAnsweredItIsProbed(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(q *quarantined, told quarantine.HeldWord)
+		then func(q *quarantineManager, told quarantine.HeldWord)
 		want bool
 	}{
-		{"nobody", func(*quarantined, quarantine.HeldWord) {}, false},
-		{"a node that tells of it later", func(q *quarantined, told quarantine.HeldWord) {
+		{"nobody", func(*quarantineManager, quarantine.HeldWord) {}, false},
+		{"a node that tells of it later", func(q *quarantineManager, told quarantine.HeldWord) {
 			told.Answered = true
 			q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{told}}, clock.Now())
 		}, true},
-		{"this node, by an end", func(q *quarantined, told quarantine.HeldWord) {
+		{"this node, by an end", func(q *quarantineManager, told quarantine.HeldWord) {
 			s := quarantine.Suspect{Print: told.Print, Customer: told.Customer, Answered: true}
 			q.Heard("another", quarantine.Words{Ends: []quarantine.EndWord{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
 		}, true},
@@ -206,19 +206,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &keptStore{objects: map[string]store.Object{}}
+				s := &quarantineStore{objects: map[string]store.Object{}}
 				q := keeping(s)
-				told := quarantine.HeldWord{Print: deadlyPrint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
+				told := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
 				q.Heard("first", quarantine.Words{Held: []quarantine.HeldWord{told}}, clock.Now())
-				h, _ := q.Of(deadlyPrint)
-				q.keep(h)
+				h, _ := q.Of(deadlyFingerprint)
+				q.persist(h)
 				c.then(q, told)
 				time.Sleep(quarantine.DefaultRule().Probe)
 				synctest.Wait()
 				assert.Equal(t, c.want, q.probes())
 				started := keeping(s)
 				require.True(t, started.loadOnce(t.Context()))
-				h, _ = started.Of(deadlyPrint)
+				h, _ = started.Of(deadlyFingerprint)
 				assert.Equal(t, c.want, h.Answered, "nodes that start know it")
 			})
 		})
@@ -231,17 +231,17 @@
 	for _, out := range []time.Duration{2 * time.Second, time.Minute, 5 * time.Minute} {
 		t.Run(out.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &keptStore{objects: map[string]store.Object{}, lost: true}
+				s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 				q := keeping(s)
-				w := quarantine.HeldWord{Print: deadlyPrint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
+				w := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
 				q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now())
-				h, _ := q.Of(deadlyPrint)
-				go q.keep(h)
+				h, _ := q.Of(deadlyFingerprint)
+				go q.persist(h)
 				time.Sleep(out)
 				s.mu.Lock()
 				s.lost = false
 				s.mu.Unlock()
-				time.Sleep(4 * keepSlowly)
+				time.Sleep(4 * laterWriteRetry)
 				synctest.Wait()
 				assert.True(t, q.probes())
 				time.Sleep(10 * time.Minute) // what waits ends with the hold
--- a/fleet/relay/quarantine_test.go
+++ b/fleet/relay/quarantine_test.go
@@ -19,7 +19,7 @@
 )
 
 // keptStore keeps the objects of one kind, and counts its calls.
-type keptStore struct {
+type quarantineStore struct {
 	store.Store
 	mu      sync.Mutex
 	objects map[string]store.Object
@@ -27,7 +27,7 @@
 	lost    bool // it refuses
 }
 
-func (s *keptStore) List(context.Context, string) ([]store.Object, store.Revision, error) {
+func (s *quarantineStore) List(context.Context, string) ([]store.Object, store.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
@@ -40,7 +40,7 @@
 	return all, 1, nil
 }
 
-func (s *keptStore) Put(_ context.Context, o store.Object) (store.Object, error) {
+func (s *quarantineStore) Put(_ context.Context, o store.Object) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
@@ -56,7 +56,7 @@
 	return o, nil
 }
 
-func (s *keptStore) Delete(_ context.Context, _, name string) error {
+func (s *quarantineStore) Delete(_ context.Context, _, name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.objects[name]; !known {
@@ -67,56 +67,56 @@
 }
 
 // keeping is a node that judges, before a store.
-func keeping(s store.Store) *quarantined {
+func keeping(s store.Store) *quarantineManager {
 	n := testNode()
 	n.store = store.NewSourced(s, func() []store.Source { return nil })
-	q := &quarantined{Node: n, turn: func(string) int { return 0 }}
+	q := &quarantineManager{Node: n, slot: func(string) int { return 0 }}
 	q.Book = quarantine.NewBook(quarantine.DefaultRule(), q, func() quarantine.Role { return quarantine.Peer })
 	return q
 }
 
-var deadlyPrint = quarantine.PrintOf("customer", "POST", "h", "/", []byte("deadly"))
+var deadlyFingerprint = quarantine.PrintOf("customer", "POST", "h", "/", []byte("deadly"))
 
 // heldBack has a node learn of a request that is held back.
-func (q *quarantined) heldBack(t *testing.T, round int) quarantine.Held {
+func (q *quarantineManager) heldBack(t *testing.T, round int) quarantine.Held {
 	t.Helper()
-	w := quarantine.HeldWord{Print: deadlyPrint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
+	w := quarantine.HeldWord{Print: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
 	require.Len(t, q.Book.Heard(quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now()), 1)
-	h, _ := q.Of(deadlyPrint)
+	h, _ := q.Of(deadlyFingerprint)
 	return h
 }
 
 // A request that is held back is written once, whoever judged, and a later round over an
 // earlier one; it is taken away as it is let go. A node that starts reads it.
 func TestTheStoreKeepsWhatIsHeldBack(t *testing.T) {
-	s := &keptStore{objects: map[string]store.Object{}}
+	s := &quarantineStore{objects: map[string]store.Object{}}
 	first, second := keeping(s), keeping(s)
-	first.keep(first.heldBack(t, 1))
-	second.keep(second.heldBack(t, 1))
+	first.persist(first.heldBack(t, 1))
+	second.persist(second.heldBack(t, 1))
 	assert.Equal(t, 1, s.writes, "the second one finds it there")
-	assert.Contains(t, s.objects, deadlyPrint.String())
+	assert.Contains(t, s.objects, deadlyFingerprint.String())
 	started := keeping(s)
 	require.True(t, started.loadOnce(t.Context()))
-	assert.True(t, started.Holds(deadlyPrint, clock.Now()))
+	assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
 	assert.True(t, started.Watches("customer"))
 	later := keeping(s)
-	later.keep(later.heldBack(t, 2))
+	later.persist(later.heldBack(t, 2))
 	assert.Equal(t, 2, s.writes)
-	require.True(t, started.Release(deadlyPrint, clock.Now()))
-	assert.Eventually(t, func() bool { h, _ := started.Of(deadlyPrint); return h.Stored }, time.Second, time.Millisecond)
+	require.True(t, started.Release(deadlyFingerprint, clock.Now()))
+	assert.Eventually(t, func() bool { h, _ := started.Of(deadlyFingerprint); return h.Stored }, time.Second, time.Millisecond)
 	assert.Empty(t, s.objects)
 }
 
 // What can't be read holds nothing back, and costs no other; a store that refuses is asked
 // again.
 func TestEntriesOfRequestsThatCantBeRead(t *testing.T) {
-	s := &keptStore{objects: map[string]store.Object{}, lost: true}
+	s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 	writer := keeping(s)
 	h := writer.heldBack(t, 1)
 	started := keeping(s)
 	assert.False(t, started.loadOnce(t.Context()))
 	s.lost = false
-	writer.keep(h)
+	writer.persist(h)
 	other := quarantine.PrintOf("customer", "POST", "h", "/", []byte("other"))
 	data, err := json.Marshal(quarantine.HeldWord{Print: other, Round: 1, ForMs: 60_000})
 	require.NoError(t, err)
@@ -125,7 +125,7 @@
 	}
 	s.objects["unreadable"] = store.Object{Kind: quarantineKind, Name: "unreadable", Fault: "no JSON"}
 	require.True(t, started.loadOnce(t.Context()))
-	assert.True(t, started.Holds(deadlyPrint, clock.Now()))
+	assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
 	assert.False(t, started.Holds(other, clock.Now()))
 	assert.Len(t, started.List(clock.Now()), 1)
 }
@@ -133,14 +133,14 @@
 // When its time is over one node takes a request out of the store, unless it was held back
 // anew, or let go.
 func TestARequestWhoseTimeIsOverIsTakenAway(t *testing.T) {
-	s := &keptStore{objects: map[string]store.Object{}}
+	s := &quarantineStore{objects: map[string]store.Object{}}
 	q := keeping(s)
 	h := q.heldBack(t, 1)
-	q.keep(h)
-	q.turn = func(string) int { return 1 }
+	q.persist(h)
+	q.slot = func(string) int { return 1 }
 	q.expire(h)
 	assert.Len(t, s.objects, 1, "another node does")
-	q.turn = func(string) int { return 0 }
+	q.slot = func(string) int { return 0 }
 	old := h
 	old.Round = 0
 	q.expire(old)
@@ -152,16 +152,16 @@
 
 // An endpoint that takes connections has not ended, and one that refuses them has.
 func TestAnEndpointIsAskedWhetherItHasEnded(t *testing.T) {
-	q := keeping(&keptStore{})
+	q := keeping(&quarantineStore{})
 	listening := freeListener(t)
 	alive := engine.Engine{ID: "alive", Address: listening.Addr().String(), Service: "s"}
 	gone := engine.Engine{ID: "gone", Address: closedAddress(t), Service: "s"}
 	q.Engines([]engine.Engine{alive, gone}, clock.Now())
 	for _, e := range []engine.Engine{alive, gone} {
-		q.Cut(e, quarantine.Suspect{Print: deadlyPrint, Customer: e.ID}, clock.Now())
+		q.Cut(e, quarantine.Suspect{Print: deadlyFingerprint, Customer: e.ID}, clock.Now())
 	}
 	assert.Eventually(t, func() bool { return q.Watches("gone") }, time.Second, time.Millisecond)
-	time.Sleep(endedAfter + endedAgain + 50*time.Millisecond)
+	time.Sleep(firstEndCheck + secondEndCheck + 50*time.Millisecond)
 	assert.False(t, q.Watches("alive"))
 }
 
@@ -185,19 +185,19 @@
 // the store lacks them.
 func TestWhatIsHeldBackIsWrittenBackToACopyOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &keptStore{objects: map[string]store.Object{}}
+		s := &quarantineStore{objects: map[string]store.Object{}}
 		q := keeping(s)
-		q.keep(q.heldBack(t, 1))
+		q.persist(q.heldBack(t, 1))
 		s.objects = map[string]store.Object{}
 		q.writeBack()
 		time.Sleep(time.Second)
 		started := keeping(s)
 		require.True(t, started.loadOnce(t.Context()))
-		assert.True(t, started.Holds(deadlyPrint, clock.Now()))
-		others := &keptStore{objects: map[string]store.Object{}} // the nodes before probe it in theirs
+		assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
+		others := &quarantineStore{objects: map[string]store.Object{}} // the nodes before probe it in theirs
 		behind := keeping(others)
 		behind.heldBack(t, 1)
-		behind.turn = func(string) int { return 7 }
+		behind.slot = func(string) int { return 7 }
 		behind.writeBack()
 		time.Sleep(time.Minute)
 		assert.Zero(t, others.writes, "others do so")
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is one node of the fleet on a platform that keeps all that must
-// last: it relays calls as bytes between callers and endpoints under prepaid
-// budgets, and keeps nothing itself. An adapter speaks the platform's words.
+// Package relay implements a node of the fleet on a platform whose store keeps all durable state.
+// A node relays calls as bytes between callers and endpoints under prepaid budgets, and stores
+// nothing itself. An adapter translates the platform's protocols.
 package relay
 
 import (
@@ -44,10 +44,10 @@
 	"github.com/lynxshed/lynxshed/fleet/version"
 )
 
-// Adapter is what a platform brings.
+// Adapter connects a node to a platform.
 type Adapter interface {
 	Store() store.Store
-	// Eras tells when the store came back from a copy.
+	// Eras reports when the store was restored from a copy.
 	Eras() *store.Eras
 	Wire() call.Wire
 	// PolicyAt names the object that holds the policy.
@@ -56,15 +56,15 @@
 	// EngineKind names the kind in which endpoints register.
 	EngineKind() string
 	Engine(o store.Object, now time.Time) (engine.Engine, error)
-	// EvacuationKind names the kind in which operators ask for zones to be emptied.
+	// EvacuationKind names the kind in which operators request the evacuation of zones.
 	EvacuationKind() string
 	Evacuation(store.Object) (zone string)
-	// RolloutKind names the kind in which operators ask for services to move to another
-	// version, and in whose statuses the fleet keeps how far it has come.
+	// RolloutKind names the kind in which operators order services to move to another version. The
+	// fleet keeps the progress in the statuses of its objects.
 	RolloutKind() string
 	Rollout(o store.Object, now time.Time) (rollout.Rollout, error)
 	RolloutStatus(rollout.Status) (json.RawMessage, error)
-	// DropIdle closes the connections to the store that no call uses.
+	// DropIdle closes idle connections to the store.
 	DropIdle()
 }
 
@@ -72,94 +72,96 @@
 type Node struct {
 	settings Settings
 	adapter  Adapter
-	store    *store.Sourced          // the adapter's, counted; other nodes answer for it in a large fleet
+	store    *store.Sourced          // the adapter's store with call counters; in a large fleet other nodes answer for it
 	caches   map[string]*store.Cache // by kind, for peers that ask this node
 	health   *store.Health
 	eras     *store.Eras
 	log      log.Interface
 
-	policy           atomic.Pointer[policy.Policy]
-	engines          atomic.Pointer[engine.Directory]
-	evacuations      atomic.Pointer[evacuation.Zones] // nil: not known yet
-	rollouts         atomic.Pointer[rollout.Set]      // nil: not known yet
-	moves            atomic.Pointer[forward.Trials]   // of the services whose order is open
-	engineTable      *engineTable
-	trials           *trials
-	ordersAgain      store.Again
-	evacuationsAgain store.Again
-	faults           *store.Faults // tells of entries that can't be read
-	bounds           *bound.Gate
-	limits           *limit.Book  // nil: what endpoints name counts for nothing
-	notices          *notice.Book // nil: what endpoints say in answers counts for nothing
-	allowance        *account.Allowance
-	syncer           *account.Syncer
-	picker           *choice.Picker
-	doubts           *doubt.Book  // nil: what other nodes tell of failures counts for nothing
-	quarantine       *quarantined // nil: no request is held back
-	places           distance.Places
-	registry         *peer.Registry
-	gossip           *peer.Gossip
-	gate             *overload.Gate
-	intake           *overload.Intake
-	meter            *link.Meter
-	memory           *memory.Budget           // of calls in progress
-	dropIdle         func(address string) int // connections to an endpoint, that rest
-	handler          *forward.Handler
-	ingress          *ingress.Listener
-	telemetry        *telemetry.Telemetry
-	metrics          *Metrics
-	leaving          atomic.Bool
-	confirming       confirming
-	standstills      *clock.Standstills
-	dropAllIdle      func() int // connections to endpoints, that rest
+	policy             atomic.Pointer[policy.Policy]
+	engines            atomic.Pointer[engine.Directory]
+	evacuations        atomic.Pointer[evacuation.Zones] // nil: not known yet
+	rollouts           atomic.Pointer[rollout.Set]      // nil: not known yet
+	moves              atomic.Pointer[forward.Trials]   // of the services with an open order
+	engineTable        *engineTable
+	trials             *trials
+	ordersRefresh      store.Again
+	evacuationsRefresh store.Again
+	faults             *store.Faults // logs entries that can't be read
+	bounds             *bound.Gate
+	limits             *limit.Book  // nil: limits of endpoints are ignored
+	notices            *notice.Book // nil: notices in answers of endpoints are ignored
+	allowance          *account.Allowance
+	syncer             *account.Syncer
+	picker             *choice.Picker
+	suspicions         *doubt.Book        // nil: failures that other nodes report are ignored
+	quarantine         *quarantineManager // nil: no request is quarantined
+	places             distance.Places
+	registry           *peer.Registry
+	gossip             *peer.Gossip
+	gate               *overload.Gate
+	intake             *overload.Intake
+	meter              *link.Meter
+	memory             *memory.Budget           // of calls in progress
+	dropIdle           func(address string) int // closes idle connections to an endpoint
+	handler            *forward.Handler
+	ingress            *ingress.Listener
+	telemetry          *telemetry.Telemetry
+	metrics            *Metrics
+	leaving            atomic.Bool
+	confirmation       confirmation
+	stalls             *clock.Standstills
+	dropAllIdle        func() int // closes idle connections to all endpoints
 }
 
-// Bounds of the process and of the server towards the balancer.
+// Bounds of the process and of its HTTP servers for the balancer and for peers.
 const (
 	headerTimeout  = 5 * time.Second
-	memoryShare    = 0.8  // of the bound, for the collector's aim
-	garbagePercent = 50   // of what is in use, that may wait for the collector: half of the usual, for processes that are bounded
-	callsShare     = 0.35 // of the bound, for what calls in progress hold; docs/design/14-hot-customers.md
+	memoryShare    = 0.8  // of the memory bound, as the limit of the garbage collector
+	garbagePercent = 50   // GC percent: half of the default, for processes with a memory bound
+	callsShare     = 0.35 // of the memory bound, for calls in progress; docs/design/14-hot-customers.md
 )
 
-func part(of float64, whole time.Duration) time.Duration { return time.Duration(of * float64(whole)) }
+func fraction(of float64, whole time.Duration) time.Duration {
+	return time.Duration(of * float64(whole))
+}
 
 // New builds a node.
 func New(s Settings, a Adapter, l log.Interface) (*Node, error) {
 	limitMemory(s.MemoryMB)
-	n := &Node{settings: s, adapter: a, places: s.Places(), standstills: clock.NewStandstills(), log: l}
-	n.health = store.NewHealth().WithStandstills(n.standstills.Since)
-	if err := n.measure(); err != nil {
+	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStandstills(), log: l}
+	n.health = store.NewHealth().WithStandstills(n.stalls.Since)
+	if err := n.initTelemetry(); err != nil {
 		return nil, err
 	}
 	n.faults = store.NewFaults(l, n.metrics)
 	n.eras = a.Eras()
 	n.eras.OnRise(n.storeRestored)
 	n.store = store.NewSourced(store.Probed(store.Counted(a.Store(), n.metrics)), n.sources).WithEras(n.eras)
-	life := uuid.NewString()
-	self := peer.Member{Name: s.Node, Life: life, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
-	n.allowance = account.NewAllowance(s.Node, life, s.Budget.Tuning())
+	incarnation := uuid.NewString()
+	self := peer.Member{Name: s.Node, Life: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
+	n.allowance = account.NewAllowance(s.Node, incarnation, s.Budget.Tuning())
 	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Out() })
 	n.picker = choice.NewPicker(s.Zone, s.Choice()).WithColdGate(n.bounds, cold.Rule{Overrun: s.Cold.Overrun, Tolerance: s.Cold.Tolerance}).WithPlaces(n.places)
-	n.engineTable, n.trials = newEngineTable(n), newTrials(n, life)
+	n.engineTable, n.trials = newEngineTable(n), newTrials(n, incarnation)
 	n.registry = peer.NewRegistry(n.store, self, n.health, s.History(), l).WithFaults(n.faults)
 	if s.Bootstrap && s.Enabled(delegatesMechanism) {
-		n.registry.Starting(firstRegistrations)
+		n.registry.Starting(bootstrapTime)
 	}
 	gossip, err := peer.Listen(s.Peer, n.registry, n.picker, n.allowance, func() bool { return n.syncer.Out() })
 	if err != nil {
 		return nil, err
 	}
-	n.tellFailures(gossip)
-	n.holdBack(gossip)
-	n.keepLimits(gossip)
-	n.heedNotices(gossip)
+	n.enableFailureReports(gossip)
+	n.enableQuarantine(gossip)
+	n.enableLimits(gossip)
+	n.enableNotices(gossip)
 	n.gossip = gossip.WithRollouts(n.trials).WithPlaces(n.places).WithEras(n.eras).WithLink(func() bool { return n.intake.Share() > busyLink })
 	n.trials.fleet = gossip
 	n.registry.OnChange(func(members []peer.Member) {
 		n.bounds.Nodes(lo.Map(members, func(m peer.Member, _ int) string { return m.Name }), clock.Now())
 	})
-	n.registry.OnChange(newBuilds(n).tell)
+	n.registry.OnChange(newBuilds(n).logChange)
 	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithTurns(gossip.Turn, gossip.Heard()).WithEras(n.eras)
 	n.gate = overload.NewGate(overload.DefaultRule())
 	n.intake = overload.NewIntake(overload.DefaultIntakeRule())
@@ -171,7 +173,7 @@
 		Wire: a.Wire(), Policy: &n.policy, Engines: &n.engines, Trials: &n.moves, Samples: n.trials, Allowance: n.allowance, Picker: n.picker,
 		Retries:    retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
 		Returns:    limit.NewReturns(),
-		Quarantine: n.book(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Unread: n.standstills.Unread, Stood: n.standstills.Since, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
+		Quarantine: n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Unread: n.stalls.Unread, Stood: n.stalls.Since, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
 	})
 	if n.ingress, err = ingress.Listen(s.Listen, n.handler, l); err != nil {
 		return nil, errors.CombineErrors(err, gossip.Close())
@@ -180,8 +182,8 @@
 	return n, nil
 }
 
-// measure sets up metrics, and traces where the settings say where spans go.
-func (n *Node) measure() (err error) {
+// initTelemetry sets up metrics, and traces if the settings name a destination for spans.
+func (n *Node) initTelemetry() (err error) {
 	n.telemetry, err = telemetry.New(context.Background(), telemetry.Options{
 		Node: n.settings.Node, Zone: n.settings.Zone, OTLPEndpoint: n.settings.Trace.OTLPEndpoint, TraceFile: n.settings.Trace.File,
 	})
@@ -192,7 +194,7 @@
 	return err
 }
 
-// tracer takes the spans of calls; nil where nothing takes them.
+// tracer returns the tracer of calls; nil if spans have no destination.
 func (n *Node) tracer() trace.Tracer {
 	if !n.telemetry.Traces {
 		return nil
@@ -211,36 +213,37 @@
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	balancer, err := net.Listen("tcp4", n.settings.Ready.Address)
+	readyListener, err := net.Listen("tcp4", n.settings.Ready.Address)
 	if err != nil {
 		return errors.Wrapf(err, "listen for the balancer at %s", n.settings.Ready.Address)
 	}
-	peers, err := net.Listen("tcp4", n.settings.Peer)
+	peerListener, err := net.Listen("tcp4", n.settings.Peer)
 	if err != nil {
-		_ = balancer.Close()
+		_ = readyListener.Close()
 		return errors.Wrapf(err, "listen for peers at %s", n.settings.Peer)
 	}
 	n.follow(ctx)
-	asked := &http.Server{Handler: peer.CacheHandler(n.caches), ReadHeaderTimeout: headerTimeout}
-	ready := &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTimeout}
+	peerServer := &http.Server{Handler: peer.CacheHandler(n.caches), ReadHeaderTimeout: headerTimeout}
+	readyServer := &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 3)
 	go func() { failed <- n.ingress.Serve() }()
-	go func() { failed <- asked.Serve(peers) }()
-	go func() { failed <- ready.Serve(balancer) }()
+	go func() { failed <- peerServer.Serve(peerListener) }()
+	go func() { failed <- readyServer.Serve(readyListener) }()
 	n.log.WithField("zone", n.settings.Zone).WithField("listen", n.settings.Listen).WithField("build", version.Build()).Info("started")
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
 	}
 	_ = n.ingress.Close()
-	_ = ready.Close()
-	_ = asked.Close()
-	closing, done := context.WithTimeout(context.Background(), n.handBack()/3)
+	_ = readyServer.Close()
+	_ = peerServer.Close()
+	closing, done := context.WithTimeout(context.Background(), n.returnTime()/3)
 	defer done()
 	return errors.CombineErrors(err, n.telemetry.Close(closing))
 }
 
-// readyHandler answers what the balancer asks, serves the metrics, and what operators ask.
+// readyHandler serves the readiness check of the balancer, the metrics and the requests of
+// operators.
 func (n *Node) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.settings.Ready.Path, func(w http.ResponseWriter, _ *http.Request) {
@@ -253,19 +256,19 @@
 	return mux
 }
 
-// Ready is whether new callers are welcome.
+// Ready reports whether the node accepts new callers.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.confirming.over() && n.intake.Open() && n.policy.Load() != nil && n.engines.Load() != nil && n.evacuations.Load() != nil && n.rollouts.Load() != nil
+	return !n.leaving.Load() && n.confirmation.done() && n.intake.Open() && n.policy.Load() != nil && n.engines.Load() != nil && n.evacuations.Load() != nil && n.rollouts.Load() != nil
 }
 
 // Bounds of a planned stop.
 const (
-	drainPoll    = 50 * time.Millisecond
-	handBackPart = 0.14 // of the stop, kept for giving budgets back and ending: less than the last sixth, in which calls that are still at work may be cut off
+	drainPoll   = 50 * time.Millisecond
+	returnShare = 0.14 // of the stop, for returning budgets and ending: less than the last sixth, in which calls in progress may be interrupted
 )
 
-// Leave is a planned stop: new callers go elsewhere, open calls end, what is
-// left of the budgets goes back. It returns when the node may stop.
+// Leave performs a planned stop: new callers go elsewhere, open calls end, and unused budgets are
+// returned. It returns when the node may stop.
 func (n *Node) Leave(ctx context.Context) {
 	n.leaving.Store(true)
 	started := clock.Now()
@@ -274,37 +277,37 @@
 	n.bounds.Leave()
 	n.ingress.AnnounceClose()
 	sleepUntil(started.Add(n.settings.Notice()))
-	n.log.WithField("closed", n.ingress.DisableKeepAlives()).Info("planned stop: connections that rested were closed")
+	n.log.WithField("closed", n.ingress.DisableKeepAlives()).Info("planned stop: idle connections closed")
 	n.handler.RefuseNew()
-	n.giveBack(ctx)
-	// A call is over when its answer was sent: its handler may return long before, as what it
-	// wrote waits for its turn on a full link.
-	for clock.Since(started) < n.settings.Drain()-n.handBack() && n.ingress.Busy() > 0 {
+	n.returnBudgets(ctx)
+	// A call is over when its answer was sent. Its handler may return long before, as its output
+	// waits for its slot on a full link.
+	for clock.Since(started) < n.settings.Drain()-n.returnTime() && n.ingress.Busy() > 0 {
 		time.Sleep(drainPoll)
 	}
-	n.giveBack(ctx)
+	n.returnBudgets(ctx)
 	n.log.WithField("open", n.handler.Open()).WithField("ms", clock.Since(started).Milliseconds()).Info("planned stop ends")
 }
 
-func (n *Node) handBack() time.Duration { return part(handBackPart, n.settings.Drain()) }
+func (n *Node) returnTime() time.Duration { return fraction(returnShare, n.settings.Drain()) }
 
 func sleepUntil(t time.Time) { time.Sleep(clock.Until(t)) }
 
-// giveBack returns what is left of the budgets, and takes the node off the list.
-func (n *Node) giveBack(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, n.handBack()/3)
+// returnBudgets returns the unused budgets and deregisters the node.
+func (n *Node) returnBudgets(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, n.returnTime()/3)
 	defer cancel()
 	if err := errors.CombineErrors(n.syncer.Leave(ctx), n.registry.Leave(ctx)); err != nil {
-		n.log.WithError(err).Warn("planned stop: something was not given back")
+		n.log.WithError(err).Warn("planned stop: budgets or the registration not returned")
 	}
 }
 
-// tokenSource finds tokens for a request that this node's part does not hold.
+// tokenSource acquires tokens for a request that the local allowance cannot cover.
 type tokenSource struct{ *Node }
 
-// Acquire implements forward.TokenSource: from the store where this node draws and the
-// store answers, else from peers.
-func (l tokenSource) Acquire(ctx context.Context, tenant string, tokens int64) bool {
-	l.syncer.Draw(ctx, tenant)
-	return l.allowance.Missing(tenant, tokens) == 0 || l.gossip.Acquire(ctx, tenant, tokens)
+// Acquire implements forward.TokenSource. It draws from the store if this node draws and the store
+// answers, and otherwise asks peers.
+func (s tokenSource) Acquire(ctx context.Context, tenant string, tokens int64) bool {
+	s.syncer.Draw(ctx, tenant)
+	return s.allowance.Missing(tenant, tokens) == 0 || s.gossip.Acquire(ctx, tenant, tokens)
 }
--- a/fleet/relay/relay_test.go
+++ b/fleet/relay/relay_test.go
@@ -251,7 +251,7 @@
 		s, err := ParseSettings([]byte(`{"disable":["` + name + `"],` + rest + `}`))
 		require.NoError(t, err)
 		assert.False(t, s.Enabled(name))
-		ofTheChoice := name != delegatesMechanism && name != handOnMechanism && name != steerMechanism && name != toldMechanism && name != quarantineMechanism && name != limitsMechanism && name != noticesMechanism
+		ofTheChoice := name != delegatesMechanism && name != redirectMechanism && name != steerMechanism && name != failureReportsMechanism && name != quarantineMechanism && name != limitsMechanism && name != noticesMechanism
 		assert.Equal(t, !ofTheChoice, s.Choice() == choice.DefaultTuning(), name)
 	}
 	_, err := ParseSettings([]byte(`{"disable":["luck"],` + rest + `}`))
--- a/fleet/relay/restored_orders.go
+++ b/fleet/relay/restored_orders.go
@@ -11,19 +11,19 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// writeBackPause is the time before a status that a copy of the store lacks is written back
-// once more.
-const writeBackPause = 2 * time.Second
+// writeBackInterval is the time between attempts to write back a status that a copy of the store
+// lacks.
+const writeBackInterval = 2 * time.Second
 
-// writeOrdersBack writes the statuses of orders that the store lacks since it came back from a
-// copy, until ctx ends: nodes that start would take an order for one that has just begun. Turn
-// is this node's place among those who may.
-func (n *Node) writeOrdersBack(ctx context.Context, turn func(key string) int) {
+// writeOrdersBack writes the statuses of orders that the store lost when it was restored from a
+// copy, until ctx ends. Otherwise nodes that start would treat such an order as new. Slot returns
+// the slot of this node among those who may write.
+func (n *Node) writeOrdersBack(ctx context.Context, slot func(key string) int) {
 	waited, tried := map[string]int{}, map[string]time.Time{}
-	every(ctx, keepTurn, func() {
+	every(ctx, writeSlot, func() {
 		lacking := n.lackingOrders()
 		for name, r := range lacking {
-			if waited[name]++; waited[name] <= turn(name) || clock.Since(tried[name]) < writeBackPause {
+			if waited[name]++; waited[name] <= slot(name) || clock.Since(tried[name]) < writeBackInterval {
 				continue
 			}
 			tried[name] = clock.Now()
@@ -51,14 +51,14 @@
 	entry := n.log.WithFields(rolloutFields(r)).WithField("object", name)
 	data, err := n.adapter.RolloutStatus(r.Status)
 	if err != nil {
-		entry.WithError(err).Warn("status that a copy of the store lacks not written back")
+		entry.WithError(err).Warn("status missing in a copy of the store not written back")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	if _, err = n.store.PutStatus(ctx, store.Object{Kind: n.adapter.RolloutKind(), Name: name, Revision: r.Revision, Status: data}); err != nil {
-		entry.WithField("dependency", "store").WithError(err).Warn("status that a copy of the store lacks not written back")
+		entry.WithField("dependency", "store").WithError(err).Warn("status missing in a copy of the store not written back")
 		return
 	}
-	entry.Info("status that a copy of the store lacks written back")
+	entry.Info("status missing in a copy of the store written back")
 }
--- a/fleet/relay/rollouts.go
+++ b/fleet/relay/rollouts.go
@@ -12,18 +12,18 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// followRollouts keeps up with the services that operators want on another version,
-// where the deployment has bounds for that. There is no rest between changes: each is
-// in force at once. The orders are listed after the endpoints first, so that they are
-// known up to every entry, and need not be listed again.
+// followRollouts follows the orders that move services to another version, if the deployment
+// bounds what a bad version may get. Changes are applied at once, without a pause between them.
+// The orders are listed after the endpoints: they are then known up to every endpoint entry and
+// need not be listed again.
 func (n *Node) followRollouts(ctx context.Context) {
 	if !n.settings.RollsOut() {
 		n.rollouts.Store(&rollout.Set{})
 		return
 	}
 	kind := n.adapter.RolloutKind()
-	w := store.Watching{Kind: kind, Rest: store.Always(0), History: n.settings.History(), Health: n.health, Log: n.log, Small: true, Again: &n.ordersAgain}
-	n.store.Patient(kind, n.ordersPatience)
+	w := store.Watching{Kind: kind, Rest: store.Always(0), History: n.settings.History(), Health: n.health, Log: n.log, Small: true, Again: &n.ordersRefresh}
+	n.store.Patient(kind, n.ordersDelay)
 	go func() {
 		n.awaitPeers(ctx)
 		n.engineTable.awaitListed(ctx)
@@ -33,20 +33,20 @@
 	go n.writeOrdersBack(ctx, n.gossip.TurnFor)
 }
 
-// noOrderPatience is how long a node that hears no delegate, and knows of no open order,
-// asks the store for none: an order that it does not hear of costs it a target that gets
-// nothing from it, and no harm.
-const noOrderPatience = 10 * time.Second
+// noOrderDelay is how long a node that receives from no delegate and knows of no open order waits
+// before it asks the store. An order that it misses meanwhile costs the target the calls of this
+// node and does no harm.
+const noOrderDelay = 10 * time.Second
 
-func (n *Node) ordersPatience() time.Duration {
+func (n *Node) ordersDelay() time.Duration {
 	if n.trials.anyOpen() {
 		return 0
 	}
-	return noOrderPatience
+	return noOrderDelay
 }
 
-// applyRollouts takes orders and what the fleet agreed on for them in force; the
-// follower never hands on an older revision than one before.
+// applyRollouts applies the orders and the statuses that the fleet agreed on. The follower never
+// passes on an older revision than the one before.
 func (n *Node) applyRollouts(c store.Change) {
 	now := clock.Now()
 	before := rollout.Set{}
@@ -63,12 +63,12 @@
 		}
 		fromCopy := before.Revision().IsOfEraBefore(c.Revision)
 		for _, name := range before.Names() {
-			if !listed[name] && !listed[""] && !fromCopy { // one without a name may be any of them
+			if !listed[name] && !listed[""] && !fromCopy { // an entry without a readable name may be any of them
 				next = next.Without(name)
 			}
 		}
-		if fromCopy { // operators write again what it lacks
-			time.AfterFunc(writtenAgain, n.ordersAgain.Ask)
+		if fromCopy { // operators write what the copy lacks again
+			time.AfterFunc(rewriteWindow, n.ordersRefresh.Ask)
 		}
 		next = next.At(c.Revision)
 	case store.Update:
@@ -90,25 +90,26 @@
 	n.engineTable.refresh()
 }
 
-// withOrder takes an object in force. One whose order can't be read leaves the order that
-// was known, since its bounds hold until an operator takes it away.
+// withOrder applies an object. If its order is unreadable, the known order stays, since its bounds
+// hold until an operator deletes it.
 func (n *Node) withOrder(next, before rollout.Set, o store.Object, now time.Time, listed bool) rollout.Set {
 	if o.Name == "" {
 		n.faults.Tell(o, "rollout", "the orders known before", o.Readable())
 		return next
 	}
-	return next.With(o.Name, n.learned(before, o, now, listed))
+	return next.With(o.Name, n.mergeRollout(before, o, now, listed))
 }
 
-// learned translates an object. What it says that was known already of the same order was
-// learned then, and not now; a status that is listed, and not seen to be written, may be old.
-func (n *Node) learned(before rollout.Set, o store.Object, now time.Time, listed bool) rollout.Rollout {
+// mergeRollout decodes an object and merges it with what is known of the same order. An unchanged
+// status keeps the time at which it was learned. A status that was listed, rather than observed as
+// it was written, may be old.
+func (n *Node) mergeRollout(before rollout.Set, o store.Object, now time.Time, listed bool) rollout.Rollout {
 	r, err := n.adapter.Rollout(o, now)
 	known, ok := before.Name(o.Name)
 	if err == nil && ok && (known.Lacking || known.Revision.IsOfEraBefore(o.Revision)) {
 		if r = r.Outlasts(known); r.Lacking {
 			n.faults.Read(o)
-			n.trials.renamed(known.Order, r.Order)
+			n.trials.rekeyWarnings(known.Order, r.Order)
 			return r
 		}
 	}
@@ -135,8 +136,7 @@
 	return r
 }
 
-// logRollouts tells what this node believes of rollouts from now on, a line for each
-// that changed.
+// logRollouts logs a line for each rollout that changed.
 func (n *Node) logRollouts(before, next rollout.Set) {
 	for _, name := range next.Names() {
 		r, _ := next.Name(name)
@@ -160,24 +160,24 @@
 	}
 }
 
-// rolloutFields are what a log line says of a rollout.
+// rolloutFields returns the log fields of a rollout.
 func rolloutFields(r rollout.Rollout) log.Fields {
 	return log.Fields{
 		"service": r.Service, "target": r.Target, "made": r.Made, "revision": r.Revision.Number(), "era": r.Revision.Era(), "durationMs": r.Duration.Milliseconds(),
 		"state": r.State().String(), "stage": r.Status.Stage.String(), "share": r.Status.Share,
-		"usedMs": r.Status.Used.Milliseconds(), "leftMs": r.Status.Left.Milliseconds(), "found": r.Found, "usual": usualFields(r.Status.Usual),
+		"usedMs": r.Status.Used.Milliseconds(), "leftMs": r.Status.Left.Milliseconds(), "found": r.Found, "usual": baselineFields(r.Status.Usual),
 	}
 }
 
-// usualFields are, by route, how long the old version takes in ms, and answers and bad ones
-// that it is known from.
-func usualFields(known []rollout.Reference) map[string][3]int64 {
+// baselineFields returns by route the baseline of the old version: its duration in ms, and the
+// answers and bad answers that it is derived from.
+func baselineFields(known []rollout.Reference) map[string][3]int64 {
 	return lo.SliceToMap(known, func(r rollout.Reference) (string, [3]int64) {
 		return r.Route, [3]int64{r.Usual.Milliseconds(), int64(r.Answers), int64(r.Bad)}
 	})
 }
 
-// stageNumber is how far a rollout has come, for the metrics.
+// stageNumber returns the progress of a rollout as a number for the metrics.
 func stageNumber(r rollout.Rollout) int64 {
 	switch r.State() {
 	case rollout.InProgress:
--- a/fleet/relay/rollouts_test.go
+++ b/fleet/relay/rollouts_test.go
@@ -275,12 +275,12 @@
 		n.engineTable.apply(entries(2, "s/v1/a"))
 		for i := range store.Revision(50) {
 			n.engineTable.apply(changed(25+i, store.Object{Name: "s/v2/b", Revision: 25 + i}))
-			assert.True(t, n.engineTable.asking)
+			assert.True(t, n.engineTable.requestingOrders)
 		}
 		n.applyRollouts(listed(90))
-		time.Sleep(ordersPause)
+		time.Sleep(ordersRefreshInterval)
 		synctest.Wait()
-		assert.False(t, n.engineTable.asking)
+		assert.False(t, n.engineTable.requestingOrders)
 		all, _ := n.may("s")
 		assert.Equal(t, []string{"v1/a", "v2/b"}, all)
 	})
--- a/fleet/relay/settings.go
+++ b/fleet/relay/settings.go
@@ -14,103 +14,103 @@
 	"github.com/lynxshed/lynxshed/fleet/settings/schema"
 )
 
-// Settings of one relaying node: JSON with comments. Fields that are not known
-// are passed over, so that an older node reads a newer file.
+// Settings configure a relaying node, as JSON with comments. Unknown fields are ignored, so that
+// an older node can read a newer file.
 type Settings struct {
-	Node       string            `json:"node"`       // the VM's name, unlike every other
-	Zone       string            `json:"zone"`       // its availability zone
-	Listen     string            `json:"listen"`     // where callers connect, IP:PORT
-	Ready      ReadySettings     `json:"ready"`      // what the balancer asks
-	Peer       string            `json:"peer"`       // for datagrams between nodes, IP:PORT
-	Store      string            `json:"store"`      // the platform's store, IP:PORT
-	HistoryS   float64           `json:"historyS"`   // seconds of history that the store keeps; 0 is not known
-	ContactMs  float64           `json:"contactMs"`  // after an outage of the store, how soon all that it says has to be in force again
-	ApplyMs    float64           `json:"applyMs"`    // how soon an accepted policy has to be in force
-	LeavingMs  float64           `json:"leavingMs"`  // how soon an endpoint that leaves must get no new work
-	EvacuateMs float64           `json:"evacuateMs"` // how soon the endpoints of a zone that is to be emptied must get no new work; 0: zones are never emptied
-	LinkMbps   float64           `json:"linkMbps"`   // of the VM; 0 is not known
-	MemoryMB   float64           `json:"memoryMB"`   // what the process may use; 0 is no bound
+	Node       string            `json:"node"`       // name of the VM, unique in the fleet
+	Zone       string            `json:"zone"`       // availability zone of the VM
+	Listen     string            `json:"listen"`     // address for callers, IP:PORT
+	Ready      ReadySettings     `json:"ready"`      // readiness check of the balancer
+	Peer       string            `json:"peer"`       // address for datagrams between nodes, IP:PORT
+	Store      string            `json:"store"`      // address of the store, IP:PORT
+	HistoryS   float64           `json:"historyS"`   // seconds of history that the store keeps; 0: unknown
+	ContactMs  float64           `json:"contactMs"`  // ms after an outage of the store until its whole content must be in force again
+	ApplyMs    float64           `json:"applyMs"`    // ms until an accepted policy must be in force
+	LeavingMs  float64           `json:"leavingMs"`  // ms until a leaving endpoint must get no new work
+	EvacuateMs float64           `json:"evacuateMs"` // ms until the endpoints of an evacuated zone must get no new work; 0: zones are never evacuated
+	LinkMbps   float64           `json:"linkMbps"`   // link capacity of the VM; 0: unknown
+	MemoryMB   float64           `json:"memoryMB"`   // memory bound of the process; 0: none
 	DrainS     float64           `json:"drainS"`     // seconds that a planned stop may take
 	Bootstrap  bool              `json:"bootstrap"`  // the whole fleet starts for the first time
-	Retry      RetrySettings     `json:"retry"`      // the fleet's bound on what is sent again
-	Budget     BudgetSettings    `json:"budget"`     // how much of the budgets a node holds
-	Cold       ColdSettings      `json:"cold"`       // bounds on what endpoints get that have just started
-	Limit      LimitSettings     `json:"limit"`      // bounds on what endpoints get that name a limit
-	Rollout    RolloutSettings   `json:"rollout"`    // bounds on what a bad version gets; without a share services are never moved to another version
-	Regions    map[string]string `json:"regions"`    // of the availability zones, by name
-	Bytes      BytesSettings     `json:"bytes"`      // what a megabyte costs that leaves the zone
-	Disable    []string          `json:"disable"`    // mechanisms that are switched off, to measure what each is worth
+	Retry      RetrySettings     `json:"retry"`      // bound on the retries of the fleet
+	Budget     BudgetSettings    `json:"budget"`     // share of the budgets that a node holds
+	Cold       ColdSettings      `json:"cold"`       // bounds on calls to endpoints that have just started
+	Limit      LimitSettings     `json:"limit"`      // bounds on calls to endpoints that name a limit
+	Rollout    RolloutSettings   `json:"rollout"`    // bounds on calls to a bad version; without a share services are never moved to another version
+	Regions    map[string]string `json:"regions"`    // region by availability zone
+	Bytes      BytesSettings     `json:"bytes"`      // cost of a megabyte that leaves the zone
+	Disable    []string          `json:"disable"`    // disabled mechanisms, to measure their benefit
 	LogLevel   string            `json:"logLevel"`   // debug, info, warn or error
 	Trace      TraceSettings     `json:"trace"`
 }
 
-// TraceSettings say where spans go; nothing is traced without.
+// TraceSettings name the destinations of spans; without one nothing is traced.
 type TraceSettings struct {
 	OTLPEndpoint string `json:"otlpEndpoint"` // URL of an OTLP/HTTP collector
 	File         string `json:"file"`         // one JSON object for each span
 }
 
-// ReadySettings say where a node answers whether it is ready.
+// ReadySettings configure the readiness check of a node.
 type ReadySettings struct {
 	Address string  `json:"address"` // IP:PORT
 	Path    string  `json:"path"`
-	NoticeS float64 `json:"noticeS"` // seconds until the balancer has surely noticed a node that is not ready
+	NoticeS float64 `json:"noticeS"` // seconds until the balancer has certainly noticed that a node is not ready
 }
 
-// RetrySettings bound what all nodes together send a second time.
+// RetrySettings bound the retries of all nodes together.
 type RetrySettings struct {
 	Ratio   float64 `json:"ratio"`   // of a service's calls
-	Slack   float64 `json:"slack"`   // calls beyond it
+	Slack   float64 `json:"slack"`   // calls beyond the ratio
 	WindowS float64 `json:"windowS"` // seconds over which both are counted
 }
 
-// ColdSettings bound what all nodes together send within any second to an endpoint
-// that is slow after its start.
+// ColdSettings bound the calls of all nodes together, within any second, to an endpoint in its
+// cold start.
 type ColdSettings struct {
-	Overrun   float64 `json:"overrun"`   // times what the policy says that it bears
+	Overrun   float64 `json:"overrun"`   // factor on the rate that the policy allows
 	Tolerance float64 `json:"tolerance"` // calls beyond that
 }
 
-// LimitSettings bound what all nodes together send to an endpoint that names a limit.
+// LimitSettings bound the calls of all nodes together to an endpoint that names a limit.
 type LimitSettings struct {
-	Overrun   float64 `json:"overrun"`   // times what the limit allows in a window
+	Overrun   float64 `json:"overrun"`   // factor on the calls that the limit allows in a window
 	Tolerance float64 `json:"tolerance"` // calls beyond that
 	WindowMs  float64 `json:"windowMs"`
 }
 
-// Rule is the rule that the settings say.
+// Rule returns the settings as a limit.Rule.
 func (l LimitSettings) Rule() limit.Rule {
 	return limit.Rule{Overrun: l.Overrun, Tolerance: l.Tolerance, Window: time.Duration(l.WindowMs * float64(time.Millisecond))}
 }
 
-// BytesSettings say what a megabyte costs, in tokens of prompts: what a prompt of so many
-// tokens is worth to the deployment. 0 is the default.
+// BytesSettings set the cost of a megabyte in prompt tokens: the value of a prompt with that many
+// tokens to the deployment. 0 is the default.
 type BytesSettings struct {
 	ZoneTokens   float64 `json:"zoneTokens"`   // to another zone of the region
 	RegionTokens float64 `json:"regionTokens"` // to another region
 }
 
-// RolloutSettings bound what a bad version that a service is moved to gets from all
-// nodes together.
+// RolloutSettings bound the calls of all nodes together to a bad version that a service is moved
+// to.
 type RolloutSettings struct {
 	Share      float64 `json:"share"`      // of the service's calls from the order to its end; 0: services are never moved
 	Tolerance  float64 `json:"tolerance"`  // calls beyond that
-	RollbackMs float64 `json:"rollbackMs"` // after so many bad answers that it shows, how soon it must get nothing
+	RollbackMs float64 `json:"rollbackMs"` // ms after enough bad answers to show it, until the version must get no calls
 }
 
-// Rule is the bounds as the decision takes them.
+// Rule returns the settings as a rollout.Rule.
 func (r RolloutSettings) Rule() rollout.Rule {
 	return rollout.Rule{Share: r.Share, Tolerance: int(r.Tolerance), Rollback: seconds(r.RollbackMs / 1000)}
 }
 
-// BudgetSettings say how much of the budgets the nodes hold; 0 is the default.
+// BudgetSettings set how much of the budgets the nodes hold; 0 is the default.
 type BudgetSettings struct {
-	HorizonS float64 `json:"horizonS"` // seconds that holdings last at the present demand
-	Exposure float64 `json:"exposure"` // of what is left of a budget, the part held at most
-	First    float64 `json:"first"`    // of what is left of a budget, the part held before any demand is known
+	HorizonS float64 `json:"horizonS"` // seconds for which the holdings last at the present demand
+	Exposure float64 `json:"exposure"` // largest share held of what is left of a budget
+	First    float64 `json:"first"`    // share held of what is left of a budget before any demand is known
 }
 
-// Tuning fills in the defaults.
+// Tuning returns the tuning with defaults for unset fields.
 func (b BudgetSettings) Tuning() account.Tuning {
 	t := account.DefaultTuning()
 	if b.HorizonS > 0 {
@@ -125,11 +125,11 @@
 	return t
 }
 
-// DefaultSettings hold where the file says nothing.
+// DefaultSettings returns the defaults of fields that a file leaves out.
 func DefaultSettings() Settings {
 	return Settings{
 		DrainS: 8, ContactMs: 3000, ApplyMs: 2000, LeavingMs: 2000, LogLevel: "info",
-		Ready:   ReadySettings{Path: "/readyz", NoticeS: 2.8}, // two probes, one a second, and what the second one takes
+		Ready:   ReadySettings{Path: "/readyz", NoticeS: 2.8}, // two probes at one a second, and the time that the second takes
 		Retry:   RetrySettings{Ratio: 0.2, Slack: 20, WindowS: 10},
 		Cold:    ColdSettings{Overrun: 1},
 		Limit:   LimitSettings{Overrun: 1.5, Tolerance: 5, WindowMs: 4000},
@@ -146,11 +146,11 @@
 	return ParseSettings(data)
 }
 
-// mostSeconds bounds every time in the settings.
-const mostSeconds = 3600
+// maxSeconds bounds every time in the settings.
+const maxSeconds = 3600
 
-// fields are what the settings of a relaying node may say. Others are passed
-// over, so that an older node reads a newer file.
+// fields is the schema of the settings. Unknown fields are ignored, so that an older node can read
+// a newer file.
 var fields = schema.Schema{Open: true, Fields: []schema.Field{
 	{Name: "node", Required: true, Text: schema.Some},
 	{Name: "zone", Required: true, Text: schema.Some},
@@ -158,15 +158,15 @@
 	{Name: "ready", Required: true, Fields: []schema.Field{
 		{Name: "address", Required: true, Text: schema.Address},
 		{Name: "path", Text: schema.Some},
-		{Name: "noticeS", Number: schema.Number(0, mostSeconds)},
+		{Name: "noticeS", Number: schema.Number(0, maxSeconds)},
 	}},
 	{Name: "peer", Required: true, Text: schema.Address},
 	{Name: "store", Required: true, Text: schema.Address},
-	{Name: "historyS", Number: schema.Number(0, mostSeconds)},
-	{Name: "contactMs", Number: schema.Number(100, 1000*mostSeconds)},
-	{Name: "applyMs", Number: schema.Number(100, 1000*mostSeconds)},
-	{Name: "leavingMs", Number: schema.Number(100, 1000*mostSeconds)},
-	{Name: "evacuateMs", Number: schema.Number(0, 1000*mostSeconds)},
+	{Name: "historyS", Number: schema.Number(0, maxSeconds)},
+	{Name: "contactMs", Number: schema.Number(100, 1000*maxSeconds)},
+	{Name: "applyMs", Number: schema.Number(100, 1000*maxSeconds)},
+	{Name: "leavingMs", Number: schema.Number(100, 1000*maxSeconds)},
+	{Name: "evacuateMs", Number: schema.Number(0, 1000*maxSeconds)},
 	{Name: "cold", Fields: []schema.Field{
 		{Name: "overrun", Number: schema.Number(0, 100)},
 		{Name: "tolerance", Number: schema.Number(0, 1<<20)},
@@ -179,7 +179,7 @@
 	{Name: "rollout", Fields: []schema.Field{
 		{Name: "share", Number: schema.Number(0, 1)},
 		{Name: "tolerance", Number: schema.Number(0, 1<<20)},
-		{Name: "rollbackMs", Number: schema.Number(100, 1000*mostSeconds)},
+		{Name: "rollbackMs", Number: schema.Number(100, 1000*maxSeconds)},
 	}},
 	{Name: "regions", Each: schema.Some},
 	{Name: "bytes", Fields: []schema.Field{
@@ -188,7 +188,7 @@
 	}},
 	{Name: "linkMbps", Number: schema.Number(0, 1<<20)},
 	{Name: "memoryMB", Number: schema.Number(0, 1<<20)},
-	{Name: "drainS", Number: schema.Number(0, mostSeconds)},
+	{Name: "drainS", Number: schema.Number(0, maxSeconds)},
 	{Name: "disable", List: schema.OneOf(mechanismNames()...)},
 	{Name: "logLevel", Text: schema.OneOf("debug", "info", "warn", "error")},
 	{Name: "trace", Fields: []schema.Field{
@@ -198,17 +198,16 @@
 	{Name: "retry", Fields: []schema.Field{
 		{Name: "ratio", Number: schema.Number(0, 10)},
 		{Name: "slack", Number: schema.Number(0, 1<<20)},
-		{Name: "windowS", Number: schema.Number(0.1, mostSeconds)},
+		{Name: "windowS", Number: schema.Number(0.1, maxSeconds)},
 	}},
 	{Name: "budget", Fields: []schema.Field{
-		{Name: "horizonS", Number: schema.Number(0, mostSeconds)},
+		{Name: "horizonS", Number: schema.Number(0, maxSeconds)},
 		{Name: "exposure", Number: schema.Number(0, 1)},
 		{Name: "first", Number: schema.Number(0, 1)},
 	}},
 }}
 
-// ParseSettings reads and checks settings; the error is schema.Faults where the
-// text has any.
+// ParseSettings reads and checks settings; the error is schema.Faults if the text is invalid.
 func ParseSettings(data []byte) (Settings, error) {
 	standard, err := fields.Check(data)
 	if err != nil {
@@ -218,7 +217,7 @@
 	return s, errors.Wrap(json.Unmarshal(standard, &s), "settings")
 }
 
-// Places are the availability zones as seen from the node's own.
+// Places returns the availability zones by their distance from the zone of the node.
 func (s Settings) Places() distance.Places {
 	costs := distance.None()
 	if s.Choice().Distance {
@@ -227,34 +226,33 @@
 	return distance.From(s.Zone, s.Regions, costs)
 }
 
-// History is how long the store keeps its history; 0 is not known.
+// History returns how long the store keeps its history; 0: unknown.
 func (s Settings) History() time.Duration {
 	return seconds(s.HistoryS)
 }
 
-// Contact is how soon after an outage of the store all that it says has to be in
-// force again.
+// Contact returns how soon after an outage of the store its whole content must be in force again.
 func (s Settings) Contact() time.Duration { return seconds(s.ContactMs / 1000) }
 
-// Apply is how soon an accepted policy has to be in force.
+// Apply returns how soon an accepted policy must be in force.
 func (s Settings) Apply() time.Duration { return seconds(s.ApplyMs / 1000) }
 
-// EndpointDrain is how soon an endpoint that leaves must get no new work.
+// EndpointDrain returns how soon a leaving endpoint must get no new work.
 func (s Settings) EndpointDrain() time.Duration { return seconds(s.LeavingMs / 1000) }
 
-// Evacuates is whether operators may want zones emptied here.
+// Evacuates reports whether operators may evacuate zones.
 func (s Settings) Evacuates() bool { return s.EvacuateMs > 0 }
 
-// RollsOut is whether operators may want services moved to another version here.
+// RollsOut reports whether operators may order services to another version.
 func (s Settings) RollsOut() bool { return s.Rollout.Share > 0 }
 
-// Notice is how long a node that is about to stop still gets callers' connections.
+// Notice returns for how long a node that is about to stop still gets connections of callers.
 func (s Settings) Notice() time.Duration { return seconds(s.Ready.NoticeS) }
 
-// Drain is how long a planned stop may take.
+// Drain returns how long a planned stop may take.
 func (s Settings) Drain() time.Duration { return seconds(s.DrainS) }
 
-// Window is the time over which retries are counted.
+// Window returns the time over which retries are counted.
 func (r RetrySettings) Window() time.Duration {
 	return seconds(r.WindowS)
 }
--- a/fleet/relay/suspended.go
+++ b/fleet/relay/suspended.go
@@ -10,77 +10,76 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// A VM may be suspended for seconds. All that is decided by age goes by a clock that counts
-// that time (fleet/clock); what waits does not, since timers run by the steady clock. So a
-// node finds out by itself that it was suspended, and has what slept with it decided anew.
+// A VM may be suspended for seconds. Decisions by age use a clock that counts that time
+// (fleet/clock); timers do not count it, since they use the monotonic clock. So a node detects its
+// suspensions itself and renews the decisions that depended on timers.
 
 const (
-	wakeEvery       = 200 * time.Millisecond // between two looks at the clocks
-	leastSuspension = 250 * time.Millisecond // shorter ones change nothing that a busy VM would not
-	confirmMost     = 1500 * time.Millisecond
+	suspensionCheckInterval = 200 * time.Millisecond // between two checks of the clocks
+	minSuspension           = 250 * time.Millisecond // shorter ones have no more effect than a busy VM
+	confirmTimeout          = 1500 * time.Millisecond
 )
 
-// watchSuspensions has the node take note of suspensions until ctx ends.
+// watchSuspensions detects stalls and suspensions until ctx ends.
 func (n *Node) watchSuspensions(ctx context.Context) {
 	known := clock.Suspended()
-	every(ctx, wakeEvery, func() {
-		if d := n.standstills.Look(); d > 0 {
-			n.log.WithField("ms", d.Milliseconds()).Warn("the process stood still: calls to the store that failed meanwhile say nothing of it")
+	every(ctx, suspensionCheckInterval, func() {
+		if d := n.stalls.Look(); d > 0 {
+			n.log.WithField("ms", d.Milliseconds()).Warn("process stalled: store calls that failed meanwhile are no evidence against the store")
 		}
-		if d := clock.Suspended() - known; d >= leastSuspension {
+		if d := clock.Suspended() - known; d >= minSuspension {
 			known += d
-			n.woke(d)
+			n.afterSuspension(d)
 		}
 	})
 }
 
-// woke does what follows from a suspension. Connections that were open may carry nothing
-// any more, and whoever uses one would find out by a call: they are given up, and new ones
-// made as they are needed. What the store says is listed anew, and the balancer sends
-// nobody until it is known.
-func (n *Node) woke(slept time.Duration) {
-	n.confirming.begin()
+// afterSuspension handles the end of a suspension. Connections that were open may be dead, and a
+// call would be the first to notice: they are closed, and new ones are opened as needed. The store
+// is listed again, and the balancer sends no new callers until that is done.
+func (n *Node) afterSuspension(suspended time.Duration) {
+	n.confirmation.begin()
 	ended := n.handler.EndOverdue()
 	idle := n.dropAllIdle()
 	n.adapter.DropIdle()
 	n.gossip.DropIdle()
 	n.bounds.Settle(clock.Now())
 	n.engineTable.expire()
-	n.trials.woke(clock.Now())
+	n.trials.afterSuspension(clock.Now())
 	n.health.Renew()
-	n.metrics.Suspended(slept)
-	n.log.WithFields(log.Fields{"ms": slept.Milliseconds(), "callsEnded": ended, "connections": idle}).Warn("the VM was suspended: connections are given up, and what the store says is listed anew")
+	n.metrics.Suspended(suspended)
+	n.log.WithFields(log.Fields{"ms": suspended.Milliseconds(), "callsEnded": ended, "connections": idle}).Warn("VM was suspended: connections are closed and the store is listed again")
 }
 
-// confirming is whether what this node knew before a suspension was heard again. It is
-// safe for concurrent use.
-type confirming struct {
+// confirmation tracks whether the node has listed the policy and the endpoints again since its VM
+// was suspended. It is safe for concurrent use.
+type confirmation struct {
 	mu              sync.Mutex
-	until           time.Time // it is waited for at the most; zero: nothing is to be heard
-	policy, engines bool      // were heard since
+	until           time.Time // deadline of the wait; zero: nothing is awaited
+	policy, engines bool      // listed since
 }
 
-func (c *confirming) begin() {
+func (c *confirmation) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until, c.policy, c.engines = clock.Now().Add(confirmMost), false, false
+	c.until, c.policy, c.engines = clock.Now().Add(confirmTimeout), false, false
 }
 
-func (c *confirming) heardPolicy() {
+func (c *confirmation) policyReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.policy = true
 }
 
-func (c *confirming) heardEngines() {
+func (c *confirmation) enginesReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.engines = true
 }
 
-// over is whether all was heard again, or was waited for long enough: while the store is
-// away a node that was suspended is as good as any other.
-func (c *confirming) over() bool {
+// done reports whether both were listed again, or the wait timed out: while the store is
+// unavailable, a node that was suspended is as good as any other.
+func (c *confirmation) done() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.policy && c.engines || !clock.Now().Before(c.until)
--- a/fleet/relay/doubts_test.go
+++ b/fleet/relay/suspicions_test.go
@@ -19,24 +19,24 @@
 // Failures are told unless the settings switch that off, and the log says on whose word an
 // endpoint is avoided.
 func TestFailuresAreToldUnlessSwitchedOff(t *testing.T) {
-	for _, disable := range [][]string{nil, {toldMechanism}} {
+	for _, disable := range [][]string{nil, {failureReportsMechanism}} {
 		lines := memory.New()
 		logger := &log.Logger{Handler: lines, Level: log.InfoLevel}
 		n := &Node{settings: Settings{Node: "a", Zone: "z", Disable: disable}, log: logger, picker: choice.NewPicker("z", choice.DefaultTuning())}
 		g, err := peer.Listen("127.0.0.1:0", peer.NewRegistry(nil, peer.Member{Name: "a"}, store.NewHealth(), 0, logger), n.picker, nil, func() bool { return false })
 		require.NoError(t, err)
-		n.tellFailures(g)
-		assert.Equal(t, disable == nil, n.doubts != nil)
+		n.enableFailureReports(g)
+		assert.Equal(t, disable == nil, n.suspicions != nil)
 		assert.NoError(t, g.Close())
-		if n.doubts == nil {
+		if n.suspicions == nil {
 			continue
 		}
 		now := time.Unix(1000, 0)
 		all := []engine.Engine{{ID: "e", Born: 7, Service: "s", Zone: "z"}, {ID: "f", Service: "s", Zone: "z"}}
-		n.doubts.Engines(all)
-		n.doubts.Nodes(map[string]string{"a": "z", "b": "z"})
-		n.doubts.Saw(all[0].Life(), doubt.Cut, now)
-		n.doubts.Heard("b", []doubt.Word{{Endpoint: "e", Born: 7, Tellers: []doubt.Teller{{Node: "b", AgeMs: 300, Cut: true}}}}, now)
+		n.suspicions.Engines(all)
+		n.suspicions.Nodes(map[string]string{"a": "z", "b": "z"})
+		n.suspicions.Saw(all[0].Life(), doubt.Cut, now)
+		n.suspicions.Heard("b", []doubt.Word{{Endpoint: "e", Born: 7, Tellers: []doubt.Teller{{Node: "b", AgeMs: 300, Cut: true}}}}, now)
 		require.Len(t, lines.Entries, 1)
 		fields := lines.Entries[0].Fields
 		assert.Equal(t, "e", fields["endpoint"])
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -16,76 +16,76 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// trials is what this node sees, hears and, as a delegate, judges of the orders that are
-// open. It is safe for concurrent use; its lock is never held while the table of
-// endpoints is asked for anything.
+// trials holds the evidence on open orders, from this node and from others, and on delegates the
+// deciders that judge them. It is safe for concurrent use; its lock is never held during a call of
+// the table of endpoints.
 type trials struct {
 	*Node
-	life  string
-	fleet delegation
+	incarnation string
+	fleet       delegation
 
-	mu     sync.Mutex
-	open   map[string]*trial // by service
-	bad    []rollout.Warn    // that were heard, also of orders that this node does not know yet
-	ticked time.Time         // when orders were looked at last
-	hears  time.Time         // until then others are heard before anything is decided
-	stood  []span            // around the latest standstills: what was read in one may have lain unread
-	fail   time.Time         // until then this node counts as one that does not reach the store
+	mu               sync.Mutex
+	open             map[string]*trial // by service
+	bad              []rollout.Warn    // received, also about orders that this node does not know yet
+	lastTick         time.Time
+	receivesUntil    time.Time // reports of others are collected until then, before anything is decided
+	recentStalls     []span    // around the latest stalls: answers that were read in one may have waited in a socket
+	storeFailedUntil time.Time // this node counts as out of reach of the store until then
 }
 
-// delegation is this node's part among the delegates, and how it tells all nodes.
+// delegation is the role of this node among the delegates, and its way to warn all nodes.
 type delegation interface {
-	Writes() bool        // it is a delegate
-	FirstDelegate() bool // and the one that writes statuses
+	Writes() bool        // this node is a delegate
+	FirstDelegate() bool // this node is the delegate that writes statuses
 	TellBad(rollout.Warn)
 }
 
-// trial is one open order.
+// trial holds the evidence and the decider of one open order.
 type trial struct {
-	name     string // of its object
-	rollout  rollout.Rollout
-	bad      bool // somebody found the target bad
-	ids      []string
-	counts   endpoints
-	recorder *rollout.Recorder
-	near     *rollout.Gathered // of the nodes of this zone, by their lives
-	all      *rollout.Gathered // by zone
-	words    map[string]word   // by node of this zone, and by other zone
-	lasts    lasts
-	decider  rollout.Decider
-	judged   store.Revision // of the order that the decider was told; 0: this node does not judge
-	guessed  bool           // the decider does not know how much of the order's duration is over
-	writing  bool
-	backoff  time.Duration
-	logged   time.Time
-	opened   time.Time // when this node learned of the order
-}
-
-// endpoints is how many endpoints of each version take new work.
-type endpoints struct {
-	cohorts     int // in which the target's count
+	name           string // name of its object
+	rollout        rollout.Rollout
+	bad            bool // some node found the target bad
+	ids            []string
+	counts         endpointCounts
+	recorder       *rollout.Recorder
+	zoneEvidence   *rollout.Gathered // of the nodes of this zone, by incarnation
+	fleetEvidence  *rollout.Gathered // of all zones, by zone
+	reports        map[string]report // by node of this zone and by other zone
+	durations      durationWindow
+	decider        rollout.Decider
+	judgedRevision store.Revision // of the order as last passed to the decider; 0: this node does not judge
+	elapsedUnknown bool           // the decider started without knowing how much of the order's duration has elapsed
+	writing        bool
+	backoff        time.Duration
+	lastLogged     time.Time
+	learnedAt      time.Time // when this node learned of the order, or its VM resumed
+}
+
+// endpointCounts counts the endpoints of each version that take new work.
+type endpointCounts struct {
+	cohorts     int // that the endpoints of the target belong to
 	old, target int
-	coldUntil   []time.Time // of the target's that said that they are slow from their start
+	coldUntil   []time.Time // of the endpoints of the target that signaled a cold start
 }
 
-// word is what another node, or a zone, last said of calls at old endpoints.
-type word struct {
-	old   int
-	lasts time.Duration
-	at    time.Time
+// report is the latest state of calls at old endpoints that another node or zone sent.
+type report struct {
+	old     int
+	longest time.Duration
+	at      time.Time
 }
 
-// Bounds of what is kept of others' words.
+// Bounds of the reports and warnings that are kept.
 const (
-	wordAge = 3 * time.Second // that a word on calls in flight counts: who says nothing for longer has ended, or is cut off and bound by the same status
-	mostBad = 32              // warnings
+	reportTTL   = 3 * time.Second // after which a report of calls in flight expires: its sender has ended, or is partitioned and bound by the same status
+	maxWarnings = 32              // about targets found bad
 )
 
-func newTrials(n *Node, life string) *trials {
-	return &trials{Node: n, life: life, open: map[string]*trial{}}
+func newTrials(n *Node, incarnation string) *trials {
+	return &trials{Node: n, incarnation: incarnation, open: map[string]*trial{}}
 }
 
-// learn takes in the orders and what the store holds of them.
+// learn updates the open orders from the store.
 func (t *trials) learn(s rollout.Set, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,31 +97,31 @@
 		if !ok || newest.Made != r.Made || newest.Revision != r.Revision || state != rollout.Ordered && state != rollout.InProgress {
 			continue
 		}
-		open[r.Service] = t.opened(name, r, now)
+		open[r.Service] = t.trialOf(name, r, now)
 		open[r.Service].recorder.Refer(r.Status.Usual)
 	}
 	t.open = open
 }
 
-// opened is the trial of an order: the one that is open already, or a new one.
-func (t *trials) opened(name string, r rollout.Rollout, now time.Time) *trial {
+// trialOf returns the trial of an order: the existing one, or a new one.
+func (t *trials) trialOf(name string, r rollout.Rollout, now time.Time) *trial {
 	if known, ok := t.open[r.Service]; ok && known.rollout.Made == r.Made && known.rollout.Target == r.Target {
 		if known.rollout.Revision != r.Revision {
-			known.rollout = r // or others have told meanwhile how old it is
+			known.rollout = r // otherwise the elapsed time that others reported is kept
 		}
 		known.name = name
 		return known
 	}
-	opened := &trial{
-		name: name, rollout: r, opened: now, recorder: rollout.NewRecorder(r.Order), words: map[string]word{},
-		near: rollout.NewGathered(r.Service, r.Made), all: rollout.NewGathered(r.Service, r.Made),
+	created := &trial{
+		name: name, rollout: r, learnedAt: now, recorder: rollout.NewRecorder(r.Order), reports: map[string]report{},
+		zoneEvidence: rollout.NewGathered(r.Service, r.Made), fleetEvidence: rollout.NewGathered(r.Service, r.Made),
 	}
-	opened.bad = slices.ContainsFunc(t.bad, opened.isAbout)
-	return opened
+	created.bad = slices.ContainsFunc(t.bad, created.matches)
+	return created
 }
 
-// renamed has warnings of an order hold for the same order that was written again.
-func (t *trials) renamed(before, now rollout.Order) {
+// rekeyWarnings makes the warnings about an order apply to the same order that was written again.
+func (t *trials) rekeyWarnings(before, now rollout.Order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if before.Made == now.Made {
@@ -136,23 +136,23 @@
 	}
 }
 
-// woke has the deciders of open orders hear what others saw, and how much time is over,
-// before they decide anything: this node's VM was suspended.
-func (t *trials) woke(now time.Time) {
+// afterSuspension has the deciders of open orders collect reports of others, and how much time has
+// elapsed, before they decide anything: the VM of this node was suspended.
+func (t *trials) afterSuspension(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range t.open {
-		o.rollout.Found, o.opened, o.judged = true, now, 0
+		o.rollout.Found, o.learnedAt, o.judgedRevision = true, now, 0
 	}
 }
 
-func (o *trial) isAbout(w rollout.Warn) bool {
+func (o *trial) matches(w rollout.Warn) bool {
 	return w.Service == o.rollout.Service && w.Target == o.rollout.Target && w.Made == o.rollout.Made
 }
 
-// endpointsSeen notes which endpoints of an open order there are, whatever they may get,
-// and returns whether the target was found bad.
-func (t *trials) endpointsSeen(service string, engines []engine.Engine) bool {
+// countEndpoints records the endpoints of an open order, whether or not they may get calls, and
+// reports whether the target was found bad.
+func (t *trials) countEndpoints(service string, engines []engine.Engine) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o, ok := t.open[service]
@@ -164,7 +164,7 @@
 	ready := func(e engine.Engine) bool { return e.State == engine.Ready && !slices.Contains(barred, e.Version) }
 	cold := lo.FilterMap(target, func(e engine.Engine, _ int) (time.Time, bool) { return e.ColdUntil, ready(e) && !e.ColdUntil.IsZero() })
 	cohorts := lo.CountValuesBy(lo.Filter(target, func(e engine.Engine, _ int) bool { return ready(e) }), func(e engine.Engine) int { return rollout.CohortOf(e.Hash) })
-	o.counts = endpoints{old: lo.CountBy(old, ready), target: lo.CountBy(target, ready), cohorts: len(cohorts), coldUntil: cold}
+	o.counts = endpointCounts{old: lo.CountBy(old, ready), target: lo.CountBy(target, ready), cohorts: len(cohorts), coldUntil: cold}
 	o.ids = lo.Map(old, func(e engine.Engine, _ int) string { return e.ID })
 	return o.bad
 }
@@ -186,56 +186,55 @@
 	defer t.mu.Unlock()
 	o, ok := t.open[s.Service]
 	if ok && !s.Failed {
-		s = t.withoutUnread(s, clock.Now())
+		s = t.withoutBacklog(s, clock.Now())
 	}
 	return ok && o.recorder.Add(s)
 }
 
-// span is the time from one moment until another.
+// span is the time between two moments.
 type span struct{ from, until time.Time }
 
-// mostStood bounds the standstills that are remembered.
-const mostStood = 16
+// maxStalls bounds the stalls that are remembered.
+const maxStalls = 16
 
-// withoutUnread is an answer with the least that it took: it may have waited in a socket of
-// this process, which stood still meanwhile. What is read first after a standstill comes
-// before the next look at the orders. Of a stream that ends it is not known which of its
-// events waited.
-func (t *trials) withoutUnread(s rollout.Sample, now time.Time) rollout.Sample {
+// withoutBacklog reduces the duration of an answer to the shortest that it may have taken: it may
+// have waited in a socket while this process stalled. Answers that are read right after a stall
+// come before the next tick. For a stream that ends it is unknown which of its events waited.
+func (t *trials) withoutBacklog(s rollout.Sample, now time.Time) rollout.Sample {
 	since := s.Since
 	if since.IsZero() {
 		since = now.Add(-s.Took)
 	}
-	unread := t.unread(since, now)
-	if unread == 0 {
+	waited := t.backlog(since, now)
+	if waited == 0 {
 		return s
 	}
-	least := max(s.Took-unread, 0)
-	if now.Sub(since)-s.Took >= judgeEvery {
-		least = 0
+	shortest := max(s.Took-waited, 0)
+	if now.Sub(since)-s.Took >= judgeInterval {
+		shortest = 0
 	}
-	s.Slowness *= least.Seconds() / max(s.Took, time.Nanosecond).Seconds()
-	s.Took, s.AtLeast = least, true
+	s.Slowness *= shortest.Seconds() / max(s.Took, time.Nanosecond).Seconds()
+	s.Took, s.AtLeast = shortest, true
 	return s
 }
 
-// unread is for how much of the time since a moment what arrived may have waited.
-func (t *trials) unread(since, now time.Time) time.Duration {
-	if len(t.stood) == mostStood && since.Before(t.stood[0].from) {
-		return now.Sub(since) // earlier ones are forgotten
+// backlog returns how long an answer that was awaited since a moment may have waited in a socket.
+func (t *trials) backlog(since, now time.Time) time.Duration {
+	if len(t.recentStalls) == maxStalls && since.Before(t.recentStalls[0].from) {
+		return now.Sub(since) // earlier stalls are no longer known
 	}
 	sum := time.Duration(0)
-	for _, s := range t.stood {
-		sum += s.within(since, now)
+	for _, s := range t.recentStalls {
+		sum += s.overlap(since, now)
 	}
-	if !t.ticked.IsZero() && now.Sub(t.ticked)-judgeEvery >= heldUp {
-		sum += span{t.ticked, now}.within(since, now)
+	if !t.lastTick.IsZero() && now.Sub(t.lastTick)-judgeInterval >= stallThreshold {
+		sum += span{t.lastTick, now}.overlap(since, now)
 	}
 	return sum
 }
 
-// within is how much of it lies between two moments.
-func (s span) within(since, until time.Time) time.Duration {
+// overlap returns how much of the span lies between two moments.
+func (s span) overlap(since, until time.Time) time.Duration {
 	if s.from.After(since) {
 		since = s.from
 	}
@@ -260,7 +259,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
-		o.lasts.add(d, clock.Now())
+		o.durations.add(d, clock.Now())
 	}
 }
 
@@ -272,21 +271,21 @@
 	defer t.mu.Unlock()
 	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
 		o := t.open[service]
-		return o.seen(o.recorder.Evidence(), t.own(o, now), now)
+		return o.observation(o.recorder.Evidence(), t.ownReport(o, now), now)
 	})
 }
 
-// seen is what peers are told of an order.
-func (o *trial) seen(e rollout.Evidence, w word, now time.Time) peer.RolloutSeen {
+// observation is the message to peers about an order.
+func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutSeen {
 	return peer.RolloutSeen{
-		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.lasts.Milliseconds(),
-		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: used(o.rollout, now).Milliseconds(), AtLeast: o.rollout.Found,
+		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.longest.Milliseconds(),
+		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.Found,
 	}
 }
 
-// own is this node's own word on calls at old endpoints.
-func (t *trials) own(o *trial, now time.Time) word {
-	return word{old: t.picker.InFlight(slices.Values(o.ids)), lasts: o.lasts.most(now), at: now}
+// ownReport returns the report of this node on calls at old endpoints.
+func (t *trials) ownReport(o *trial, now time.Time) report {
+	return report{old: t.picker.InFlight(slices.Values(o.ids)), longest: o.durations.longest(now), at: now}
 }
 
 // Zone implements peer.RolloutTalk.
@@ -295,36 +294,36 @@
 	defer t.mu.Unlock()
 	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
 		o := t.open[service]
-		o.near.Take(t.life, o.recorder.Evidence())
-		sum := o.sum(t.own(o, now), now, func(from string) bool { return from[0] == ofNode })
-		seen := o.seen(o.near.Sum(), sum, now)
+		o.zoneEvidence.Take(t.incarnation, o.recorder.Evidence())
+		sum := o.sum(t.ownReport(o, now), now, func(from string) bool { return from[0] == ofNode })
+		seen := o.observation(o.zoneEvidence.Sum(), sum, now)
 		seen.Zone = t.settings.Zone
 		return seen
 	})
 }
 
-// anyOpen is whether this node knows of an open order.
+// anyOpen reports whether this node knows of an open order.
 func (t *trials) anyOpen() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.open) > 0
 }
 
-// services names those with an open order.
+// services lists the services with an open order.
 func (t *trials) services() []string { return slices.Sorted(maps.Keys(t.open)) }
 
-// Words are kept by who said them: a node of this zone, or another zone.
+// Reports are keyed by sender: a node of this zone, or another zone.
 const (
 	ofNode = 'n'
 	ofZone = 'z'
 )
 
-// sum adds words up, this node's own among them.
-func (o *trial) sum(own word, now time.Time, of func(from string) bool) word {
-	for from, w := range o.words {
-		if now.Sub(w.at) < wordAge && of(from) {
+// sum adds up the reports of the selected senders and that of this node.
+func (o *trial) sum(own report, now time.Time, of func(from string) bool) report {
+	for from, w := range o.reports {
+		if now.Sub(w.at) < reportTTL && of(from) {
 			own.old += w.old
-			own.lasts = max(own.lasts, w.lasts)
+			own.longest = max(own.longest, w.longest)
 		}
 	}
 	return own
@@ -336,7 +335,7 @@
 	defer t.mu.Unlock()
 	return lo.Filter(t.bad, func(w rollout.Warn, _ int) bool {
 		o, ok := t.open[w.Service]
-		return ok && o.isAbout(w)
+		return ok && o.matches(w)
 	})
 }
 
@@ -344,7 +343,7 @@
 func (t *trials) Out(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Before(t.fail)
+	return now.Before(t.storeFailedUntil)
 }
 
 // Blind implements peer.RolloutTalk.
@@ -358,63 +357,64 @@
 func (t *trials) Heard(from peer.Teller, w peer.RolloutWord, now time.Time) {
 	t.mu.Lock()
 	for _, seen := range w.Seen {
-		t.heardSeen(from, seen, now)
+		t.receiveObservation(from, seen, now)
 	}
 	t.mu.Unlock()
 	for _, bad := range w.Bad {
-		t.warned(bad, from.Name)
+		t.markBad(bad, from.Name)
 	}
 }
 
-func (t *trials) heardSeen(from peer.Teller, seen peer.RolloutSeen, now time.Time) {
+func (t *trials) receiveObservation(from peer.Teller, seen peer.RolloutSeen, now time.Time) {
 	o, ok := t.open[seen.Evidence.Service]
 	if !ok || o.rollout.Made != seen.Evidence.Made || o.rollout.Target != seen.Target {
 		return
 	}
-	o.aged(seen, now)
-	said := word{old: max(seen.Old, 0), lasts: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
+	o.adoptElapsed(seen, now)
+	received := report{old: max(seen.Old, 0), longest: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
 	switch seen.Zone {
 	case "":
-		o.near.Take(from.Life, seen.Evidence)
-		o.words[string(ofNode)+from.Name] = said
+		o.zoneEvidence.Take(from.Life, seen.Evidence)
+		o.reports[string(ofNode)+from.Name] = received
 	case t.settings.Zone:
-		o.all.Take(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
 	default:
-		o.all.Take(seen.Zone, seen.Evidence)
-		o.words[string(ofZone)+seen.Zone] = said
+		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
+		o.reports[string(ofZone)+seen.Zone] = received
 	}
 }
 
-// used is how much of an order's duration is over, or more where this node did not see it
-// made, nor its status written.
-func used(r rollout.Rollout, now time.Time) time.Duration {
+// elapsed returns how much of the duration of an order has passed. It is a lower bound if this
+// node observed neither the creation of the order nor the write of its status.
+func elapsed(r rollout.Rollout, now time.Time) time.Duration {
 	if r.State() == rollout.Ordered {
 		return now.Sub(r.Learned)
 	}
 	return r.Status.Used + now.Sub(r.Learned)
 }
 
-// aged takes in how old an order is that this node found as it is: one that starts anew
-// takes all of the time for lost that may be, where another node knows it. One that found
-// it earlier knows how much is over at least: or nodes that end by turns, sooner than time
-// is written down, would let an order stand still.
-func (o *trial) aged(seen peer.RolloutSeen, now time.Time) {
+// adoptElapsed takes over from another node how much of an order has elapsed, if this node found
+// the order already under way. A node that has just started assumes the longest elapsed time
+// possible, and a node that knows it corrects that. A node that found the status earlier knows a
+// lower bound: without it, nodes that restart one after the other, faster than elapsed time is
+// written, would keep an order from ever progressing.
+func (o *trial) adoptElapsed(seen peer.RolloutSeen, now time.Time) {
 	if !o.rollout.Found || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
 		return
 	}
 	learned := now.Add(o.rollout.Status.Used - time.Duration(seen.UsedMs)*time.Millisecond)
-	if seen.AtLeast && !learned.Before(o.rollout.Learned.Add(-agedBy)) {
+	if seen.AtLeast && !learned.Before(o.rollout.Learned.Add(-minElapsedGain)) {
 		return
 	}
 	o.rollout.Learned, o.rollout.Found = learned, seen.AtLeast
-	o.judged = 0 // its decider begins anew
+	o.judgedRevision = 0 // the decider restarts
 }
 
-// agedBy is by how much an order must be older than this node believes to be told anew.
-const agedBy = 500 * time.Millisecond
+// minElapsedGain is by how much a lower bound must exceed what this node assumes to be taken over.
+const minElapsedGain = 500 * time.Millisecond
 
-// warned takes in that the target of an order is bad: it gets nothing from now on.
-func (t *trials) warned(w rollout.Warn, by string) {
+// markBad records that the target of an order is bad: it gets no calls from now on.
+func (t *trials) markBad(w rollout.Warn, by string) {
 	t.mu.Lock()
 	if slices.ContainsFunc(t.bad, func(known rollout.Warn) bool {
 		return known.Service == w.Service && known.Target == w.Target && known.Made == w.Made
@@ -423,9 +423,9 @@
 		return
 	}
 	t.bad = append(t.bad, w)
-	t.bad = t.bad[max(len(t.bad)-mostBad, 0):]
+	t.bad = t.bad[max(len(t.bad)-maxWarnings, 0):]
 	o, ok := t.open[w.Service]
-	about := ok && o.isAbout(w)
+	about := ok && o.matches(w)
 	if about {
 		o.bad = true
 	}
--- a/fleet/relay/trials_found_test.go
+++ b/fleet/relay/trials_found_test.go
@@ -26,7 +26,7 @@
 		n.applyRollouts(listed(6, j.store.object))
 		j.Node = n
 		assert.True(t, n.trials.Blind())
-		j.play(ctx, learnsFor-judgeEvery)
+		j.play(ctx, startSettleTime-judgeInterval)
 		assert.Zero(t, j.store.calls)
 		j.play(ctx, 3*time.Second)
 		assert.NotZero(t, j.store.calls)
@@ -55,7 +55,7 @@
 		j.fleet.first = true
 		began := time.Now()
 		for j.state() != rollout.Completed && time.Since(began) < 12*time.Second {
-			j.play(ctx, judgeEvery)
+			j.play(ctx, judgeInterval)
 		}
 		assert.InDelta(t, 9, time.Since(began).Seconds(), 1.5)
 	})
@@ -110,7 +110,7 @@
 		for range 5 {
 			j.trials.tick(ctx, clock.Now())
 			synctest.Wait()
-			time.Sleep(judgeEvery)
+			time.Sleep(judgeInterval)
 		}
 		assert.Equal(t, rollout.Reverted, j.state())
 	})
@@ -123,7 +123,7 @@
 			j.fleet.first = first
 			j.play(ctx, 2*time.Second)
 		}
-		assert.Zero(t, j.trials.hears)
+		assert.Zero(t, j.trials.receivesUntil)
 	})
 }
 
@@ -137,8 +137,8 @@
 		calls := j.store.calls
 		clock.Suspend(slept)
 		defer clock.Suspend(-slept) // tests after it are of another process
-		j.trials.woke(clock.Now())
-		j.play(ctx, learnsFor-judgeEvery)
+		j.trials.afterSuspension(clock.Now())
+		j.play(ctx, startSettleTime-judgeInterval)
 		assert.Equal(t, calls, j.store.calls)
 		r, _ := j.rollouts.Load().Of("s")
 		told := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: r.Revision.Number(), UsedMs: 4000}
@@ -171,7 +171,7 @@
 					j.trials.tick(ctx, clock.Now())
 				}
 				for end := time.Now().Add(c.after); time.Now().Before(end); {
-					time.Sleep(min(judgeEvery, time.Until(end)))
+					time.Sleep(min(judgeInterval, time.Until(end)))
 					j.trials.tick(ctx, clock.Now())
 				}
 				late := rollout.Sample{Service: "s", Route: "r", Endpoint: 1, Slowness: 20, Took: 2 * time.Second, Failed: c.failed, Now: clock.Now()}
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -101,7 +101,7 @@
 		j.answers()
 		j.trials.tick(ctx, clock.Now())
 		synctest.Wait()
-		time.Sleep(judgeEvery)
+		time.Sleep(judgeInterval)
 	}
 }
 
@@ -235,7 +235,7 @@
 				if c.gets != nil {
 					j.store.gets = func() error { reads++; return c.gets(reads) }
 				}
-				j.play(ctx, judgeEvery)
+				j.play(ctx, judgeInterval)
 				assert.Equal(t, c.out, j.trials.Out(time.Now()))
 				j.play(ctx, 3*time.Second)
 				assert.Equal(t, rollout.InProgress, j.state())
@@ -322,8 +322,8 @@
 		return peer.RolloutSeen{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
 	}
 	now := time.Now()
-	tell := func(name, life string, s peer.RolloutSeen) {
-		n.trials.Heard(peer.Teller{Name: name, Life: life}, peer.RolloutWord{Seen: []peer.RolloutSeen{s}}, now)
+	tell := func(name, incarnation string, s peer.RolloutSeen) {
+		n.trials.Heard(peer.Teller{Name: name, Life: incarnation}, peer.RolloutWord{Seen: []peer.RolloutSeen{s}}, now)
 	}
 	tell("a", "a/1", seen("", 5, 2))
 	tell("a", "a/1", seen("", 5, 2))
@@ -346,10 +346,10 @@
 	n.trials.fleet = &fakeFleet{delegate: true}
 	n.trials.tick(t.Context(), now)
 	o := n.trials.open["s"]
-	all, _ = o.all.Sum().Answers()
+	all, _ = o.fleetEvidence.Sum().Answers()
 	assert.Equal(t, 1115, all.Answers)
-	assert.Equal(t, 18, o.sum(word{}, now, func(string) bool { return true }).old)
-	assert.Zero(t, o.sum(word{}, now.Add(wordAge), func(string) bool { return true }).old, "who says nothing for so long has ended")
+	assert.Equal(t, 18, o.sum(report{}, now, func(string) bool { return true }).old)
+	assert.Zero(t, o.sum(report{}, now.Add(reportTTL), func(string) bool { return true }).old, "who says nothing for so long has ended")
 }
 
 // An order that is changed on the way, or made again, is another one: nothing that was
--- a/fleet/relay/versions.go
+++ b/fleet/relay/versions.go
@@ -12,27 +12,27 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// ordersPause is after how long the orders are asked for again while an entry is newer
-// than what is known of them: it costs peers a call, and the store one only from those
-// who watch it, whose answer is new enough.
-const ordersPause = 250 * time.Millisecond
+// ordersRefreshInterval is the delay before the orders are requested again while an entry is newer
+// than the orders known. A request costs peers a call. It costs the store one only from the nodes
+// that watch it, whose answer is recent enough.
+const ordersRefreshInterval = 250 * time.Millisecond
 
-// byVersion limits the directory to endpoints of versions that may get work, and hands
-// on how calls choose between versions.
+// byVersion limits the directory to endpoints of versions that may get work, and publishes how
+// calls choose between versions.
 func (t *engineTable) byVersion(d *engine.Directory) *engine.Directory {
 	if !t.settings.RollsOut() {
 		return d
 	}
-	set := t.withUsed(*t.rollouts.Load(), d)
+	set := t.withUsedVersions(*t.rollouts.Load(), d)
 	moves := forward.Trials{}
-	var late []string // services
+	var waiting []string // services
 	limited := d.Limited(func(service string, all []engine.Engine) []engine.Engine {
 		l := rollout.Split(all, set, service)
-		t.use(service, l)
-		if isLate(all, l, set) {
-			late = append(late, service)
+		t.recordUsed(service, l)
+		if awaitsOrders(all, l, set) {
+			waiting = append(waiting, service)
 		}
-		bad := t.trials.endpointsSeen(service, all)
+		bad := t.trials.countEndpoints(service, all)
 		state := l.Rollout.State()
 		if !l.HasOrder || state == rollout.Completed || state == rollout.Reverted {
 			return inOrder(l.All)
@@ -41,26 +41,26 @@
 		return inOrder(l.Old)
 	})
 	t.moves.Store(&moves)
-	if len(late) > 0 && !t.asking {
-		t.log.WithField("services", late).WithField("revision", d.Revision.Number()).WithField("orders", set.Revision().Number()).Info("endpoints of versions not seen before, newer than the orders known: they get nothing, orders asked for again")
-		t.asking = true
-		t.ordersAgain.Ask()
-		time.AfterFunc(ordersPause, t.lookAgain)
+	if len(waiting) > 0 && !t.requestingOrders {
+		t.log.WithField("services", waiting).WithField("revision", d.Revision.Number()).WithField("orders", set.Revision().Number()).Info("endpoints of new versions get no calls until the orders are known: orders requested again")
+		t.requestingOrders = true
+		t.ordersRefresh.Ask()
+		time.AfterFunc(ordersRefreshInterval, t.republish)
 	}
 	return limited
 }
 
-// lookAgain publishes once more after the orders were asked for.
-func (t *engineTable) lookAgain() {
+// republish publishes once more after the orders were requested.
+func (t *engineTable) republish() {
 	t.mu.Lock()
-	t.asking = false
+	t.requestingOrders = false
 	t.mu.Unlock()
 	t.refresh()
 }
 
-// withUsed adds the versions that were let get work here before, as long as any endpoint
-// has them.
-func (t *engineTable) withUsed(set rollout.Set, d *engine.Directory) rollout.Set {
+// withUsedVersions adds the versions that were allowed to get work here before, for as long as any
+// endpoint runs them.
+func (t *engineTable) withUsedVersions(set rollout.Set, d *engine.Directory) rollout.Set {
 	there := map[string]map[string]bool{}
 	for _, e := range d.All() {
 		if there[e.Service] == nil {
@@ -68,7 +68,7 @@
 		}
 		there[e.Service][e.Version] = true
 	}
-	for service, versions := range t.used {
+	for service, versions := range t.usedVersions {
 		for version := range versions {
 			if !there[service][version] {
 				delete(versions, version)
@@ -80,23 +80,23 @@
 	return set
 }
 
-// use notes which versions may get all of a service's work.
-func (t *engineTable) use(service string, l rollout.Lists) {
+// recordUsed records which versions may get all of the work of a service.
+func (t *engineTable) recordUsed(service string, l rollout.Lists) {
 	proved := l.All
 	if l.Rollout.State() == rollout.InProgress {
 		proved = l.Old
 	}
-	if t.used[service] == nil {
-		t.used[service] = map[string]bool{}
+	if t.usedVersions[service] == nil {
+		t.usedVersions[service] = map[string]bool{}
 	}
 	for _, e := range proved {
-		t.used[service][e.Version] = true
+		t.usedVersions[service][e.Version] = true
 	}
 }
 
-// isLate is whether an endpoint gets nothing only because its entry is newer than what is
-// known of the orders.
-func isLate(all []engine.Engine, l rollout.Lists, set rollout.Set) bool {
+// awaitsOrders reports whether an endpoint gets nothing only because its entry is newer than the
+// orders known.
+func awaitsOrders(all []engine.Engine, l rollout.Lists, set rollout.Set) bool {
 	if !slices.ContainsFunc(all, func(e engine.Engine) bool { return e.Seen > set.Revision() }) {
 		return false
 	}
@@ -108,7 +108,7 @@
 	})
 }
 
-// inOrder sorts endpoints by id, as a directory lists them.
+// inOrder sorts endpoints by id, the order of a directory.
 func inOrder(engines []engine.Engine) []engine.Engine {
 	return slices.SortedFunc(slices.Values(engines), func(a, b engine.Engine) int { return strings.Compare(a.ID, b.ID) })
 }
