--- a/fleet/relay/chain_test.go
+++ b/fleet/relay/chain_test.go
@@ -14,21 +14,21 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// way is how a node is reached, which breaks with it.
-type way struct {
+// sourceLink reads the cache of a node, and fails as the node fails.
+type sourceLink struct {
 	store.Reader
-	to *hand
+	to *chainNode
 }
 
-func (l *way) List(ctx context.Context, kind string) ([]store.Object, store.Revision, error) {
+func (l *sourceLink) List(ctx context.Context, kind string) ([]store.Object, store.Revision, error) {
 	if err := l.to.broken(ctx, 0); err != nil {
 		return nil, 0, err
 	}
 	return l.Reader.List(ctx, kind)
 }
 
-// Watch loses an answer that would come after the link broke.
-func (l *way) Watch(ctx context.Context, kind string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
+// Watch loses an answer that would arrive after the node failed.
+func (l *sourceLink) Watch(ctx context.Context, kind string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
 	if err := l.to.broken(ctx, wait); err != nil {
 		return nil, 0, err
 	}
@@ -42,16 +42,16 @@
 
 // cacheReader reads a node's cache as a peer does.
 type cacheReader struct {
-	cache *store.Cache
-	least store.Origin
+	cache     *store.Cache
+	minOrigin store.Origin
 }
 
 func (c cacheReader) List(context.Context, string) ([]store.Object, store.Revision, error) {
-	return c.cache.ListFrom(c.least)
+	return c.cache.ListFrom(c.minOrigin)
 }
 
 func (c cacheReader) Watch(ctx context.Context, _ string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
-	return c.cache.WatchFrom(ctx, c.least, since, wait)
+	return c.cache.WatchFrom(ctx, c.minOrigin, since, wait)
 }
 
 // platformStore is the store itself, as a cache that only the test changes.
@@ -59,7 +59,7 @@
 	store.Store
 	cacheReader
 	mu           sync.Mutex
-	away         bool
+	unavailable  bool
 	calls, pings int
 }
 
@@ -67,18 +67,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*to++
-	if p.away {
+	if p.unavailable {
 		return store.ErrRefused
 	}
 	return nil
 }
 
-// turn has the store go away or come back, and returns the calls and pings since it last did.
-func (p *platformStore) turn(away bool) (calls, pings int) {
+// setUnavailable makes the store unavailable or available again, and returns the calls and pings
+// since the last change.
+func (p *platformStore) setUnavailable(unavailable bool) (calls, pings int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	calls, pings = p.calls, p.pings
-	p.away, p.calls, p.pings = away, 0, 0
+	p.unavailable, p.calls, p.pings = unavailable, 0, 0
 	return calls, pings
 }
 
@@ -98,45 +99,45 @@
 
 func (p *platformStore) Ping(context.Context) error { return p.count(&p.pings) }
 
-// hand is one node of the chain from the store to those that act on its news.
-type hand struct {
-	cache *store.Cache
-	mu    sync.Mutex
-	fail  string                       // how its links fail; "" is not
-	seen  map[store.Revision]time.Time // when each revision was in force
+// chainNode is one node of the chain from the store to the nodes that act on updates.
+type chainNode struct {
+	cache   *store.Cache
+	mu      sync.Mutex
+	failure string                       // how its links fail; "" means they work
+	seen    map[store.Revision]time.Time // when each revision came into force
 }
 
-// follow starts a node that asks some sources, or the store where there are none.
-func follow(ctx context.Context, s store.Store, rest time.Duration, firsthand bool, from ...*hand) *hand {
-	h := &hand{cache: store.NewCache(), seen: map[store.Revision]time.Time{}}
-	least := store.FromWatcher
+// follow starts a node that asks the given sources, or the store if there are none.
+func follow(ctx context.Context, s store.Store, rest time.Duration, firsthand bool, from ...*chainNode) *chainNode {
+	h := &chainNode{cache: store.NewCache(), seen: map[store.Revision]time.Time{}}
+	minOrigin := store.FromWatcher
 	if firsthand {
-		least = store.FromStore
+		minOrigin = store.FromStore
 	}
 	var sources []store.Source
 	for i, f := range from {
-		sources = append(sources, store.Source{Name: fmt.Sprint("source", i), Reader: &way{cacheReader{f.cache, least}, f}, Watches: firsthand})
+		sources = append(sources, store.Source{Name: fmt.Sprint("source", i), Reader: &sourceLink{cacheReader{f.cache, minOrigin}, f}, Watches: firsthand})
 	}
 	sourced := store.NewSourced(s, func() []store.Source { return sources })
 	w := store.Watching{Kind: "k", History: 20 * time.Second, Rest: func() time.Duration { return restAfter(sourced.Origin("k"), rest) }}
 	go store.Follow(ctx, sourced, w, func(c store.Change) {
 		h.cache.Apply(c, sourced.Origin("k"))
-		h.note(c)
+		h.record(c)
 	})
 	return h
 }
 
-// fails breaks the node's links: "silent" or "refused".
-func (h *hand) fails(how string) {
+// fails breaks the links of the node: "silent" or "refused".
+func (h *chainNode) fails(how string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fail = how
+	h.failure = how
 }
 
-// broken waits as long as a silent peer is waited for.
-func (h *hand) broken(ctx context.Context, wait time.Duration) error {
+// broken returns an error if the links are broken, after the timeout for a silent peer.
+func (h *chainNode) broken(ctx context.Context, wait time.Duration) error {
 	h.mu.Lock()
-	fail := h.fail
+	fail := h.failure
 	h.mu.Unlock()
 	switch fail {
 	case "silent":
@@ -151,7 +152,7 @@
 	return nil
 }
 
-func (h *hand) note(c store.Change) {
+func (h *chainNode) record(c store.Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at := store.Revision(0)
@@ -168,60 +169,60 @@
 	}
 }
 
-// A change is in force in time at a node that is told by its zone's delegates, which are
-// told by the region's two that watch the store, also when one of them is lost in silence
-// just before the change, and when another change came just before.
-func TestNewsArrivesInTimeWhenAHandIsLost(t *testing.T) {
+// Guards against late updates at a node that asks the delegates of its zone, which ask the two
+// watchers of the region, if one of them fails silently just before the change and another change
+// came just before.
+func TestUpdatesArriveInTimeWhenANodeFails(t *testing.T) {
 	const (
-		short = 2 * time.Second // the shortest bound that settings have by default
-		long  = 3 * time.Second // of the shorter ones of several zones and regions
+		short = 2 * time.Second // the shortest bound of the default settings
+		long  = 3 * time.Second // one of the shorter bounds of several zones and regions
 	)
 	rest := fraction(max(policyRestShare, engineRestShare), short)
 	cases := []struct {
-		name string
-		fail string
-		lost func(watchers, delegates []*hand) []*hand
-		most time.Duration
+		name  string
+		fail  string
+		lost  func(watchers, delegates []*chainNode) []*chainNode
+		limit time.Duration
 	}{
-		{"nobody", "silent", func(_, _ []*hand) []*hand { return nil }, short},
-		{"a watcher is silent", "silent", func(w, _ []*hand) []*hand { return w[:1] }, short},
-		{"a watcher refuses", "refused", func(w, _ []*hand) []*hand { return w[:1] }, short},
-		{"a delegate is silent", "silent", func(_, d []*hand) []*hand { return d[:1] }, short},
-		{"a watcher and a delegate are silent", "silent", func(w, d []*hand) []*hand { return []*hand{w[0], d[0]} }, short},
-		{"all delegates of the zone refuse", "refused", func(_, d []*hand) []*hand { return d }, short},
-		{"all but the store refuse", "refused", func(w, d []*hand) []*hand { return append(append([]*hand{}, w...), d...) }, short},
-		{"both watchers are silent", "silent", func(w, _ []*hand) []*hand { return w }, long},
-		{"all delegates of the zone are silent", "silent", func(_, d []*hand) []*hand { return d }, short},
-		{"all delegates of the region are silent", "silent", func(w, d []*hand) []*hand { return append(append([]*hand{}, w...), d...) }, long},
+		{"nobody", "silent", func(_, _ []*chainNode) []*chainNode { return nil }, short},
+		{"a watcher is silent", "silent", func(w, _ []*chainNode) []*chainNode { return w[:1] }, short},
+		{"a watcher refuses", "refused", func(w, _ []*chainNode) []*chainNode { return w[:1] }, short},
+		{"a delegate is silent", "silent", func(_, d []*chainNode) []*chainNode { return d[:1] }, short},
+		{"a watcher and a delegate are silent", "silent", func(w, d []*chainNode) []*chainNode { return []*chainNode{w[0], d[0]} }, short},
+		{"all delegates of the zone refuse", "refused", func(_, d []*chainNode) []*chainNode { return d }, short},
+		{"all but the store refuse", "refused", func(w, d []*chainNode) []*chainNode { return append(append([]*chainNode{}, w...), d...) }, short},
+		{"both watchers are silent", "silent", func(w, _ []*chainNode) []*chainNode { return w }, long},
+		{"all delegates of the zone are silent", "silent", func(_, d []*chainNode) []*chainNode { return d }, short},
+		{"all delegates of the region are silent", "silent", func(w, d []*chainNode) []*chainNode { return append(append([]*chainNode{}, w...), d...) }, long},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				held := store.NewCache()
-				held.Apply(store.Snapshot{Revision: 1}, store.FromStore)
-				s := &platformStore{cacheReader: cacheReader{held, store.FromStore}}
-				watchers := []*hand{follow(ctx, s, rest, false), follow(ctx, s, rest, false)}
+				storeCache := store.NewCache()
+				storeCache.Apply(store.Snapshot{Revision: 1}, store.FromStore)
+				s := &platformStore{cacheReader: cacheReader{storeCache, store.FromStore}}
+				watchers := []*chainNode{follow(ctx, s, rest, false), follow(ctx, s, rest, false)}
 				time.Sleep(time.Second)
-				delegates := []*hand{follow(ctx, s, rest, true, watchers[0], watchers[1]), follow(ctx, s, rest, true, watchers[1], watchers[0])}
+				delegates := []*chainNode{follow(ctx, s, rest, true, watchers[0], watchers[1]), follow(ctx, s, rest, true, watchers[1], watchers[0])}
 				time.Sleep(time.Second)
-				far := follow(ctx, s, rest, false) // in another region
-				node := follow(ctx, s, rest, false, delegates[0], delegates[1], watchers[0], watchers[1], far)
+				remote := follow(ctx, s, rest, false) // in another region
+				node := follow(ctx, s, rest, false, delegates[0], delegates[1], watchers[0], watchers[1], remote)
 				time.Sleep(5300 * time.Millisecond)
-				held.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 2}}}, Revision: 2}, store.FromStore)
+				storeCache.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 2}}}, Revision: 2}, store.FromStore)
 				time.Sleep(10 * time.Millisecond)
 				for _, h := range c.lost(watchers, delegates) {
 					h.fails(c.fail)
 				}
 				changed := time.Now()
-				held.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 3}}}, Revision: 3}, store.FromStore)
+				storeCache.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 3}}}, Revision: 3}, store.FromStore)
 				time.Sleep(3 * long)
 				node.mu.Lock()
 				defer node.mu.Unlock()
 				in, arrived := node.seen[3]
 				assert.True(t, arrived)
-				assert.Less(t, in.Sub(changed), c.most)
+				assert.Less(t, in.Sub(changed), c.limit)
 				cancel()
 				synctest.Wait()
 			})
@@ -229,25 +230,24 @@
 	}
 }
 
-// A region that is cut off from the store as a whole, and finds it back, asks it by the two
-// that watch it, and hardly by those that are told by others: the return is no herd, and
-// each node has what changed meanwhile in time.
-func TestARegionThatComesBackIsNoHerd(t *testing.T) {
+// Guards against a burst of store calls when a whole region reconnects after a partition: the two
+// watchers ask the store, and hardly any other node. Each node has the changes in time.
+func TestAReconnectingRegionDoesNotFloodTheStore(t *testing.T) {
 	const (
 		nodes   = 40
-		contact = 3 * time.Second // the shortest in which all has to be in force again
+		contact = 3 * time.Second // the shortest time in which everything must be in force again
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		held := store.NewCache()
-		held.Apply(store.Snapshot{Revision: 1}, store.FromStore)
-		platform := &platformStore{cacheReader: cacheReader{held, store.FromStore}}
+		storeCache := store.NewCache()
+		storeCache.Apply(store.Snapshot{Revision: 1}, store.FromStore)
+		platform := &platformStore{cacheReader: cacheReader{storeCache, store.FromStore}}
 		s := func() store.Store { return store.Probed(platform) }
 		rest := fraction(engineRestShare, 2*time.Second)
-		watchers := []*hand{follow(ctx, s(), rest, false), follow(ctx, s(), rest, false)}
+		watchers := []*chainNode{follow(ctx, s(), rest, false), follow(ctx, s(), rest, false)}
 		time.Sleep(time.Second)
-		var delegates, others []*hand
+		var delegates, others []*chainNode
 		for i := range 4 {
 			delegates = append(delegates, follow(ctx, s(), rest, true, watchers[i%2], watchers[1-i%2]))
 		}
@@ -257,21 +257,21 @@
 			others = append(others, follow(ctx, s(), rest, false, delegates[zone+i/2%2], delegates[zone+1-i/2%2], watchers[0], watchers[1]))
 		}
 		time.Sleep(20 * time.Second)
-		calls, _ := platform.turn(true)
-		assert.Less(t, calls, 20, "two watch, and nobody else asks")
-		for _, w := range watchers { // as a heartbeat does that finds the store lost
+		calls, _ := platform.setUnavailable(true)
+		assert.Less(t, calls, 20, "two watch, and no other node asks")
+		for _, w := range watchers { // as a heartbeat does that finds the store unavailable
 			w.cache.Apply(store.Lost{Err: store.ErrRefused}, store.FromOther)
 		}
-		held.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 2}}}, Revision: 2}, store.FromStore) // ends the watches
+		storeCache.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 2}}}, Revision: 2}, store.FromStore) // ends the watches
 		time.Sleep(10 * time.Second)
-		calls, pings := platform.turn(false)
+		calls, pings := platform.setUnavailable(false)
 		assert.LessOrEqual(t, calls, 2+len(watchers)+len(delegates)+nodes/4)
 		assert.LessOrEqual(t, pings, 10*(nodes+len(delegates))+100)
-		held.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 3}}}, Revision: 3}, store.FromStore)
+		storeCache.Apply(store.Update{Events: []store.Event{{Object: store.Object{Name: "a", Revision: 3}}}, Revision: 3}, store.FromStore)
 		back := time.Now()
 		time.Sleep(10 * time.Second)
-		calls, _ = platform.turn(false)
-		assert.LessOrEqual(t, calls, 2*len(watchers)+nodes/4, "lists and watches of the two, and few others'")
+		calls, _ = platform.setUnavailable(false)
+		assert.LessOrEqual(t, calls, 2*len(watchers)+nodes/4, "lists and watches of the two, and few of others")
 		for i, h := range append(append(watchers, delegates...), others...) {
 			h.mu.Lock()
 			in, arrived := h.seen[3]
--- a/fleet/relay/evacuations_test.go
+++ b/fleet/relay/evacuations_test.go
@@ -14,10 +14,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// zoned is an adapter whose endpoints lie in the zone that their name begins with.
-type zoned struct{ numbers }
+// zonedAdapter places endpoints in the zone that their name begins with.
+type zonedAdapter struct{ revisionAdapter }
 
-func (zoned) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
+func (zonedAdapter) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
 	return engine.Engine{ID: o.Name, Service: "s", Address: "a", Zone: o.Name[:1]}, nil
 }
 
@@ -31,7 +31,7 @@
 
 func zonedNode(zones ...string) *Node {
 	n := testNode()
-	n.adapter = zoned{}
+	n.adapter = zonedAdapter{}
 	n.settings.Regions = map[string]string{}
 	for _, zone := range zones {
 		n.settings.Regions[zone] = "r"
@@ -65,9 +65,9 @@
 		{"begun", []store.Change{store.Snapshot{}, event("a", false)}, []string{"b1", "c1"}},
 		{"two at once", []store.Change{store.Snapshot{}, event("a", false), event("b", false)}, []string{"c1"}},
 		{"all of them", []store.Change{store.Snapshot{Objects: named("a", "b", "c")}}, nil},
-		{"taken back", []store.Change{store.Snapshot{Objects: named("a")}, event("a", true)}, []string{"a1", "b1", "c1"}},
-		{"taken back and put back at once", []store.Change{store.Snapshot{Objects: named("a")}, store.Update{Events: []store.Event{{Object: store.Object{Name: "a"}, Gone: true}, {Object: store.Object{Name: "a"}}}, Revision: 3}}, []string{"b1", "c1"}},
-		{"taken back while history was lost", []store.Change{store.Snapshot{Objects: named("a")}, store.Snapshot{Revision: 9}}, []string{"a1", "b1", "c1"}},
+		{"ended", []store.Change{store.Snapshot{Objects: named("a")}, event("a", true)}, []string{"a1", "b1", "c1"}},
+		{"ended and begun again at once", []store.Change{store.Snapshot{Objects: named("a")}, store.Update{Events: []store.Event{{Object: store.Object{Name: "a"}, Gone: true}, {Object: store.Object{Name: "a"}}}, Revision: 3}}, []string{"b1", "c1"}},
+		{"ended while history was lost", []store.Change{store.Snapshot{Objects: named("a")}, store.Snapshot{Revision: 9}}, []string{"a1", "b1", "c1"}},
 		{"the store is lost meanwhile", []store.Change{store.Snapshot{Objects: named("a")}, store.Lost{Err: errors.New("lost")}}, []string{"b1", "c1"}},
 		{"no zone of that name", []store.Change{store.Snapshot{}, event("nowhere", false)}, []string{"a1", "b1", "c1"}},
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-// A node that does not know yet which zones are to be empty sends nothing anywhere,
-// and does not say that it is ready.
+// Guards against calls to an evacuated zone by a node that has just started: it sends none, and is
+// not ready, before the evacuations are known.
 func TestNothingIsSentBeforeEvacuationsAreKnown(t *testing.T) {
 	n := zonedNode("a")
 	n.applyPolicy("main", store.Snapshot{Objects: []store.Object{{Name: "main", Revision: 3}}})
@@ -104,7 +104,8 @@
 	assert.Equal(t, []string{"a1"}, n.ready())
 }
 
-// A zone that is given back may be cold, whatever its endpoints said before.
+// Guards against full load on a zone whose evacuation ended: its endpoints may be cold, whatever
+// they signaled before.
 func TestAZoneThatIsGivenBackCountsAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := zonedNode("a", "b")
--- a/fleet/relay/incarnations_test.go
+++ b/fleet/relay/incarnations_test.go
@@ -20,17 +20,17 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// births is an adapter whose entries are endpoints as they are.
-type births struct{ numbers }
+// engineAdapter decodes entries that hold an engine.Engine.
+type engineAdapter struct{ revisionAdapter }
 
-func (births) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
+func (engineAdapter) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
 	var e engine.Engine
 	err := json.Unmarshal(o.Data, &e)
 	e.ID, e.Seen = o.Name, o.Revision
 	return e, err
 }
 
-// entry is what an endpoint that was born then writes at a revision.
+// entry returns the entry of an endpoint born then, at a revision.
 func entry(id string, born int64, revision store.Revision, with ...func(*engine.Engine)) store.Object {
 	e := engine.Engine{Born: born, Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 8}
 	for _, w := range with {
@@ -44,10 +44,10 @@
 	return store.Update{Revision: objects[len(objects)-1].Revision, Events: lo.Map(objects, func(o store.Object, _ int) store.Event { return store.Event{Object: o} })}
 }
 
-// livesNode is a node with a cold gate that may send at once.
-func livesNode(objects ...store.Object) *Node {
+// incarnationNode returns a node with a cold gate that may send at once.
+func incarnationNode(objects ...store.Object) *Node {
 	n := testNode()
-	n.adapter = births{}
+	n.adapter = engineAdapter{}
 	n.bounds = bound.NewGate("n")
 	n.bounds.Nodes([]string{"n"}, time.Now().Add(-time.Minute))
 	n.picker = choice.NewPicker("z", choice.DefaultTuning()).WithColdGate(n.bounds, cold.Rule{Overrun: 1.5, Tolerance: 5})
@@ -57,7 +57,7 @@
 
 const (
 	firstBorn = 1_764_723_600_123
-	thenBorn  = firstBorn + 60_000
+	laterBorn = firstBorn + 60_000
 	coldStart = 3 * time.Second
 	perSecond = 4
 )
@@ -75,16 +75,16 @@
 	}
 }
 
-// pickBeside is for a call with shared parts that was tried at an endpoint already.
-func (n *Node) pickBeside(tried, id string) (*choice.Placement, bool) {
+// pickAfter places a call with shared parts that was already tried at an endpoint.
+func (n *Node) pickAfter(tried, id string) (*choice.Placement, bool) {
 	r := n.requestOf(id, 0, sharedParts)
 	e, _ := n.engines.Load().Get(tried)
 	r.Exclude = map[engine.Life]bool{e.Life(): true}
 	return n.picker.Pick(r)
 }
 
-// at lists where some calls without shared parts would go that end at once.
-func (n *Node) at(calls int, coldPerSecond float64) map[string]int {
+// placeCalls counts by endpoint where calls without shared parts go that end at once.
+func (n *Node) placeCalls(calls int, coldPerSecond float64) map[string]int {
 	went := map[string]int{}
 	for i := range calls {
 		if p, ok := n.pickFor(fmt.Sprint("c", i), coldPerSecond); ok {
@@ -95,8 +95,8 @@
 	return went
 }
 
-// ended makes a call at the only endpoint there is, that ends so.
-func (n *Node) ended(r choice.Result) {
+// endCall makes a call at the only endpoint, which ends with the given result.
+func (n *Node) endCall(r choice.Result) {
 	p, ok := n.pickFor("before", 0, sharedParts...)
 	if ok {
 		p.First(time.Duration(p.FirstMs*float64(time.Millisecond)), time.Now())
@@ -104,9 +104,9 @@
 	}
 }
 
-// Protects a new life of an endpoint from all that was known of the one before, and from
-// what arrives late of it: it is neither avoided nor thought to keep anything.
-func TestANewLifeIsKnownForNothing(t *testing.T) {
+// Guards against state of an ended incarnation that is held against the next one, also if it
+// arrives late: the new one is neither avoided nor believed to cache anything.
+func TestANewIncarnationInheritsNothing(t *testing.T) {
 	inZone := func(e *engine.Engine) { e.Zone = "z2" }
 	was := func(born int64) map[string]choice.Digest {
 		return map[string]choice.Digest{"a": {InFlight: 60, Waiting: 90_000, Paused: 1, Streams: 20, Gone: true, Born: born}}
@@ -116,25 +116,25 @@
 	}
 	cases := []struct {
 		name   string
-		before func(n *Node) (late func()) // what was known of the first life, and what comes of it later
+		before func(n *Node) (late func()) // sets up the state of the first incarnation, and returns what arrives late of it
 	}{
 		{"nothing", func(*Node) func() { return nil }},
-		{"it failed", func(n *Node) func() { n.ended(choice.Bad); return nil }},
-		{"it could not be reached", func(n *Node) func() { n.ended(choice.Unreached); return nil }},
-		{"another endpoint had its address", func(n *Node) func() { n.ended(choice.Gone); return nil }},
-		{"it kept parts of prompts", func(n *Node) func() { n.ended(choice.Good); return nil }},
-		{"a peer told of it", func(n *Node) func() {
+		{"it failed", func(n *Node) func() { n.endCall(choice.Bad); return nil }},
+		{"it could not be reached", func(n *Node) func() { n.endCall(choice.Unreached); return nil }},
+		{"another endpoint had its address", func(n *Node) func() { n.endCall(choice.Gone); return nil }},
+		{"it cached parts of prompts", func(n *Node) func() { n.endCall(choice.Good); return nil }},
+		{"a peer reported it", func(n *Node) func() {
 			n.picker.Heard("peer", was(firstBorn), time.Now())
 			n.picker.HeardReads(read(firstBorn), true, time.Now())
 			return nil
 		}},
-		{"a peer tells of it late", func(n *Node) func() {
+		{"a peer reports it late", func(n *Node) func() {
 			return func() {
 				n.picker.Heard("peer", was(firstBorn), time.Now())
 				n.picker.HeardReads(read(firstBorn), true, time.Now())
 			}
 		}},
-		{"a peer of an earlier version tells of it late", func(n *Node) func() {
+		{"a peer of an earlier version reports it late", func(n *Node) func() {
 			return func() {
 				n.picker.Heard("peer", was(0), time.Now())
 				n.picker.HeardReads(read(0), true, time.Now())
@@ -165,34 +165,34 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := livesNode(entry("a", firstBorn, 1))
+				n := incarnationNode(entry("a", firstBorn, 1))
 				late := c.before(n)
-				n.engineTable.apply(written(entry("a", thenBorn, 7)))
+				n.engineTable.apply(written(entry("a", laterBorn, 7)))
 				if late != nil {
 					late()
 				}
 				e, _ := n.engines.Load().Get("a")
-				assert.Equal(t, engine.Life{ID: "a", Born: thenBorn}, e.Life())
+				assert.Equal(t, engine.Life{ID: "a", Born: laterBorn}, e.Life())
 				assert.Equal(t, "z", e.Zone)
-				assert.Empty(t, n.picker.Digests(), "peers are told nothing of the life before")
+				assert.Empty(t, n.picker.Digests(), "peers receive nothing of the last incarnation")
 				assert.Empty(t, n.picker.Reads("", time.Now()))
 				p, ok := n.pickFor("after", 0, sharedParts...)
 				require.True(t, ok, "it gets work")
-				fresh := livesNode(entry("a", thenBorn, 7))
+				fresh := incarnationNode(entry("a", laterBorn, 7))
 				want, _ := fresh.pickFor("after", 0, sharedParts...)
-				assert.Equal(t, want.Uncached, p.Uncached, "it keeps what one that is new keeps")
-				assert.InDelta(t, want.FirstMs, p.FirstMs, 1, "it is as fast, and as empty")
+				assert.Equal(t, want.Uncached, p.Uncached, "it caches what a new endpoint caches")
+				assert.InDelta(t, want.FirstMs, p.FirstMs, 1, "it is as fast and as idle as a new endpoint")
 				p.Close(choice.Neutral, time.Now())
-				n.engineTable.apply(written(entry("b", thenBorn, 8)))
-				assert.Positive(t, n.at(50, 0)["a"], "it is not avoided")
+				n.engineTable.apply(written(entry("b", laterBorn, 8)))
+				assert.Positive(t, n.placeCalls(50, 0)["a"], "it is not avoided")
 			})
 		})
 	}
 }
 
-// Protects calls from waiting for parts that nobody keeps: they are told to take them from
-// an endpoint that read them, and not from its new life, known from own calls or peers.
-func TestNobodyFetchesFromALifeThatEnded(t *testing.T) {
+// Guards against calls that wait for parts nobody caches: they may fetch from an endpoint that
+// read them, not from its next incarnation.
+func TestNobodyFetchesFromAnEndedIncarnation(t *testing.T) {
 	keeps := map[string]func(n *Node, id string){
 		"own call": func(n *Node, id string) {
 			p, ok := n.pickFor("first", 0, sharedParts...)
@@ -201,24 +201,24 @@
 			p.First(time.Duration(p.FirstMs*float64(time.Millisecond)), time.Now())
 			p.Close(choice.Good, time.Now())
 		},
-		"a peer's word": func(n *Node, id string) {
+		"a peer's report": func(n *Node, id string) {
 			n.picker.HeardReads([]choice.Read{{Endpoint: id, Born: firstBorn, Parts: []string{"system"}, Tokens: []int64{5000}}}, false, time.Now())
 		},
 	}
 	for name, known := range keeps {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := livesNode(entry("a", firstBorn, 1))
-				n.at(1, 0) // the service's size is known
+				n := incarnationNode(entry("a", firstBorn, 1))
+				n.placeCalls(1, 0) // the size of the service is known
 				known(n, "a")
 				other := func(e *engine.Engine) { e.Address = "127.0.0.1:2" }
 				n.engineTable.apply(written(entry("b", firstBorn, 2, other)))
-				p, ok := n.pickBeside("a", "second")
+				p, ok := n.pickAfter("a", "second")
 				require.True(t, ok)
 				assert.Equal(t, "127.0.0.1:1", p.Source)
 				p.Close(choice.Neutral, time.Now())
-				n.engineTable.apply(written(entry("a", thenBorn, 3)))
-				p, ok = n.pickBeside("a", "third")
+				n.engineTable.apply(written(entry("a", laterBorn, 3)))
+				p, ok = n.pickAfter("a", "third")
 				require.True(t, ok)
 				assert.Empty(t, p.Source)
 			})
@@ -226,59 +226,60 @@
 	}
 }
 
-// Protects endpoints that are slow after they started again: until a start has passed they
-// get what a cold one bears, also where calls for the life before had just gone there.
-func TestANewLifeIsColdFromItsStart(t *testing.T) {
+// Guards against overload of an endpoint that is cold after a restart: until a cold start has
+// passed it gets what a cold one bears, also if calls for the last incarnation had just gone
+// there.
+func TestANewIncarnationIsColdFromItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := livesNode(entry("a", firstBorn, 1))
-		assert.Equal(t, 30, n.at(30, perSecond)["a"], "a warm one")
-		n.engineTable.apply(written(entry("a", thenBorn, 2)))
-		assert.Zero(t, n.at(30, perSecond)["a"], "those 30 may have reached the new life")
+		n := incarnationNode(entry("a", firstBorn, 1))
+		assert.Equal(t, 30, n.placeCalls(30, perSecond)["a"], "it is warm")
+		n.engineTable.apply(written(entry("a", laterBorn, 2)))
+		assert.Zero(t, n.placeCalls(30, perSecond)["a"], "those 30 may have reached the new incarnation")
 		time.Sleep(1300 * time.Millisecond)
-		assert.Equal(t, perSecond, n.at(30, perSecond)["a"])
-		n.engineTable.apply(written(entry("a", thenBorn, 3, func(e *engine.Engine) { e.Slots = 9 })))
+		assert.Equal(t, perSecond, n.placeCalls(30, perSecond)["a"])
+		n.engineTable.apply(written(entry("a", laterBorn, 3, func(e *engine.Engine) { e.Slots = 9 })))
 		time.Sleep(500 * time.Millisecond)
-		assert.Zero(t, n.at(30, perSecond)["a"], "the same life")
+		assert.Zero(t, n.placeCalls(30, perSecond)["a"], "the same incarnation")
 		time.Sleep(1300 * time.Millisecond)
-		assert.Equal(t, 30, n.at(30, perSecond)["a"], "a start has passed")
+		assert.Equal(t, 30, n.placeCalls(30, perSecond)["a"], "a cold start has passed")
 	})
 }
 
-// Protects a node that sent an endpoint nothing of late from leaving its new life without
-// work: it gets its part at once.
-func TestANewLifeThatWasSentNothingGetsItsPart(t *testing.T) {
+// Guards against a new incarnation without work at a node that sent the endpoint nothing recently:
+// it gets its share at once.
+func TestANewIncarnationGetsItsShareAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := livesNode(entry("a", firstBorn, 1))
-		assert.Equal(t, 30, n.at(30, perSecond)["a"])
+		n := incarnationNode(entry("a", firstBorn, 1))
+		assert.Equal(t, 30, n.placeCalls(30, perSecond)["a"])
 		time.Sleep(1300 * time.Millisecond)
-		n.engineTable.apply(written(entry("a", thenBorn, 2)))
-		assert.Equal(t, perSecond, n.at(30, perSecond)["a"])
+		n.engineTable.apply(written(entry("a", laterBorn, 2)))
+		assert.Equal(t, perSecond, n.placeCalls(30, perSecond)["a"])
 	})
 }
 
-// Protects an endpoint from an entry of another writer under its id that tells no birth:
-// what is known of its life holds on, and its own next entry is no new life.
-func TestAnEntryWithoutABirthEndsNoLife(t *testing.T) {
+// Guards against an entry without a birth, from another writer under the same id, that ends the
+// incarnation of an endpoint: its state stays, and its next entry starts no new one.
+func TestAnEntryWithoutABirthEndsNoIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := livesNode(entry("a", firstBorn, 1), entry("b", firstBorn, 1), entry("c", firstBorn, 1))
+		n := incarnationNode(entry("a", firstBorn, 1), entry("b", firstBorn, 1), entry("c", firstBorn, 1))
 		under, ok := n.pickFor("under way", 0, sharedParts...)
 		require.True(t, ok)
 		under.First(100*time.Millisecond, time.Now())
 		id := under.Engine.ID
 		n.engineTable.apply(written(entry(id, 0, 2)))
-		assert.Zero(t, n.at(50, 0)[id], "the entry names no endpoint")
+		assert.Zero(t, n.placeCalls(50, 0)[id], "the entry names no endpoint")
 		n.engineTable.apply(written(entry(id, firstBorn, 3)))
 		again, ok := n.pickFor("again", 0, sharedParts...)
 		require.True(t, ok)
 		assert.Equal(t, id, again.Engine.ID)
-		assert.Zero(t, again.Uncached, "it still keeps the parts")
+		assert.Zero(t, again.Uncached, "it still caches the parts")
 		assert.Equal(t, 2, n.picker.InFlight(func(yield func(string) bool) { yield(id) }))
 	})
 }
 
-// Protects the entries in force: what a new one says of its state holds for its life,
-// revisions alone say which entry is newer, and zones that are emptied stay so.
-func TestEntriesOfNewLives(t *testing.T) {
+// Guards against entries of an earlier state in force: the state in a new entry holds for its
+// incarnation, revisions alone order entries, and evacuated zones stay evacuated.
+func TestEntriesOfNewIncarnations(t *testing.T) {
 	with := func(s engine.State, zone string) func(*engine.Engine) {
 		return func(e *engine.Engine) { e.State, e.Zone = s, zone }
 	}
@@ -289,22 +290,22 @@
 		want    engine.Engine
 		reborn  bool
 	}{
-		{"ready after it drained", []store.Change{written(entry("a", firstBorn, 2, with(engine.Draining, "z"))), written(entry("a", thenBorn, 3))}, engine.Engine{Born: thenBorn, Seen: 3, Zone: "z"}, true},
-		{"ready in a zone that is emptied", []store.Change{written(entry("a", thenBorn, 3, with(engine.Ready, "away")))}, engine.Engine{Born: thenBorn, Seen: 3, Zone: "away", State: engine.Evacuated}, true},
-		{"an earlier entry late", []store.Change{written(entry("a", thenBorn, 3)), written(entry("a", firstBorn, 2))}, engine.Engine{Born: thenBorn, Seen: 3, Zone: "z"}, true},
-		{"a birth that goes back: cold by its own word alone", []store.Change{written(entry("a", firstBorn-5, 3))}, engine.Engine{Born: firstBorn - 5, Seen: 3, Zone: "z"}, false},
-		{"a birth that is not told, and then the same", []store.Change{written(entry("a", 0, 2)), written(entry("a", firstBorn, 3))}, engine.Engine{Born: firstBorn, Seen: 3, Zone: "z"}, false},
-		{"a birth that is not told, and then a later one", []store.Change{written(entry("a", 0, 2)), written(entry("a", thenBorn, 3))}, engine.Engine{Born: thenBorn, Seen: 3, Zone: "z"}, true},
-		{"a birth that is not told any more", []store.Change{written(entry("a", 0, 2))}, engine.Engine{Seen: 2, Zone: "z"}, false},
-		{"a birth that is told now", []store.Change{written(entry("b", 0, 2)), written(entry("b", thenBorn, 3))}, engine.Engine{ID: "b", Born: thenBorn, Seen: 3, Zone: "z"}, true},
-		{"the same life", []store.Change{written(entry("a", firstBorn, 3))}, engine.Engine{Born: firstBorn, Seen: 3, Zone: "z"}, false},
-		{"the same life twice, listed", []store.Change{store.Snapshot{Revision: 4, Objects: []store.Object{entry("a", firstBorn, 1)}}}, engine.Engine{Born: firstBorn, Seen: 1, Zone: "z"}, false},
-		{"a new one, listed", []store.Change{store.Snapshot{Revision: 4, Objects: []store.Object{entry("a", thenBorn, 3)}}}, engine.Engine{Born: thenBorn, Seen: 3, Zone: "z"}, true},
-		{"its entry had gone", []store.Change{gone, written(entry("a", thenBorn, 9))}, engine.Engine{Born: thenBorn, Seen: 9, Zone: "z"}, false},
+		{"ready after it drained", []store.Change{written(entry("a", firstBorn, 2, with(engine.Draining, "z"))), written(entry("a", laterBorn, 3))}, engine.Engine{Born: laterBorn, Seen: 3, Zone: "z"}, true},
+		{"ready in an evacuated zone", []store.Change{written(entry("a", laterBorn, 3, with(engine.Ready, "away")))}, engine.Engine{Born: laterBorn, Seen: 3, Zone: "away", State: engine.Evacuated}, true},
+		{"an earlier entry late", []store.Change{written(entry("a", laterBorn, 3)), written(entry("a", firstBorn, 2))}, engine.Engine{Born: laterBorn, Seen: 3, Zone: "z"}, true},
+		{"an earlier birth: cold only if its entry says so", []store.Change{written(entry("a", firstBorn-5, 3))}, engine.Engine{Born: firstBorn - 5, Seen: 3, Zone: "z"}, false},
+		{"no birth, and then the same", []store.Change{written(entry("a", 0, 2)), written(entry("a", firstBorn, 3))}, engine.Engine{Born: firstBorn, Seen: 3, Zone: "z"}, false},
+		{"no birth, and then a later one", []store.Change{written(entry("a", 0, 2)), written(entry("a", laterBorn, 3))}, engine.Engine{Born: laterBorn, Seen: 3, Zone: "z"}, true},
+		{"a birth that is no longer reported", []store.Change{written(entry("a", 0, 2))}, engine.Engine{Seen: 2, Zone: "z"}, false},
+		{"a birth that is now reported", []store.Change{written(entry("b", 0, 2)), written(entry("b", laterBorn, 3))}, engine.Engine{ID: "b", Born: laterBorn, Seen: 3, Zone: "z"}, true},
+		{"the same incarnation", []store.Change{written(entry("a", firstBorn, 3))}, engine.Engine{Born: firstBorn, Seen: 3, Zone: "z"}, false},
+		{"the same incarnation twice, listed", []store.Change{store.Snapshot{Revision: 4, Objects: []store.Object{entry("a", firstBorn, 1)}}}, engine.Engine{Born: firstBorn, Seen: 1, Zone: "z"}, false},
+		{"a new one, listed", []store.Change{store.Snapshot{Revision: 4, Objects: []store.Object{entry("a", laterBorn, 3)}}}, engine.Engine{Born: laterBorn, Seen: 3, Zone: "z"}, true},
+		{"its entry was gone", []store.Change{gone, written(entry("a", laterBorn, 9))}, engine.Engine{Born: laterBorn, Seen: 9, Zone: "z"}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := livesNode(entry("a", firstBorn, 1))
+			n := incarnationNode(entry("a", firstBorn, 1))
 			n.evacuations.Store(lo.ToPtr(evacuation.Zones{}.WithBegun("away", 1)))
 			for _, change := range c.changes {
 				n.engineTable.apply(change)
@@ -318,24 +319,24 @@
 	}
 }
 
-// Protects an endpoint whose entry lapsed while the store was in doubt, and that started
-// again meanwhile: its new life stays when the time for the old entry is over.
-func TestANewLifeOfALapsedEntryStays(t *testing.T) {
+// Guards against dropping a restarted endpoint when the time of its lapsed entry is over, after an
+// outage of the store.
+func TestANewIncarnationOfALapsedEntryStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := livesNode(entry("a", firstBorn, 1))
+		n := incarnationNode(entry("a", firstBorn, 1))
 		n.health.Lost("endpoints")
 		n.engineTable.apply(store.Update{Revision: 2, Events: []store.Event{{Gone: true, Object: store.Object{Name: "a"}}}})
 		time.Sleep(time.Second)
-		n.engineTable.apply(written(entry("a", thenBorn, 3)))
+		n.engineTable.apply(written(entry("a", laterBorn, 3)))
 		time.Sleep(5 * time.Second)
 		e, ok := n.engines.Load().Get("a")
 		assert.True(t, ok)
-		assert.Equal(t, int64(thenBorn), e.Born)
+		assert.Equal(t, int64(laterBorn), e.Born)
 	})
 }
 
-// Protects against entries of another writer where endpoints tell their births, and
-// endpoints whose software does not tell it yet from being taken for such.
+// Guards against entries of another writer if endpoints report their births, and against taking
+// endpoints whose software does not report it for such.
 func TestEntriesWithoutABirth(t *testing.T) {
 	all := func(revision store.Revision, born int64, ids ...string) []store.Object {
 		return lo.Map(ids, func(id string, _ int) store.Object { return entry(id, born, revision) })
@@ -346,19 +347,19 @@
 		changes []store.Change
 		want    []string
 	}{
-		{"nobody tells it", all(1, 0, "a", "b"), nil, []string{"a", "b"}},
+		{"none reports it", all(1, 0, "a", "b"), nil, []string{"a", "b"}},
 		{"all do but one", append(all(1, 5, "a", "b", "c"), all(1, 0, "x")...), nil, []string{"a", "b", "c"}},
 		{"one comes later", all(1, 5, "a", "b"), []store.Change{written(all(2, 0, "x")...)}, []string{"a", "b"}},
-		{"and tells it then", all(1, 5, "a", "b"), []store.Change{written(all(2, 0, "x")...), written(all(3, 5, "x")...)}, []string{"a", "b", "x"}},
-		{"over one that told it", all(1, 5, "a", "b", "c"), []store.Change{written(all(2, 0, "c")...)}, []string{"a", "b"}},
-		{"one of two tells it", append(all(1, 5, "a"), all(1, 0, "b")...), nil, []string{"a", "b"}},
-		{"half of them tell it", append(all(1, 5, "a", "b"), all(1, 0, "c", "d")...), nil, []string{"a", "b", "c", "d"}},
+		{"and reports it then", all(1, 5, "a", "b"), []store.Change{written(all(2, 0, "x")...), written(all(3, 5, "x")...)}, []string{"a", "b", "x"}},
+		{"over one that reported it", all(1, 5, "a", "b", "c"), []store.Change{written(all(2, 0, "c")...)}, []string{"a", "b"}},
+		{"one of two reports it", append(all(1, 5, "a"), all(1, 0, "b")...), nil, []string{"a", "b"}},
+		{"half of them report it", append(all(1, 5, "a", "b"), all(1, 0, "c", "d")...), nil, []string{"a", "b", "c", "d"}},
 		{"the last one in use that does not", all(1, 0, "a", "b", "c"), []store.Change{written(all(2, 5, "a", "b")...)}, []string{"a", "b", "c"}},
-		{"those that told it have left", append(all(1, 5, "a", "b"), all(1, 0, "x")...), []store.Change{store.Snapshot{Revision: 2, Objects: all(1, 0, "x")}}, []string{"x"}},
+		{"those that reported it have left", append(all(1, 5, "a", "b"), all(1, 0, "x")...), []store.Change{store.Snapshot{Revision: 2, Objects: all(1, 0, "x")}}, []string{"x"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := livesNode(c.listed...)
+			n := incarnationNode(c.listed...)
 			for _, change := range c.changes {
 				n.engineTable.apply(change)
 			}
@@ -371,14 +372,14 @@
 	}
 }
 
-// Protects calls from connections that died with the life before: those that rest are
-// dropped when the new one is learned, at the address that the one before had.
-func TestConnectionsOfTheLifeBeforeAreDropped(t *testing.T) {
-	n := livesNode(entry("a", firstBorn, 1))
+// Guards against calls on connections that died with the last incarnation: idle ones to its
+// address are closed when the new one is known.
+func TestConnectionsOfTheLastIncarnationAreDropped(t *testing.T) {
+	n := incarnationNode(entry("a", firstBorn, 1))
 	var dropped []string
 	n.dropIdle = func(address string) int { dropped = append(dropped, address); return 1 }
 	n.engineTable.apply(written(entry("a", firstBorn, 2)))
-	assert.Empty(t, dropped, "the same life keeps them")
-	n.engineTable.apply(written(entry("a", thenBorn, 3, func(e *engine.Engine) { e.Address = "127.0.0.1:2" }), entry("b", thenBorn, 3)))
+	assert.Empty(t, dropped, "the same incarnation keeps them")
+	n.engineTable.apply(written(entry("a", laterBorn, 3, func(e *engine.Engine) { e.Address = "127.0.0.1:2" }), entry("b", laterBorn, 3)))
 	assert.Equal(t, []string{"127.0.0.1:1"}, dropped)
 }
--- a/fleet/relay/intake_test.go
+++ b/fleet/relay/intake_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A node whose link one customer fills is not ready, and serves on.
+// A node whose link one customer fills is not ready, and keeps serving.
 func TestANodeWhoseLinkOneCustomerFillsIsNotReady(t *testing.T) {
 	n := zonedNode("a")
 	n.applyPolicy("main", store.Snapshot{Objects: []store.Object{{Name: "main", Revision: 3}}})
--- a/fleet/relay/notices_test.go
+++ b/fleet/relay/notices_test.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// heeding is a node that knows endpoints by their entries and by what they say.
-func heeding(ids ...string) *Node {
-	n := livesNode(entry("a", firstBorn, 1), entry("b", firstBorn, 2))
+// noticeNode returns a node with two endpoints, of which some announced that they leave.
+func noticeNode(ids ...string) *Node {
+	n := incarnationNode(entry("a", firstBorn, 1), entry("b", firstBorn, 2))
 	n.notices = notice.NewBook("n", notice.Rule{Serves: time.Minute}, func(notice.Change) { n.engineTable.refresh() })
 	n.picker.WithNotices(n.notices)
 	n.engineTable.refresh()
@@ -24,10 +24,10 @@
 	return n
 }
 
-// An endpoint that says that it leaves gets calls that no other may take, and nothing else; its entry
-// changes nothing of that until it is of another life.
+// Guards against calls to an endpoint that announced that it leaves while another may take them.
+// Its entry changes nothing of that until it belongs to another incarnation.
 func TestAnEndpointThatLeavesIsTheLastResort(t *testing.T) {
-	n := heeding("a")
+	n := noticeNode("a")
 	for range 20 {
 		p, ok := n.pickFor("call", 0)
 		assert.True(t, ok)
@@ -35,14 +35,14 @@
 	}
 	n.engineTable.apply(written(entry("a", firstBorn, 3)))
 	e, _ := n.engines.Load().Get("a")
-	assert.Equal(t, engine.Leaving, e.State, "it was written again")
+	assert.Equal(t, engine.Leaving, e.State, "its entry was written again")
 
-	n = heeding("a", "b")
+	n = noticeNode("a", "b")
 	_, ok := n.pickFor("call", 0)
-	assert.True(t, ok, "all of them leave, and still serve")
+	assert.True(t, ok, "all of them leave and still serve")
 
-	n.engineTable.apply(written(entry("a", thenBorn, 4)))
+	n.engineTable.apply(written(entry("a", laterBorn, 4)))
 	p, ok := n.pickFor("call", 0)
 	assert.True(t, ok)
-	assert.Equal(t, "a", p.Engine.ID, "another life does not leave")
+	assert.Equal(t, "a", p.Engine.ID, "the next incarnation does not leave")
 }
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -34,15 +34,15 @@
 	return ok
 }
 
-// Guards against more sends of a deadly request than are allowed: whoever probes, nodes that
-// are cut off from each other and those that start anew among them.
+// Guards against more sends of a deadly request than allowed, also by nodes that are partitioned
+// or restart.
 func TestProbesOfARequestAreBoundedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
 		sent := 0
 		for range 5 {
-			q := keeping(s) // each one believes that it is the first
-			h := q.heldBack(t, 1)
+			q := quarantineNode(s) // each one believes that it is the first
+			h := q.learnHeld(t, 1)
 			q.persist(h)
 			q.probe(h)
 			for q.probes() {
@@ -50,8 +50,8 @@
 			}
 		}
 		assert.Equal(t, quarantine.MostProbes, sent)
-		later := keeping(s)
-		h := later.heldBack(t, 2)
+		later := quarantineNode(s)
+		h := later.learnHeld(t, 2)
 		later.persist(h)
 		later.probe(h)
 		assert.True(t, later.probes(), "each round has its own")
@@ -61,9 +61,9 @@
 func TestANodeThatFindsARequestInTheStoreProbesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		q := keeping(s)
-		q.persist(q.heldBack(t, 1))
-		started := keeping(s)
+		q := quarantineNode(s)
+		q.persist(q.learnHeld(t, 1))
+		started := quarantineNode(s)
 		require.True(t, started.loadOnce(t.Context()))
 		assert.False(t, started.probes())
 		time.Sleep(quarantine.DefaultRule().Probe)
@@ -72,16 +72,16 @@
 	})
 }
 
-func TestNodesProbeInTheirTurn(t *testing.T) {
+func TestNodesProbeInTheirSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			turn  int
 			after time.Duration
 			want  bool
 		}{{1, probeSlot - time.Second, false}, {1, probeSlot, true}, {2, time.Minute / 2, false}} {
-			q := keeping(&quarantineStore{objects: map[string]store.Object{}}) // none was claimed by others
+			q := quarantineNode(&quarantineStore{objects: map[string]store.Object{}}) // none was claimed by others
 			q.slot = func(string) int { return c.turn }
-			h := q.heldBack(t, 1)
+			h := q.learnHeld(t, 1)
 			require.NoError(t, q.write(h))
 			q.scheduleProbe(h)
 			time.Sleep(quarantine.DefaultRule().Probe + c.after)
@@ -94,8 +94,8 @@
 func TestNoProbeIsSentThatTheStoreDidNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
-		q := keeping(s)
-		h := q.heldBack(t, 1)
+		q := quarantineNode(s)
+		h := q.learnHeld(t, 1)
 		go q.persist(h)
 		go q.probe(h)
 		time.Sleep(2 * time.Second)
@@ -104,38 +104,38 @@
 		s.lost = false
 		s.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		assert.True(t, q.probes(), "the store is back")
+		assert.True(t, q.probes(), "the store is available again")
 	})
 }
 
-// Guards against a request that is held back again by nodes that start, since a probe of it
-// was claimed while it was let go.
-func TestAProbeKeepsNoRequestThatWasLetGo(t *testing.T) {
+// Guards against a request that nodes quarantine again at their start, since a probe was claimed
+// while it was released.
+func TestAProbeDoesNotStoreAReleasedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		q := keeping(s)
-		q.probe(q.heldBack(t, 1))
+		q := quarantineNode(s)
+		q.probe(q.learnHeld(t, 1))
 		assert.Empty(t, s.objects)
 		assert.False(t, q.probes())
 	})
 }
 
-// Guards against probes that are sent once more since the store forgot that they were claimed.
+// Guards against probes that are sent once more because a restored store lost their claims.
 func TestProbesStayCountedWhereTheStoreIsAnOlderCopy(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager // who probes next
+		then func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager // the node that probes next
 	}{
 		{"it is written back, and a node starts", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
 			q.writeBack()
 			synctest.Wait()
-			started := keeping(s)
+			started := quarantineNode(s)
 			require.True(t, started.loadOnce(t.Context()))
 			return started
 		}},
-		{"another node was told of them", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
-			other := keeping(s)
-			other.heldBack(t, 1)
+		{"another node received a report of them", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
+			other := quarantineNode(s)
+			other.learnHeld(t, 1)
 			other.Book.Heard(q.Digest(clock.Now()), clock.Now())
 			return other
 		}},
@@ -144,8 +144,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}}
-				q := keeping(s)
-				h := q.heldBack(t, 1)
+				q := quarantineNode(s)
+				h := q.learnHeld(t, 1)
 				q.persist(h)
 				older := maps.Clone(s.objects)
 				for range quarantine.MostProbes {
@@ -164,14 +164,14 @@
 	}
 }
 
-// Guards against probes without end by a word of fewer than none.
-func TestAWordOfFewerProbesThanNoneIsOfNone(t *testing.T) {
+// Guards against unlimited probes after a report with a negative count.
+func TestANegativeProbeCountIsZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
 		data, err := json.Marshal(quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
 		require.NoError(t, err)
 		s.objects[deadlyFingerprint.String()] = store.Object{Kind: quarantineKind, Name: deadlyFingerprint.String(), Data: data, Revision: 1}
-		q := keeping(s)
+		q := quarantineNode(s)
 		require.True(t, q.loadOnce(t.Context()))
 		h, _ := q.Of(deadlyFingerprint)
 		sent := 0
@@ -185,21 +185,21 @@
 	})
 }
 
-// Guards against a request that is held back for all of its time since the first node to tell of
-// it did not know that it was answered: one that started of late, or of an earlier build.
-func TestWhoeverKnowsThatARequestWasAnsweredItIsProbed(t *testing.T) {
+// Guards against a request that is never probed because the first node to report it did not know
+// that it was answered, since it started recently or runs an earlier build.
+func TestARequestKnownToBeAnsweredIsProbed(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(q *quarantineManager, told quarantine.HeldWord)
+		then func(q *quarantineManager, reported quarantine.HeldWord)
 		want bool
 	}{
 		{"nobody", func(*quarantineManager, quarantine.HeldWord) {}, false},
-		{"a node that tells of it later", func(q *quarantineManager, told quarantine.HeldWord) {
-			told.Answered = true
-			q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{told}}, clock.Now())
+		{"a node that reports it later", func(q *quarantineManager, reported quarantine.HeldWord) {
+			reported.Answered = true
+			q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{reported}}, clock.Now())
 		}, true},
-		{"this node, by an end", func(q *quarantineManager, told quarantine.HeldWord) {
-			s := quarantine.Suspect{Print: told.Print, Customer: told.Customer, Answered: true}
+		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.HeldWord) {
+			s := quarantine.Suspect{Print: reported.Print, Customer: reported.Customer, Answered: true}
 			q.Heard("another", quarantine.Words{Ends: []quarantine.EndWord{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
 		}, true},
 	}
@@ -207,16 +207,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}}
-				q := keeping(s)
-				told := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
-				q.Heard("first", quarantine.Words{Held: []quarantine.HeldWord{told}}, clock.Now())
+				q := quarantineNode(s)
+				reported := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
+				q.Heard("first", quarantine.Words{Held: []quarantine.HeldWord{reported}}, clock.Now())
 				h, _ := q.Of(deadlyFingerprint)
 				q.persist(h)
-				c.then(q, told)
+				c.then(q, reported)
 				time.Sleep(quarantine.DefaultRule().Probe)
 				synctest.Wait()
 				assert.Equal(t, c.want, q.probes())
-				started := keeping(s)
+				started := quarantineNode(s)
 				require.True(t, started.loadOnce(t.Context()))
 				h, _ = started.Of(deadlyFingerprint)
 				assert.Equal(t, c.want, h.Answered, "nodes that start know it")
@@ -225,14 +225,14 @@
 	}
 }
 
-// Guards against a request that is held back for all of its time since the store was out of reach
-// as its probes were due.
+// Guards against a request that is never probed because the store was unreachable when its probes
+// were due.
 func TestAProbeWaitsForTheStore(t *testing.T) {
 	for _, out := range []time.Duration{2 * time.Second, time.Minute, 5 * time.Minute} {
 		t.Run(out.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
-				q := keeping(s)
+				q := quarantineNode(s)
 				w := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
 				q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now())
 				h, _ := q.Of(deadlyFingerprint)
@@ -244,7 +244,7 @@
 				time.Sleep(4 * laterWriteRetry)
 				synctest.Wait()
 				assert.True(t, q.probes())
-				time.Sleep(10 * time.Minute) // what waits ends with the hold
+				time.Sleep(10 * time.Minute) // pending attempts end with the quarantine
 			})
 		})
 	}
--- a/fleet/relay/quarantine_test.go
+++ b/fleet/relay/quarantine_test.go
@@ -18,7 +18,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// keptStore keeps the objects of one kind, and counts its calls.
+// quarantineStore keeps the objects of one kind and counts writes.
 type quarantineStore struct {
 	store.Store
 	mu      sync.Mutex
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// keeping is a node that judges, before a store.
-func keeping(s store.Store) *quarantineManager {
+// quarantineNode returns a judging node on a store.
+func quarantineNode(s store.Store) *quarantineManager {
 	n := testNode()
 	n.store = store.NewSourced(s, func() []store.Source { return nil })
 	q := &quarantineManager{Node: n, slot: func(string) int { return 0 }}
@@ -77,8 +77,8 @@
 
 var deadlyFingerprint = quarantine.PrintOf("customer", "POST", "h", "/", []byte("deadly"))
 
-// heldBack has a node learn of a request that is held back.
-func (q *quarantineManager) heldBack(t *testing.T, round int) quarantine.Held {
+// learnHeld has a node learn of a quarantined request.
+func (q *quarantineManager) learnHeld(t *testing.T, round int) quarantine.Held {
 	t.Helper()
 	w := quarantine.HeldWord{Print: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
 	require.Len(t, q.Book.Heard(quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now()), 1)
@@ -86,41 +86,41 @@
 	return h
 }
 
-// A request that is held back is written once, whoever judged, and a later round over an
-// earlier one; it is taken away as it is let go. A node that starts reads it.
-func TestTheStoreKeepsWhatIsHeldBack(t *testing.T) {
+// A quarantined request is written once, whichever node judged it, and a later round replaces an
+// earlier one. It is deleted when released, and read by nodes that start.
+func TestTheStoreKeepsQuarantinedRequests(t *testing.T) {
 	s := &quarantineStore{objects: map[string]store.Object{}}
-	first, second := keeping(s), keeping(s)
-	first.persist(first.heldBack(t, 1))
-	second.persist(second.heldBack(t, 1))
+	first, second := quarantineNode(s), quarantineNode(s)
+	first.persist(first.learnHeld(t, 1))
+	second.persist(second.learnHeld(t, 1))
 	assert.Equal(t, 1, s.writes, "the second one finds it there")
 	assert.Contains(t, s.objects, deadlyFingerprint.String())
-	started := keeping(s)
+	started := quarantineNode(s)
 	require.True(t, started.loadOnce(t.Context()))
 	assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
 	assert.True(t, started.Watches("customer"))
-	later := keeping(s)
-	later.persist(later.heldBack(t, 2))
+	later := quarantineNode(s)
+	later.persist(later.learnHeld(t, 2))
 	assert.Equal(t, 2, s.writes)
 	require.True(t, started.Release(deadlyFingerprint, clock.Now()))
 	assert.Eventually(t, func() bool { h, _ := started.Of(deadlyFingerprint); return h.Stored }, time.Second, time.Millisecond)
 	assert.Empty(t, s.objects)
 }
 
-// What can't be read holds nothing back, and costs no other; a store that refuses is asked
-// again.
-func TestEntriesOfRequestsThatCantBeRead(t *testing.T) {
+// Guards against stored requests that are lost because one entry is unreadable or the store
+// refused at first.
+func TestUnreadableQuarantineEntriesAreIgnored(t *testing.T) {
 	s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
-	writer := keeping(s)
-	h := writer.heldBack(t, 1)
-	started := keeping(s)
+	writer := quarantineNode(s)
+	h := writer.learnHeld(t, 1)
+	started := quarantineNode(s)
 	assert.False(t, started.loadOnce(t.Context()))
 	s.lost = false
 	writer.persist(h)
 	other := quarantine.PrintOf("customer", "POST", "h", "/", []byte("other"))
 	data, err := json.Marshal(quarantine.HeldWord{Print: other, Round: 1, ForMs: 60_000})
 	require.NoError(t, err)
-	for name, text := range map[string]string{"spoiled": "{", "of another name": string(data), other.String(): `{"p":"zz"}`} {
+	for name, text := range map[string]string{"malformed": "{", "of another name": string(data), other.String(): `{"p":"zz"}`} {
 		s.objects[name] = store.Object{Kind: quarantineKind, Name: name, Data: json.RawMessage(text), Revision: 1}
 	}
 	s.objects["unreadable"] = store.Object{Kind: quarantineKind, Name: "unreadable", Fault: "no JSON"}
@@ -130,29 +130,28 @@
 	assert.Len(t, started.List(clock.Now()), 1)
 }
 
-// When its time is over one node takes a request out of the store, unless it was held back
-// anew, or let go.
-func TestARequestWhoseTimeIsOverIsTakenAway(t *testing.T) {
+// An expired request is deleted by one node, unless it was quarantined again.
+func TestAnExpiredRequestIsDeleted(t *testing.T) {
 	s := &quarantineStore{objects: map[string]store.Object{}}
-	q := keeping(s)
-	h := q.heldBack(t, 1)
+	q := quarantineNode(s)
+	h := q.learnHeld(t, 1)
 	q.persist(h)
 	q.slot = func(string) int { return 1 }
 	q.expire(h)
-	assert.Len(t, s.objects, 1, "another node does")
+	assert.Len(t, s.objects, 1, "another node deletes it")
 	q.slot = func(string) int { return 0 }
 	old := h
 	old.Round = 0
 	q.expire(old)
-	assert.Len(t, s.objects, 1, "it was held back anew since")
+	assert.Len(t, s.objects, 1, "it was quarantined again since")
 	q.expire(h)
 	assert.Empty(t, s.objects)
-	q.expire(h) // it is gone already
+	q.expire(h) // already deleted
 }
 
-// An endpoint that takes connections has not ended, and one that refuses them has.
-func TestAnEndpointIsAskedWhetherItHasEnded(t *testing.T) {
-	q := keeping(&quarantineStore{})
+// An endpoint that accepts connections has not ended; one that refuses them has.
+func TestTheEndOfAnEndpointIsVerified(t *testing.T) {
+	q := quarantineNode(&quarantineStore{})
 	listening := freeListener(t)
 	alive := engine.Engine{ID: "alive", Address: listening.Addr().String(), Service: "s"}
 	gone := engine.Engine{ID: "gone", Address: closedAddress(t), Service: "s"}
@@ -173,7 +172,7 @@
 	return l
 }
 
-// closedAddress is one that nobody listens at.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l := freeListener(t)
@@ -181,25 +180,25 @@
 	return l.Addr().String()
 }
 
-// Guards against requests that end endpoints again once all nodes were lost, where a copy of
-// the store lacks them.
-func TestWhatIsHeldBackIsWrittenBackToACopyOfTheStore(t *testing.T) {
+// Guards against deadly requests that run again after the loss of all nodes, if a copy of the
+// store lacks them.
+func TestQuarantinedRequestsAreWrittenBackToACopyOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		q := keeping(s)
-		q.persist(q.heldBack(t, 1))
+		q := quarantineNode(s)
+		q.persist(q.learnHeld(t, 1))
 		s.objects = map[string]store.Object{}
 		q.writeBack()
 		time.Sleep(time.Second)
-		started := keeping(s)
+		started := quarantineNode(s)
 		require.True(t, started.loadOnce(t.Context()))
 		assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
-		others := &quarantineStore{objects: map[string]store.Object{}} // the nodes before probe it in theirs
-		behind := keeping(others)
-		behind.heldBack(t, 1)
+		others := &quarantineStore{objects: map[string]store.Object{}} // earlier nodes write in their slots
+		behind := quarantineNode(others)
+		behind.learnHeld(t, 1)
 		behind.slot = func(string) int { return 7 }
 		behind.writeBack()
 		time.Sleep(time.Minute)
-		assert.Zero(t, others.writes, "others do so")
+		assert.Zero(t, others.writes, "other nodes write it")
 	})
 }
--- a/fleet/relay/relay_test.go
+++ b/fleet/relay/relay_test.go
@@ -32,36 +32,36 @@
 	"github.com/lynxshed/lynxshed/fleet/telemetry"
 )
 
-// numbers is an adapter whose objects are told apart by their revision alone.
-type numbers struct{ draining map[string]bool }
+// revisionAdapter tells objects apart by their revision alone.
+type revisionAdapter struct{ draining map[string]bool }
 
-func (numbers) Store() store.Store            { return nil }
-func (numbers) Eras() *store.Eras             { return store.NewEras() }
-func (numbers) Wire() call.Wire               { return nil }
-func (numbers) PolicyAt() (kind, name string) { return "policy", "main" }
-func (numbers) EngineKind() string            { return "engine" }
-func (numbers) Policy(o store.Object) (policy.Policy, error) {
+func (revisionAdapter) Store() store.Store            { return nil }
+func (revisionAdapter) Eras() *store.Eras             { return store.NewEras() }
+func (revisionAdapter) Wire() call.Wire               { return nil }
+func (revisionAdapter) PolicyAt() (kind, name string) { return "policy", "main" }
+func (revisionAdapter) EngineKind() string            { return "engine" }
+func (revisionAdapter) Policy(o store.Object) (policy.Policy, error) {
 	if o.Revision == 0 {
-		return policy.Policy{}, errors.New("not understood")
+		return policy.Policy{}, errors.New("unreadable")
 	}
 	return policy.Policy{Version: o.Revision.Number()}, nil
 }
 
-func (numbers) EvacuationKind() string           { return "evacuation" }
-func (numbers) Evacuation(o store.Object) string { return o.Name }
-func (numbers) RolloutKind() string              { return "rollout" }
-func (numbers) Rollout(o store.Object, _ time.Time) (rollout.Rollout, error) {
-	return rollout.Rollout{}, errors.New("not understood")
+func (revisionAdapter) EvacuationKind() string           { return "evacuation" }
+func (revisionAdapter) Evacuation(o store.Object) string { return o.Name }
+func (revisionAdapter) RolloutKind() string              { return "rollout" }
+func (revisionAdapter) Rollout(o store.Object, _ time.Time) (rollout.Rollout, error) {
+	return rollout.Rollout{}, errors.New("unreadable")
 }
-func (numbers) DropIdle() {}
+func (revisionAdapter) DropIdle() {}
 
-func (numbers) RolloutStatus(rollout.Status) (json.RawMessage, error) {
+func (revisionAdapter) RolloutStatus(rollout.Status) (json.RawMessage, error) {
 	return nil, errors.New("not written")
 }
 
-func (a numbers) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
+func (a revisionAdapter) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
 	if o.Revision == 0 {
-		return engine.Engine{}, errors.New("not understood")
+		return engine.Engine{}, errors.New("unreadable")
 	}
 	return engine.Engine{ID: o.Name, Service: "s", Address: "a", State: lo.Ternary(a.draining[o.Name], engine.Draining, engine.Ready)}, nil
 }
@@ -69,7 +69,7 @@
 func testNode() *Node {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	n := &Node{
-		adapter: numbers{}, log: quiet, settings: DefaultSettings(), health: store.NewHealth(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning()),
+		adapter: revisionAdapter{}, log: quiet, settings: DefaultSettings(), health: store.NewHealth(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning()),
 		picker: choice.NewPicker("z", choice.DefaultTuning()), intake: overload.NewIntake(overload.DefaultIntakeRule()),
 	}
 	n.bounds, n.dropIdle = bound.NewGate("n"), func(string) int { return 0 }
@@ -94,7 +94,7 @@
 		{"an older list", store.Snapshot{Objects: []store.Object{main(4)}}, 5},
 		{"an older event", store.Update{Events: []store.Event{{Object: main(4)}}}, 5},
 		{"removed", store.Update{Events: []store.Event{{Object: main(6), Gone: true}}}, 5},
-		{"not understood", store.Update{Events: []store.Event{{Object: main(0)}}}, 5},
+		{"unreadable", store.Update{Events: []store.Event{{Object: main(0)}}}, 5},
 		{"the store is lost", store.Lost{Err: errors.New("lost")}, 5},
 	}
 	assert.Nil(t, n.policy.Load())
@@ -118,7 +118,7 @@
 	}{
 		{"listed", store.Snapshot{Objects: []store.Object{object("a", 1), object("b", 1)}}, []string{"a", "b"}},
 		{"added and gone at once", store.Update{Events: []store.Event{{Object: object("c", 2)}, {Object: object("a", 1), Gone: true}}}, []string{"b", "c"}},
-		{"one that is not understood", store.Update{Events: []store.Event{{Object: object("d", 0)}}}, []string{"b", "c"}},
+		{"an unreadable one", store.Update{Events: []store.Event{{Object: object("d", 0)}}}, []string{"b", "c"}},
 		{"the store is lost", store.Lost{Err: errors.New("lost")}, []string{"b", "c"}},
 		{"listed anew", store.Snapshot{Objects: []store.Object{object("e", 9)}}, []string{"e"}},
 	}
@@ -132,9 +132,8 @@
 	}
 }
 
-// An entry that goes while the store is or was away may have lapsed: it stays in
-// use until it must not any more, and is dropped at once in calm times and where
-// its endpoint had said that it leaves.
+// Guards against dropping endpoints whose entries lapsed while the store was unavailable.
+// Otherwise, and if the endpoint had announced that it leaves, its entry is dropped at once.
 func TestEntriesThatLapsedAreKeptForAWhile(t *testing.T) {
 	list := func(names ...string) store.Change {
 		return store.Snapshot{Objects: lo.Map(names, func(name string, _ int) store.Object { return store.Object{Name: name, Revision: 1} })}
@@ -150,23 +149,23 @@
 		wait     time.Duration // from then until the entry goes
 		draining bool
 		change   store.Change
-		again    bool // it comes back a second later
+		again    bool // the entry returns a second later
 		kept     bool
-		later    bool // it is there three seconds later
+		later    bool // the entry is in use three seconds later
 	}{
-		{"calm", func(*store.Health) {}, 0, false, list("b"), false, false, false},
-		{"the store is away", lost, time.Minute, false, list("b"), false, true, false},
-		{"an event while it is away", lost, time.Second, false, gone("a"), false, true, false},
-		{"the store is back", back, time.Second, false, gone("a"), false, true, false},
+		{"the store is available", func(*store.Health) {}, 0, false, list("b"), false, false, false},
+		{"the store is unavailable", lost, time.Minute, false, list("b"), false, true, false},
+		{"an event while it is unavailable", lost, time.Second, false, gone("a"), false, true, false},
+		{"the store is available again", back, time.Second, false, gone("a"), false, true, false},
 		{"and the entry too", back, time.Second, false, list("b"), true, true, true},
-		{"back for long", back, 3 * time.Second, false, gone("a"), false, false, false},
+		{"available for long", back, 3 * time.Second, false, gone("a"), false, false, false},
 		{"it was leaving", back, time.Second, true, gone("a"), false, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := testNode()
-				n.adapter = numbers{draining: map[string]bool{"a": c.draining}}
+				n.adapter = revisionAdapter{draining: map[string]bool{"a": c.draining}}
 				table := newEngineTable(n)
 				there := func() bool { _, ok := n.engines.Load().Get("a"); return ok }
 				table.apply(list("a", "b"))
@@ -186,9 +185,9 @@
 	}
 }
 
-// Entries lapse together: one that goes alone while most of its service stay has left,
-// also while the store is in doubt, and where most go they are kept.
-func TestOneEntryThatGoesAloneHasLeft(t *testing.T) {
+// Guards against calls to an endpoint that left while the store was suspected: entries lapse
+// together, so one that goes alone has left; if most go, they are kept.
+func TestASingleEntryThatGoesHasLeft(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	gone := func(name string) store.Change {
 		return store.Update{Events: []store.Event{{Object: store.Object{Name: name}, Gone: true}}}
@@ -221,9 +220,9 @@
 }
 
 func TestSettingsNameWhatIsMissing(t *testing.T) {
-	sound := `{"node":"n","zone":"z","listen":"a:1","ready":{"address":"a:2"},"peer":"a:3","store":"a:4", // comment
+	valid := `{"node":"n","zone":"z","listen":"a:1","ready":{"address":"a:2"},"peer":"a:3","store":"a:4", // comment
 		"budget":{"exposure":0.5},"drainS":7.5,"of tomorrow":1}`
-	s, err := ParseSettings([]byte(sound))
+	s, err := ParseSettings([]byte(valid))
 	require.NoError(t, err)
 	assert.Equal(t, 7500*time.Millisecond, s.Drain())
 	assert.Equal(t, 0.5, s.Budget.Tuning().Exposure)
@@ -232,10 +231,10 @@
 		{"no JSON", "{", "line 1, column 2: expected JSON with comments"},
 		{"nothing", "{}", "line 1, column 1, field node: expected the field to be there"},
 		{"no store", `{"node":"n","zone":"z","listen":"a:1","ready":{"address":"a:2"},"peer":"a:3"}`, "line 1, column 1, field store: expected the field to be there"},
-		{"a word for a number", `{"memoryMB":"x"}`, "line 1, column 13, field memoryMB: expected a number from 0 to 1048576"},
+		{"a string for a number", `{"memoryMB":"x"}`, "line 1, column 13, field memoryMB: expected a number from 0 to 1048576"},
 		{"more calls of a bad version than there are", `{"rollout":{"share":1.1}}`, "line 1, column 21, field rollout.share: expected a number from 0 to 1"},
 		{"a rollback at once", `{"rollout":{"share":0.1,"rollbackMs":0}}`, "line 1, column 38, field rollout.rollbackMs: expected a number from 100 to 3600000"},
-		{"a part beyond the whole", `{"budget":{"exposure":1.5}}`, "line 1, column 23, field budget.exposure: expected a number from 0 to 1"},
+		{"a share above one", `{"budget":{"exposure":1.5}}`, "line 1, column 23, field budget.exposure: expected a number from 0 to 1"},
 	}
 	for _, c := range cases {
 		_, err := ParseSettings([]byte(c.text))
@@ -243,16 +242,15 @@
 	}
 }
 
-// Each mechanism that the settings name switches something off, and no other name
-// is taken.
+// Each mechanism that the settings name disables something, and unknown names are rejected.
 func TestMechanismsAreSwitchedOff(t *testing.T) {
 	const rest = `"node":"n","zone":"z","listen":"a:1","ready":{"address":"a:2"},"peer":"a:3","store":"a:4"`
 	for _, name := range mechanismNames() {
 		s, err := ParseSettings([]byte(`{"disable":["` + name + `"],` + rest + `}`))
 		require.NoError(t, err)
 		assert.False(t, s.Enabled(name))
-		ofTheChoice := name != delegatesMechanism && name != redirectMechanism && name != steerMechanism && name != failureReportsMechanism && name != quarantineMechanism && name != limitsMechanism && name != noticesMechanism
-		assert.Equal(t, !ofTheChoice, s.Choice() == choice.DefaultTuning(), name)
+		inChoice := name != delegatesMechanism && name != redirectMechanism && name != steerMechanism && name != failureReportsMechanism && name != quarantineMechanism && name != limitsMechanism && name != noticesMechanism
+		assert.Equal(t, !inChoice, s.Choice() == choice.DefaultTuning(), name)
 	}
 	_, err := ParseSettings([]byte(`{"disable":["luck"],` + rest + `}`))
 	assert.ErrorContains(t, err, "disable[0]")
@@ -261,7 +259,7 @@
 	assert.Equal(t, choice.DefaultTuning(), s.Choice())
 }
 
-func TestSinkNeverHoldsAWriterUp(t *testing.T) {
+func TestSinkNeverBlocksAWriter(t *testing.T) {
 	blocked := make(chan struct{})
 	defer close(blocked)
 	s := NewSink(writerFunc(func(p []byte) (int, error) { <-blocked; return len(p), nil }))
@@ -276,11 +274,11 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-// The names on the metrics address are those that the operators' page lists.
+// The metrics have the names that the page for operators lists.
 func TestMetricsHaveTheNamesOfTheOperatorsPage(t *testing.T) {
-	told, err := telemetry.New(t.Context(), telemetry.Options{Node: "n", Zone: "z"})
+	instruments, err := telemetry.New(t.Context(), telemetry.Options{Node: "n", Zone: "z"})
 	require.NoError(t, err)
-	m, err := NewMetrics(told.Meter)
+	m, err := NewMetrics(instruments.Meter)
 	require.NoError(t, err)
 	m.Finished("route", "answered", 30*time.Millisecond)
 	m.FirstEvent("route", 20*time.Millisecond)
@@ -299,7 +297,7 @@
 	m.Link(0.7, true, 3)
 	m.Memory(memory.State{Held: 1, Peak: 2, Short: 3})
 	answer := httptest.NewRecorder()
-	told.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	instruments.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	listed := regexp.MustCompile(`\| (lynxshed_relay_\w+) \|`).FindAllStringSubmatch(string(page), -1)
--- a/fleet/relay/restored_engines_test.go
+++ b/fleet/relay/restored_engines_test.go
@@ -12,15 +12,15 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// ready names the endpoints that get calls.
-func (n *Node) readyEndpoints() []string {
+// readyIDs names the endpoints that get calls.
+func (n *Node) readyIDs() []string {
 	ready := lo.Filter(n.engines.Load().Of("s"), func(e engine.Engine, _ int) bool { return e.State == engine.Ready })
 	return lo.Map(ready, func(e engine.Engine, _ int) string { return e.ID })
 }
 
-// Guards against calls to endpoints that left, and none to those that stay, by what a copy
-// of the store says of them.
-func TestWhatACopySaysOfEndpoints(t *testing.T) {
+// Guards against calls to endpoints that left, and against none to those that stay, after a copy
+// of the store lists them as they were.
+func TestEndpointsListedByACopyOfTheStore(t *testing.T) {
 	drains := func(e *engine.Engine) { e.State = engine.Draining }
 	at := func(number int64) store.Revision { return store.At(1, number) }
 	again := func(number int64) store.Revision { return store.At(2, number) }
@@ -31,14 +31,14 @@
 		name    string
 		changes []store.Change
 		want    []string // at once
-		later   []string // once all had the time to write again
+		later   []string // after all had time to write again
 	}{
 		{"nothing was lost", []store.Change{start, copied}, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
-		{"one said that it leaves", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied}, []string{"a", "b"}, []string{"a", "b"}},
-		{"and says so again", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied, written(entry("c", firstBorn, again(15), drains))}, []string{"a", "b"}, []string{"a", "b"}},
-		{"it starts again meanwhile", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied, written(entry("c", thenBorn, again(15)))}, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
+		{"one announced that it leaves", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied}, []string{"a", "b"}, []string{"a", "b"}},
+		{"and announces it again", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied, written(entry("c", firstBorn, again(15), drains))}, []string{"a", "b"}, []string{"a", "b"}},
+		{"it restarts meanwhile", []store.Change{start, written(entry("c", firstBorn, at(30), drains)), copied, written(entry("c", laterBorn, again(15)))}, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
 		{"one was gone, and its entry lapses again", []store.Change{start, gone, copied, store.Update{Revision: again(15), Events: []store.Event{{Object: store.Object{Name: "c"}, Gone: true}}}}, []string{"a", "b"}, []string{"a", "b"}},
-		{"one was gone, and lives", []store.Change{start, gone, copied}, []string{"a", "b"}, []string{"a", "b", "c"}},
+		{"one was gone, and is alive", []store.Change{start, gone, copied}, []string{"a", "b"}, []string{"a", "b", "c"}},
 		{"one was gone, and writes its entry again", []store.Change{start, gone, copied, written(entry("c", firstBorn, again(15)))}, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
 		{"one left for good", []store.Change{start, written(entry("c", firstBorn, at(29), drains)), gone, copied}, []string{"a", "b"}, []string{"a", "b"}},
 		{"one came since", []store.Change{start, written(entry("d", firstBorn, at(30))), copied}, []string{"a", "b", "c", "d"}, []string{"a", "b", "c"}},
@@ -48,14 +48,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := livesNode(entry("x", firstBorn, at(1)))
+				n := incarnationNode(entry("x", firstBorn, at(1)))
 				for _, change := range c.changes {
 					n.engineTable.apply(change)
 				}
-				assert.Equal(t, c.want, n.readyEndpoints())
+				assert.Equal(t, c.want, n.readyIDs())
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				assert.Equal(t, c.later, n.readyEndpoints())
+				assert.Equal(t, c.later, n.readyIDs())
 			})
 		})
 	}
--- a/fleet/relay/restored_orders_test.go
+++ b/fleet/relay/restored_orders_test.go
@@ -14,7 +14,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Guards against calls to a zone that is to be emptied, where a copy of the store lacks that.
+// Guards against calls to an evacuated zone if a copy of the store lacks the evacuation.
 func TestAnEvacuationOutlastsACopyOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := zonedNode("a", "b")
@@ -28,10 +28,10 @@
 		select {
 		case <-asked:
 		case <-time.After(5 * time.Second):
-			t.Error("the zones are listed again")
+			t.Error("the zones were not listed again")
 		}
 		n.applyEvacuations(store.Snapshot{Revision: store.At(2, 15)})
-		assert.Equal(t, []string{"a1", "b1"}, n.ready(), "nobody wrote it again")
+		assert.Equal(t, []string{"a1", "b1"}, n.ready(), "it was not written again")
 	})
 }
 
@@ -39,8 +39,8 @@
 	return rollout.Status{State: state, Target: "v2", Made: made, Share: 0.1, Writes: writes}
 }
 
-// Guards against orders that go back behind what the fleet had agreed on, where a copy of
-// the store does.
+// Guards against orders that fall back behind the status the fleet had agreed on, after the store
+// was restored from a copy.
 func TestAnOrderOutlastsACopyOfTheStore(t *testing.T) {
 	at := func(number int64) store.Revision { return store.At(1, number) }
 	again := func(number int64) store.Revision { return store.At(2, number) }
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against a status that stays lost: nodes that start would begin the order anew.
+// Guards against a status that stays lost: nodes that start would begin the order again.
 func TestAStatusThatACopyLacksIsWrittenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copied := order("s", "v2", 8, store.At(2, 9), orderStatus(rollout.InProgress, 8, 1))
--- a/fleet/relay/rollouts_test.go
+++ b/fleet/relay/rollouts_test.go
@@ -17,16 +17,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// versioned is an adapter whose endpoints are named SERVICE/VERSION/NUMBER, and whose
-// objects hold orders and statuses as they are.
-type versioned struct{ numbers }
+// versionedAdapter names endpoints SERVICE/VERSION/NUMBER; its objects hold orders and statuses as
+// JSON.
+type versionedAdapter struct{ revisionAdapter }
 
-func (versioned) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
+func (versionedAdapter) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
 	words := strings.Split(o.Name, "/")
 	return engine.Engine{ID: o.Name, Service: words[0], Version: words[1], Zone: "z", Seen: o.Revision, Slots: 8}, nil
 }
 
-func (versioned) Rollout(o store.Object, now time.Time) (rollout.Rollout, error) {
+func (versionedAdapter) Rollout(o store.Object, now time.Time) (rollout.Rollout, error) {
 	r := rollout.Rollout{Revision: o.Revision, Learned: now}
 	if err := json.Unmarshal(o.Data, &r.Order); err != nil {
 		return r, err
@@ -38,17 +38,19 @@
 	return r, json.Unmarshal(o.Status, &r.Status)
 }
 
-func (versioned) RolloutStatus(s rollout.Status) (json.RawMessage, error) { return json.Marshal(s) }
+func (versionedAdapter) RolloutStatus(s rollout.Status) (json.RawMessage, error) {
+	return json.Marshal(s)
+}
 
 func versionedNode() *Node {
 	n := testNode()
-	n.adapter = versioned{}
+	n.adapter = versionedAdapter{}
 	n.settings.Rollout.Share, n.settings.Rollout.Tolerance = 0.1, 50
 	n.rollouts.Store(nil)
 	return n
 }
 
-// order is an object that asks for a service to be on a version.
+// order returns an object that orders a service to a version.
 func order(service, target string, made int64, revision store.Revision, s rollout.Status) store.Object {
 	data, _ := json.Marshal(rollout.Order{Service: service, Target: target, Duration: 12 * time.Second})
 	o := store.Object{Name: service, Made: made, Revision: revision, Data: data}
@@ -66,14 +68,14 @@
 	return store.Update{Revision: at, Events: lo.Map(objects, func(o store.Object, _ int) store.Event { return store.Event{Object: o} })}
 }
 
-// entries are endpoints' entries as of a revision.
+// entries returns the entries of endpoints at a revision.
 func entries(at store.Revision, names ...string) store.Change {
 	return store.Snapshot{Revision: at, Objects: lo.Map(names, func(name string, _ int) store.Object { return store.Object{Name: name, Revision: at} })}
 }
 
-// may names the endpoints that may get all of a service's calls, and those that a plan
-// may send calls to beside them.
-func (n *Node) may(service string) (all, beside []string) {
+// allowed names the endpoints that may get all calls of a service, and those that get calls by a
+// plan besides.
+func (n *Node) allowed(service string) (all, beside []string) {
 	ids := func(engines []engine.Engine) []string {
 		return lo.Map(engines, func(e engine.Engine, _ int) string { return strings.TrimPrefix(e.ID, service+"/") })
 	}
@@ -114,9 +116,9 @@
 		{"by stages", []store.Change{listed(1), changed(5, order("s", "v2", 5, 5, rollout.Status{})), changed(6, order("s", "v2", 5, 6, sampling)), changed(9, order("s", "v2", 5, 7, status(rollout.Completed, 0)))}, target, nil},
 		{"the store is lost on the way", []store.Change{listed(9, order("s", "v2", 5, 6, sampling)), store.Lost{Err: errors.New("lost")}}, old, target},
 		{"an older status after a newer one", []store.Change{listed(9, order("s", "v2", 5, 7, status(rollout.Reverted, 0))), changed(9, order("s", "v2", 5, 6, sampling))}, old, nil},
-		{"taken away halfway", []store.Change{listed(8, order("s", "v2", 5, 6, sampling)), gone}, both, nil},
-		{"taken away while history was lost", []store.Change{listed(8, order("s", "v2", 5, 6, sampling)), listed(9)}, both, nil},
-		{"taken away and made again", []store.Change{listed(8, order("s", "v2", 5, 6, status(rollout.Reverted, 0))), gone, changed(10, order("s", "v2", 10, 10, rollout.Status{}))}, old, nil},
+		{"deleted halfway", []store.Change{listed(8, order("s", "v2", 5, 6, sampling)), gone}, both, nil},
+		{"deleted while history was lost", []store.Change{listed(8, order("s", "v2", 5, 6, sampling)), listed(9)}, both, nil},
+		{"deleted and made again", []store.Change{listed(8, order("s", "v2", 5, 6, status(rollout.Reverted, 0))), gone, changed(10, order("s", "v2", 10, 10, rollout.Status{}))}, old, nil},
 		{"another target", []store.Change{listed(9, order("s", "v3", 5, 7, sampling))}, old, nil},
 		{"of another service", []store.Change{listed(9, order("other", "v2", 5, 6, sampling))}, both, nil},
 		{"no version", []store.Change{listed(9, senseless(rollout.Order{Service: "s", Duration: time.Second}))}, both, nil},
@@ -137,7 +139,7 @@
 				if order == "orders first" {
 					n.engineTable.apply(endpoints)
 				}
-				all, beside := n.may("s")
+				all, beside := n.allowed("s")
 				assert.Equal(t, c.all, all, order)
 				assert.ElementsMatch(t, c.beside, beside, order)
 			}
@@ -145,21 +147,22 @@
 	}
 }
 
-// Orders of two services have nothing to do with each other.
+// Orders of two services are independent.
 func TestTwoServicesMoveAtOnce(t *testing.T) {
 	n := versionedNode()
 	n.engineTable.apply(entries(2, "s/v1/a", "s/v2/b", "p/v1/a", "p/v2/b"))
 	done := rollout.Status{State: rollout.Completed, Target: "v2", Made: 6}
 	n.applyRollouts(listed(9, order("s", "v2", 5, 5, rollout.Status{}), order("p", "v2", 6, 7, done)))
-	all, _ := n.may("s")
+	all, _ := n.allowed("s")
 	assert.Equal(t, []string{"v1/a"}, all)
-	all, _ = n.may("p")
+	all, _ = n.allowed("p")
 	assert.Equal(t, []string{"v2/b"}, all)
 	assert.Equal(t, []string{"s"}, n.trials.services(), "only open orders are judged")
 }
 
-// A node that does not know the orders yet sends nothing anywhere and isn't ready; where
-// the settings have no bounds for rollouts there are none.
+// Guards against calls to an unproven version by a node that has just started: it sends none, and
+// is not ready, before the orders are known. Without bounds for rollouts in the settings there are
+// no orders.
 func TestNothingIsSentBeforeOrdersAreKnown(t *testing.T) {
 	n := versionedNode()
 	n.applyPolicy("main", listed(3, store.Object{Name: "main", Revision: 3}))
@@ -175,12 +178,12 @@
 	n.followRollouts(t.Context())
 	n.engineTable.apply(entries(2, "s/v1/a"))
 	assert.Len(t, n.engines.Load().Of("s"), 1)
-	assert.Nil(t, n.moves.Load(), "no plan is ever made")
+	assert.Nil(t, n.moves.Load(), "no plan is made")
 }
 
-// An entry that is newer than what is known of the orders, of a version that was never
-// seen, gets nothing until the orders are known up to it.
-func TestAnEntrySeenBeforeItsOrderGetsNothing(t *testing.T) {
+// Guards against calls to a new version before its order is known: an endpoint of an unknown
+// version gets none until the orders are known up to its entry.
+func TestAnEntryObservedBeforeItsOrderGetsNothing(t *testing.T) {
 	cases := []struct {
 		name   string
 		orders store.Change
@@ -196,38 +199,38 @@
 			n.applyRollouts(listed(10))
 			n.engineTable.apply(entries(2, "s/v1/a"))
 			n.engineTable.apply(changed(25, store.Object{Name: "s/v2/b", Revision: 25}))
-			all, _ := n.may("s")
+			all, _ := n.allowed("s")
 			assert.Equal(t, []string{"v1/a"}, all)
 			n.applyRollouts(c.orders)
-			all, _ = n.may("s")
+			all, _ = n.allowed("s")
 			assert.Equal(t, c.all, all)
 		})
 	}
 }
 
-// Entries change for other reasons than that an endpoint is new: where a version gets
-// work already, the orders need not be known anew for each change.
+// Guards against a wait for the orders on each change of an entry: a version that already gets
+// work needs none.
 func TestAKnownVersionWaitsForNoOrders(t *testing.T) {
 	n := versionedNode()
 	n.applyRollouts(listed(10))
 	n.engineTable.apply(entries(2, "s/v1/a"))
 	n.engineTable.apply(entries(25, "s/v1/a", "s/v1/b"))
-	all, _ := n.may("s")
+	all, _ := n.allowed("s")
 	assert.Equal(t, []string{"v1/a", "v1/b"}, all)
 	n.engineTable.apply(entries(26, "s/v2/c"))
-	all, _ = n.may("s")
+	all, _ = n.allowed("s")
 	assert.Empty(t, all)
 	n.engineTable.apply(entries(27, "s/v1/a", "s/v2/c"))
-	all, _ = n.may("s")
+	all, _ = n.allowed("s")
 	assert.Empty(t, all, "a version that was gone may be the target of an order by now")
 	n.applyRollouts(listed(27))
-	all, _ = n.may("s")
+	all, _ = n.allowed("s")
 	assert.Equal(t, []string{"v1/a", "v2/c"}, all)
 }
 
-// An order that is written over one that has ended has its whole time, though the status
-// beside it is the old one still.
-func TestAnOrderInAnothersPlaceBeginsWhenItIsSeen(t *testing.T) {
+// Guards against an order that starts with the elapsed time of the one it replaced, whose status
+// is still beside it.
+func TestAReplacingOrderBeginsWhenItIsObserved(t *testing.T) {
 	reverted := rollout.Status{State: rollout.Reverted, Target: "v2", Made: 5, Used: 2 * time.Second}
 	n := versionedNode()
 	n.applyRollouts(listed(9, order("s", "v2", 5, 6, reverted)))
@@ -239,8 +242,7 @@
 	assert.False(t, r.Learned.Before(before))
 }
 
-// How old a status is that was not seen to be written is not known, and one that is told
-// again was learned before.
+// The age of a status is known only if its write was observed, and a repeated one keeps its age.
 func TestWhenAStatusWasLearned(t *testing.T) {
 	moving := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Stage: rollout.Moving, Left: 5 * time.Second}
 	n := versionedNode()
@@ -256,7 +258,7 @@
 	assert.Equal(t, first, of().Learned)
 	moving.Writes++
 	n.applyRollouts(changed(11, order("s", "v2", 5, 11, moving)))
-	assert.False(t, of().Found, "it was seen to be written")
+	assert.False(t, of().Found, "its write was observed")
 	assert.True(t, of().Learned.After(first))
 	n = versionedNode()
 	n.applyRollouts(listed(1))
@@ -266,8 +268,8 @@
 	assert.False(t, of().Found)
 }
 
-// While entries are newer than the orders known these are asked for now and then, however
-// often entries change, and no more once they are known.
+// Guards against one request for the orders per change of an entry: they are requested at
+// intervals, and no longer once known.
 func TestOrdersAreAskedForAgainNowAndThen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := versionedNode()
@@ -281,7 +283,7 @@
 		time.Sleep(ordersRefreshInterval)
 		synctest.Wait()
 		assert.False(t, n.engineTable.requestingOrders)
-		all, _ := n.may("s")
+		all, _ := n.allowed("s")
 		assert.Equal(t, []string{"v1/a", "v2/b"}, all)
 	})
 }
--- a/fleet/relay/settings_places_test.go
+++ b/fleet/relay/settings_places_test.go
@@ -10,13 +10,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/distance"
 )
 
-// The settings' regions and prices make the one value that says what leaving costs.
+// The regions and prices of the settings determine the costs of leaving a zone and a region.
 func TestPlacesOfTheSettings(t *testing.T) {
 	const rest = `"node":"n","zone":"a1","listen":"127.0.0.1:1","ready":{"address":"127.0.0.1:2"},"peer":"127.0.0.1:3","store":"127.0.0.1:4",
 		"regions":{"a1":"a","a2":"a","b1":"b"}`
 	cases := []struct {
 		name, text string
-		near, far  float64 // for a megabyte of a call that is worth nothing
+		near, far  float64 // for a megabyte of a call without value
 	}{
 		{"the default", ``, 0, 40_000},
 		{"one of an operator's prices", `,"bytes":{"regionTokens":4000}`, 0, 4000},
--- a/fleet/relay/suspicions_test.go
+++ b/fleet/relay/suspicions_test.go
@@ -16,9 +16,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Failures are told unless the settings switch that off, and the log says on whose word an
-// endpoint is avoided.
-func TestFailuresAreToldUnlessSwitchedOff(t *testing.T) {
+// Failures are reported unless the settings disable that, and the log names the nodes that
+// reported an avoided endpoint.
+func TestFailuresAreReportedUnlessDisabled(t *testing.T) {
 	for _, disable := range [][]string{nil, {failureReportsMechanism}} {
 		lines := memory.New()
 		logger := &log.Logger{Handler: lines, Level: log.InfoLevel}
--- a/fleet/relay/trials_found_test.go
+++ b/fleet/relay/trials_found_test.go
@@ -15,9 +15,11 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// not know how old the status is until it sees one written.
-func TestWhoFindsAStatusHearsOthersFirst(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against decisions by old evidence: a node that finds a status under way first collects
+// reports of others, and says that it does not know the age of the status until it observes a
+// write.
+func TestANodeThatFindsAStatusCollectsReportsFirst(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		n := versionedNode()
 		n.store, n.trials.fleet = j.Node.store, j.fleet
 		n.engineTable.apply(entries(2, "s/v1/a", "s/v2/e"))
@@ -36,9 +38,10 @@
 	})
 }
 
-// whatever had to be assumed of the one that was found.
-func TestAStatusThatIsSeenWrittenTellsTheTime(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Once a write of the status is observed, the elapsed time is known, whatever was assumed for the
+// status that was found.
+func TestAnObservedStatusWriteSetsTheElapsedTime(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		n := versionedNode()
 		n.store, n.trials.fleet = j.Node.store, j.fleet
 		j.fleet.first = false
@@ -47,7 +50,7 @@
 		j.store.object = order("s", "v2", 5, 6, begun)
 		n.applyRollouts(listed(6, j.store.object))
 		j.Node = n
-		j.store.tell = n.applyRollouts
+		j.store.notify = n.applyRollouts
 		j.play(ctx, time.Second)
 		begun.Used, begun.Writes = 2*time.Second, 2
 		j.store.object = order("s", "v2", 5, 7, begun)
@@ -61,25 +64,26 @@
 	})
 }
 
-// used, and doesn't take for lost what may be.
-func TestHowOldAnOrderIsIsHeard(t *testing.T) {
+// Guards against an order that loses its time when a node restarts: the node takes the elapsed
+// time from others rather than assuming the longest possible.
+func TestElapsedTimeIsTakenFromOtherNodes(t *testing.T) {
 	cases := []struct {
-		name string
-		at   int64 // revision that the other node knows
-		used time.Duration
-		most bool // no more than that
-		want rollout.Stage
+		name  string
+		at    int64 // revision that the other node knows
+		used  time.Duration
+		exact bool // exact, not a lower bound
+		want  rollout.Stage
 	}{
-		{"of this status", 6, time.Second, true, rollout.Sampling}, {"of another one", 4, time.Second, true, rollout.Moving},
+		{"for this status", 6, time.Second, true, rollout.Sampling}, {"for another status", 4, time.Second, true, rollout.Moving},
 		{"at least", 6, time.Second, false, rollout.Moving},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inJudging(t, func(ctx context.Context, j *judging) {
+			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second, Writes: 1})
 				j.applyRollouts(listed(6, j.store.object))
-				told := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: c.at, UsedMs: c.used.Milliseconds(), AtLeast: !c.most}
-				j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{told}}, time.Now())
+				sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: c.at, UsedMs: c.used.Milliseconds(), AtLeast: !c.exact}
+				j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, time.Now())
 				j.applyRollouts(listed(7, j.store.object))
 				j.play(ctx, 5*time.Second)
 				r, _ := j.rollouts.Load().Of("s")
@@ -89,24 +93,24 @@
 	}
 }
 
-// A decider whose process stood still goes by nothing that it knew before: what others saw
-// meanwhile is heard first.
-func TestADeciderThatStoodStillHearsOthersFirst(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against decisions by evidence from before a stall: a stalled decider first collects
+// reports of others.
+func TestAStalledDeciderCollectsReportsFirst(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, 3*time.Second)
 		require.Equal(t, rollout.InProgress, j.state())
 		r, _ := j.rollouts.Load().Of("s")
 		calls := j.store.calls
-		time.Sleep(8 * time.Second) // the move's time has come, and its evidence is of before
+		time.Sleep(8 * time.Second) // the move is due, and its evidence is old
 		j.trials.tick(ctx, clock.Now())
 		synctest.Wait()
-		assert.Equal(t, calls, j.store.calls, "it hears others first")
+		assert.Equal(t, calls, j.store.calls, "it collects reports first")
 		seen := rollout.RouteEvidence{Route: "r"}
 		for c := range 8 {
 			seen.Old[c], seen.Target[c] = rollout.Count{Answers: 300}, rollout.Count{Answers: 30, Bad: 20}
 		}
-		told := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{seen}}, At: r.Revision.Number()}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{told}}, clock.Now())
+		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{seen}}, At: r.Revision.Number()}
+		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, clock.Now())
 		for range 5 {
 			j.trials.tick(ctx, clock.Now())
 			synctest.Wait()
@@ -116,9 +120,9 @@
 	})
 }
 
-// A delegate that did not decide for a while, as another one did, has not stood still.
-func TestADelegateThatDidNotDecideHasNotStoodStill(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against a delegate that counts as stalled because another one decided for a while.
+func TestADelegateThatDidNotDecideHasNotStalled(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		for _, first := range []bool{true, false, true} {
 			j.fleet.first = first
 			j.play(ctx, 2*time.Second)
@@ -127,34 +131,34 @@
 	})
 }
 
-// A decider whose VM was suspended decides nothing before it has heard others: what it
-// believes of the order is old, and how old it is they know.
-func TestADeciderThatWakesHearsOthersFirst(t *testing.T) {
-	const slept = time.Minute
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against decisions after a suspension: the state of the order is old, and only others know
+// how old.
+func TestASuspendedDeciderCollectsReportsFirst(t *testing.T) {
+	const suspended = time.Minute
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, 3*time.Second)
 		require.Equal(t, rollout.InProgress, j.state())
 		calls := j.store.calls
-		clock.Suspend(slept)
-		defer clock.Suspend(-slept) // tests after it are of another process
+		clock.Suspend(suspended)
+		defer clock.Suspend(-suspended) // later tests run without the suspension
 		j.trials.afterSuspension(clock.Now())
 		j.play(ctx, startSettleTime-judgeInterval)
 		assert.Equal(t, calls, j.store.calls)
 		r, _ := j.rollouts.Load().Of("s")
-		told := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: r.Revision.Number(), UsedMs: 4000}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{told}}, clock.Now())
+		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: r.Revision.Number(), UsedMs: 4000}
+		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, clock.Now())
 		j.play(ctx, 2*time.Second)
 		assert.Equal(t, rollout.InProgress, j.state(), "6 s of 12 are over")
 	})
 }
 
-// An answer that lay in a socket while the process stood still is no slow one: what the old
-// version shows must not excuse the target.
-func TestAnAnswerThatLayUnreadIsNotSlow(t *testing.T) {
+// Guards against answers that count as slow because they waited in a socket during a stall: a slow
+// old version would excuse the target.
+func TestAnAnswerThatWaitedDuringAStallIsNotSlow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		looked bool          // at the orders, since the standstill
-		after  time.Duration // the standstill
+		ticked bool          // a tick ran since the stall
+		after  time.Duration // time since the stall
 		failed bool
 		bad    bool
 	}{
@@ -164,10 +168,10 @@
 		{"a slow answer to a call that was sent later", true, 4 * time.Second, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inJudging(t, func(ctx context.Context, j *judging) {
+			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				j.play(ctx, 3*time.Second)
 				time.Sleep(2 * time.Second)
-				if c.looked {
+				if c.ticked {
 					j.trials.tick(ctx, clock.Now())
 				}
 				for end := time.Now().Add(c.after); time.Now().Before(end); {
@@ -182,30 +186,30 @@
 	}
 }
 
-// A status that was decided on before the process stood still is not written after it: what
-// others saw meanwhile was not heard.
-func TestAWriteThatAStandstillHeldUp(t *testing.T) {
+// Guards against a write that was decided before a stall: what others observed meanwhile has not
+// arrived.
+func TestAWriteDelayedByAStall(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		state rollout.State
-		stood time.Duration // between the decision and the write
-		made  bool
+		name    string
+		state   rollout.State
+		stalled time.Duration // between the decision and the write
+		made    bool
 	}{
 		{"at once", rollout.Completed, 0, true},
 		{"a little later", rollout.Completed, 200 * time.Millisecond, true},
 		{"completed", rollout.Completed, 2 * time.Second, false},
 		{"calls move on", rollout.InProgress, 2 * time.Second, false},
-		{"taken back", rollout.Reverted, 2 * time.Second, true},
+		{"reverted", rollout.Reverted, 2 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inJudging(t, func(ctx context.Context, j *judging) {
+			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				j.play(ctx, time.Second)
 				before := j.store.calls
 				o := j.trials.open["s"]
 				o.writing = true
 				w := rollout.Write{Status: rollout.Status{State: c.state, Target: "v2", Made: 5}, Revision: j.store.object.Revision}
 				decided := clock.Now()
-				time.Sleep(c.stood)
+				time.Sleep(c.stalled)
 				j.trials.write(ctx, o, w, nil, decided)
 				assert.Equal(t, c.made, j.store.calls > before)
 				assert.False(t, o.writing, "the decider asks again")
@@ -215,12 +219,12 @@
 	}
 }
 
-// The end of a stream tells how long its first event took, long after a standstill that the
-// event lay unread in: it is no slow one by then either.
-func TestAStreamWhoseFirstEventLayUnreadIsNotSlow(t *testing.T) {
+// Guards against a stream that counts as slow at its end because its first event waited in a
+// socket during a stall.
+func TestAStreamThatWaitedDuringAStallIsNotSlow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		began time.Duration // of the stream, before the standstill was over
+		began time.Duration // of the stream, before the stall ended
 		first time.Duration // until its first event
 		bad   bool
 	}{
@@ -228,7 +232,7 @@
 		{"it began after the standstill", -time.Second, 2200 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inJudging(t, func(ctx context.Context, j *judging) {
+			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				j.play(ctx, 3*time.Second)
 				time.Sleep(2 * time.Second)
 				over := clock.Now()
@@ -242,20 +246,20 @@
 	}
 }
 
-// A process that stands still again and again excuses its own time, and no more: an answer
-// that is slow whatever lay unread is a slow one.
-func TestAnAnswerThatIsSlowBesideStandstillsIsSlow(t *testing.T) {
+// Guards against stalls that excuse more than their own time: an answer that took longer than it
+// may have waited is slow.
+func TestASlowAnswerDespiteStallsIsSlow(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		took time.Duration
 		bad  bool
 	}{
-		{"it may have lain unread", 2 * time.Second, false},
+		{"it may have waited", 2 * time.Second, false},
 		{"it took longer than that", 6 * time.Second, true},
 	} {
 		for _, target := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, target %t", c.name, target), func(t *testing.T) {
-				inJudging(t, func(ctx context.Context, j *judging) {
+				withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 					j.play(ctx, 2*time.Second)
 					for range 3 {
 						time.Sleep(time.Second)
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -18,15 +18,15 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// statusStore is a store of one order, whose status is written.
+// statusStore is a store of one order whose status is written.
 type statusStore struct {
 	store.Store
 	mu     sync.Mutex
 	object store.Object
 	calls  int
-	fault  func() (done bool, err error) // of a write; nil: none
+	fault  func() (done bool, err error) // result of a write; nil: success
 	gets   func() error
-	tell   func(store.Change) // whoever watches
+	notify func(store.Change) // notifies the watchers; nil: none
 }
 
 func (s *statusStore) PutStatus(_ context.Context, o store.Object) (store.Object, error) {
@@ -45,8 +45,8 @@
 	}
 	s.object.Status = o.Status
 	s.object.Revision++
-	if s.tell != nil {
-		go s.tell(changed(s.object.Revision, s.object))
+	if s.notify != nil {
+		go s.notify(changed(s.object.Revision, s.object))
 	}
 	return s.object, err
 }
@@ -63,39 +63,38 @@
 	return s.object, nil
 }
 
-// fakeFleet is a node's part among the delegates.
-type fakeFleet struct {
+// fakeDelegation is the role of a node among the delegates.
+type fakeDelegation struct {
 	delegate, first bool
-	told            []rollout.Warn
+	warnings        []rollout.Warn
 }
 
-func (f *fakeFleet) Writes() bool           { return f.delegate }
-func (f *fakeFleet) FirstDelegate() bool    { return f.first }
-func (f *fakeFleet) TellBad(w rollout.Warn) { f.told = append(f.told, w) }
+func (f *fakeDelegation) Writes() bool           { return f.delegate }
+func (f *fakeDelegation) FirstDelegate() bool    { return f.first }
+func (f *fakeDelegation) TellBad(w rollout.Warn) { f.warnings = append(f.warnings, w) }
 
-// judging is a delegate before a store that holds an order of 12 s.
-type judging struct {
+// judgingNode is a delegate on a store that holds an order of 12 s.
+type judgingNode struct {
 	*Node
 	store *statusStore
-	fleet *fakeFleet
-	bad   float64 // every so many-th answer of the target fails; 0 is none
+	fleet *fakeDelegation
+	bad   float64 // one answer of the target in so many fails; 0: none
 	sent  int
 }
 
-func newJudging() *judging {
-	j := &judging{Node: versionedNode(), store: &statusStore{object: order("s", "v2", 5, 5, rollout.Status{})}, fleet: &fakeFleet{delegate: true, first: true}}
+func newJudgingNode() *judgingNode {
+	j := &judgingNode{Node: versionedNode(), store: &statusStore{object: order("s", "v2", 5, 5, rollout.Status{})}, fleet: &fakeDelegation{delegate: true, first: true}}
 	j.Node.store = store.NewSourced(j.store, func() []store.Source { return nil })
 	j.trials.fleet = j.fleet
-	j.store.tell = j.applyRollouts
+	j.store.notify = j.applyRollouts
 	j.engineTable.apply(entries(2, "s/v1/a", "s/v1/b", "s/v1/c", "s/v1/d", "s/v2/e", "s/v2/f", "s/v2/g", "s/v2/h"))
 	j.applyRollouts(listed(1))
 	j.applyRollouts(changed(5, j.store.object))
 	return j
 }
 
-// play lets time pass: of each 100 calls a second ten try the target, or all while the
-// service moves.
-func (j *judging) play(ctx context.Context, d time.Duration) {
+// play advances time: of 100 calls a second ten try the target, or all while the service moves.
+func (j *judgingNode) play(ctx context.Context, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		synctest.Wait()
 		j.answers()
@@ -105,7 +104,7 @@
 	}
 }
 
-func (j *judging) answers() {
+func (j *judgingNode) answers() {
 	r, _ := j.rollouts.Load().Of("s")
 	for i := range 20 {
 		j.sent++
@@ -118,59 +117,59 @@
 	}
 }
 
-func (j *judging) state() rollout.State {
+func (j *judgingNode) state() rollout.State {
 	r, _ := j.rollouts.Load().Of("s")
 	return r.State()
 }
 
-// inJudging plays a test in a bubble of its own.
-func inJudging(t *testing.T, play func(ctx context.Context, j *judging)) {
+// withJudgingNode runs a test in its own synctest bubble.
+func withJudgingNode(t *testing.T, play func(ctx context.Context, j *judgingNode)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		play(ctx, newJudging())
+		play(ctx, newJudgingNode())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// mostStatusCalls bounds the calls to the store that one rollout may cost its writer.
-const mostStatusCalls = 30
+// maxStatusCalls bounds the store calls that one rollout may cost its writer.
+const maxStatusCalls = 30
 
 func TestAGoodVersionIsCompletedInTime(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, 3*time.Second)
 		assert.Equal(t, rollout.InProgress, j.state())
-		all, beside := j.may("s")
+		all, beside := j.allowed("s")
 		assert.Equal(t, []string{"v1/a", "v1/b", "v1/c", "v1/d"}, all)
 		assert.NotEmpty(t, beside)
 		j.play(ctx, 9*time.Second)
 		assert.Equal(t, rollout.Completed, j.state())
-		all, beside = j.may("s")
+		all, beside = j.allowed("s")
 		assert.Equal(t, []string{"v2/e", "v2/f", "v2/g", "v2/h"}, all)
 		assert.Empty(t, beside)
-		assert.Less(t, j.store.calls, mostStatusCalls)
-		assert.Empty(t, j.fleet.told)
-		assert.Empty(t, j.trials.services(), "nothing is told any more")
+		assert.Less(t, j.store.calls, maxStatusCalls)
+		assert.Empty(t, j.fleet.warnings)
+		assert.Empty(t, j.trials.services(), "nothing is sent any more")
 	})
 }
 
-func TestABadVersionIsTakenBack(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+func TestABadVersionIsReverted(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
 		j.bad = 1
 		j.play(ctx, 8*time.Second)
 		assert.Equal(t, rollout.Reverted, j.state())
-		require.Len(t, j.fleet.told, 1)
-		assert.NotEmpty(t, j.fleet.told[0].Why)
-		all, _ := j.may("s")
+		require.Len(t, j.fleet.warnings, 1)
+		assert.NotEmpty(t, j.fleet.warnings[0].Why)
+		all, _ := j.allowed("s")
 		assert.Equal(t, []string{"v1/a", "v1/b", "v1/c", "v1/d"}, all)
-		assert.Less(t, j.store.calls, mostStatusCalls)
+		assert.Less(t, j.store.calls, maxStatusCalls)
 	})
 }
 
-// Only the first of the delegates writes, and the next one goes on from the status.
+// Only the first delegate writes, and the next one continues from the status.
 func TestAnotherDelegateTakesOver(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.fleet.first = false
 		j.play(ctx, 2*time.Second)
 		assert.Zero(t, j.store.calls)
@@ -189,31 +188,31 @@
 
 // A node that is no delegate judges nothing.
 func TestOnlyDelegatesJudge(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.fleet.delegate, j.bad = false, 1
 		j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second})
 		j.applyRollouts(changed(6, j.store.object))
 		j.play(ctx, 4*time.Second)
 		assert.Zero(t, j.store.calls)
-		assert.Empty(t, j.fleet.told)
+		assert.Empty(t, j.fleet.warnings)
 	})
 }
 
-// What becomes of writes whose answers are lost, that are refused, or that others were
-// sooner with.
-func TestWritesThatDoNotGoWell(t *testing.T) {
+// Guards against rollouts that stop, or flood the store, when answers to status writes are lost or
+// writes are refused.
+func TestFailedStatusWrites(t *testing.T) {
 	lost := errors.New("no answer")
 	cases := []struct {
 		name  string
 		fault func(n int) (done bool, err error) // of the n-th write
 		gets  func(n int) error
-		out   bool // the node says meanwhile that it does not reach the store
-		calls int  // in three seconds at most
+		out   bool // the node reports meanwhile that it does not reach the store
+		calls int  // maximum in three seconds
 	}{
 		{"the answer is lost, and it is done", func(n int) (bool, error) { return true, lost }, nil, false, 6},
 		{"the answer is lost, and it isn't", func(n int) (bool, error) { return n > 1, lost }, nil, false, 8},
 		{"it is refused at first", func(n int) (bool, error) { return n > 2, store.ErrRefused }, nil, true, 8},
-		{"neither it nor what is there is told at first", func(n int) (bool, error) { return n > 1, lost }, func(n int) error {
+		{"neither the write nor a read is answered at first", func(n int) (bool, error) { return n > 1, lost }, func(n int) error {
 			if n < 2 {
 				return lost
 			}
@@ -222,7 +221,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inJudging(t, func(ctx context.Context, j *judging) {
+			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				writes, reads := 0, 0
 				j.store.fault = func() (bool, error) {
 					writes++
@@ -245,11 +244,11 @@
 	}
 }
 
-// A conflict brings the object as it is: who was later goes on from what the first wrote.
-func TestWhoWasLaterGoesOnFromTheFirst(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// After a conflict the later writer continues from what the first one wrote.
+func TestALaterWriterContinuesFromTheFirst(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		first := rollout.Status{State: rollout.Reverted, Target: "v2", Made: 5}
-		j.store.object = order("s", "v2", 5, 6, first) // nobody saw it yet
+		j.store.object = order("s", "v2", 5, 6, first) // nobody observed it yet
 		j.play(ctx, time.Second)
 		assert.Equal(t, 1, j.store.calls)
 		r, _ := j.trials.open["s"].decider.Rollout()
@@ -257,42 +256,43 @@
 	})
 }
 
-// While the store is away a bad version is dropped all the same, and the status follows.
-func TestABadVersionIsDroppedWhileTheStoreIsAway(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against calls to a bad version during an outage of the store: it is dropped at once, and
+// the status follows.
+func TestABadVersionIsDroppedWhileTheStoreIsUnavailable(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
-		away := true
-		j.store.fault = func() (bool, error) { return !away, refusedIf(away) }
+		unavailable := true
+		j.store.fault = func() (bool, error) { return !unavailable, refusedIf(unavailable) }
 		j.bad = 1
 		before := j.store.calls
 		j.play(ctx, 5*time.Second)
 		assert.Equal(t, rollout.InProgress, j.state())
-		require.NotEmpty(t, j.fleet.told)
+		require.NotEmpty(t, j.fleet.warnings)
 		assert.True(t, j.trials.open["s"].bad)
-		assert.Less(t, j.store.calls-before, mostStatusCalls)
-		assert.Len(t, j.trials.Bad(), 1, "it is told again")
-		away = false
+		assert.Less(t, j.store.calls-before, maxStatusCalls)
+		assert.Len(t, j.trials.Bad(), 1, "it is sent again")
+		unavailable = false
 		j.play(ctx, 3*time.Second)
 		assert.Equal(t, rollout.Reverted, j.state())
 		assert.Empty(t, j.trials.Bad())
 	})
 }
 
-func refusedIf(away bool) error {
-	if away {
+func refusedIf(unavailable bool) error {
+	if unavailable {
 		return store.ErrRefused
 	}
 	return nil
 }
 
-// A version that a peer found bad gets nothing at once, also where the order is heard of
-// only later, and the delegate that writes writes so.
+// A version that a peer found bad gets no calls at once, also if the order arrives later, and the
+// writing delegate reverts it.
 func TestAVersionThatAPeerFoundBad(t *testing.T) {
 	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "fails"}
 	heard := func(n *Node, w rollout.Warn) {
 		n.trials.Heard(peer.Teller{Name: "o", Life: "o/1"}, peer.RolloutWord{Bad: []rollout.Warn{w}}, time.Now())
 	}
-	inJudging(t, func(ctx context.Context, j *judging) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
 		heard(j.Node, rollout.Warn{Service: "s", Target: "v3", Made: 5})
 		heard(j.Node, rollout.Warn{Service: "s", Target: "v2", Made: 4})
@@ -311,9 +311,9 @@
 	assert.True(t, n.trials.open["s"].bad)
 }
 
-// What nodes of the zone tell, and what other zones do, is counted once each, whatever
-// comes twice, late or not at all.
-func TestWhatOthersTellCountsOnce(t *testing.T) {
+// Guards against evidence that counts twice: reports of nodes of the zone and of other zones may
+// arrive twice, late or never.
+func TestReportsOfOthersCountOnce(t *testing.T) {
 	n := versionedNode()
 	n.settings.Zone = "near"
 	n.applyRollouts(listed(9, order("s", "v2", 5, 5, rollout.Status{})))
@@ -322,38 +322,37 @@
 		return peer.RolloutSeen{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
 	}
 	now := time.Now()
-	tell := func(name, incarnation string, s peer.RolloutSeen) {
+	send := func(name, incarnation string, s peer.RolloutSeen) {
 		n.trials.Heard(peer.Teller{Name: name, Life: incarnation}, peer.RolloutWord{Seen: []peer.RolloutSeen{s}}, now)
 	}
-	tell("a", "a/1", seen("", 5, 2))
-	tell("a", "a/1", seen("", 5, 2))
-	tell("a", "a/1", seen("", 3, 1)) // overtaken
-	tell("a", "a/2", seen("", 10, 3))
-	tell("b", "b/1", seen("", 100, 4))
-	tell("c", "c/1", seen("far", 1000, 10))
-	tell("d", "d/1", seen("far", 990, 11))
-	tell("e", "e/1", seen("near", 50, 7)) // the other delegate of the zone knows less
+	send("a", "a/1", seen("", 5, 2))
+	send("a", "a/1", seen("", 5, 2))
+	send("a", "a/1", seen("", 3, 1)) // out of date
+	send("a", "a/2", seen("", 10, 3))
+	send("b", "b/1", seen("", 100, 4))
+	send("c", "c/1", seen("far", 1000, 10))
+	send("d", "d/1", seen("far", 990, 11))
+	send("e", "e/1", seen("near", 50, 7)) // the other delegate of the zone knows less
 	other := seen("", 7, 7)
 	other.Target = "v3"
-	tell("f", "f/1", other)
-	mine := n.trials.Zone(now)
-	require.Len(t, mine, 1)
-	all, _ := mine[0].Evidence.Answers()
+	send("f", "f/1", other)
+	own := n.trials.Zone(now)
+	require.Len(t, own, 1)
+	all, _ := own[0].Evidence.Answers()
 	assert.Equal(t, 115, all.Answers)
-	assert.Equal(t, "near", mine[0].Zone)
-	assert.Equal(t, 7, mine[0].Old)
-	assert.Equal(t, int64(100), mine[0].LastsMs)
-	n.trials.fleet = &fakeFleet{delegate: true}
+	assert.Equal(t, "near", own[0].Zone)
+	assert.Equal(t, 7, own[0].Old)
+	assert.Equal(t, int64(100), own[0].LastsMs)
+	n.trials.fleet = &fakeDelegation{delegate: true}
 	n.trials.tick(t.Context(), now)
 	o := n.trials.open["s"]
 	all, _ = o.fleetEvidence.Sum().Answers()
 	assert.Equal(t, 1115, all.Answers)
 	assert.Equal(t, 18, o.sum(report{}, now, func(string) bool { return true }).old)
-	assert.Zero(t, o.sum(report{}, now.Add(reportTTL), func(string) bool { return true }).old, "who says nothing for so long has ended")
+	assert.Zero(t, o.sum(report{}, now.Add(reportTTL), func(string) bool { return true }).old, "a sender that is silent for so long has ended")
 }
 
-// An order that is changed on the way, or made again, is another one: nothing that was
-// seen before counts.
+// Guards against evidence on an earlier order: one that is changed or made again is another order.
 func TestAnotherOrderBeginsAnew(t *testing.T) {
 	cases := []struct {
 		name string
@@ -374,30 +373,27 @@
 	}
 }
 
-// A node that finds a status under way hears first what others saw, and says that it does
-// Once a status is seen to be written, how much of the duration is over is known again,
-// A node that starts anew in the midst of an order hears from others how much time is
-// Where all nodes found the status, the one that found it first knows how much time is
-// over at least: it isn't forgotten when the others end one after the other.
-func TestTimeGoesOnThroughLivesThatAllFoundTheStatus(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against elapsed time that is lost when nodes restart one after the other: the node that
+// found the status first knows a lower bound, which is passed on.
+func TestElapsedTimeSurvivesRestartsOfAllNodes(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second, Writes: 1})
 		j.applyRollouts(listed(6, j.store.object))
-		told := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{told}}, time.Now())
+		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
+		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, time.Now())
 		own := j.trials.Own(time.Now())
 		require.Len(t, own, 1)
-		assert.Equal(t, int64(20_000), own[0].UsedMs, "and is told on")
+		assert.Equal(t, int64(20_000), own[0].UsedMs, "and is passed on")
 		assert.True(t, own[0].AtLeast)
 		j.play(ctx, 3*time.Second)
-		assert.Equal(t, rollout.Reverted, j.state(), "its time was over long ago")
+		assert.Equal(t, rollout.Reverted, j.state(), "its time ran out long ago")
 	})
 }
 
-// A target that another node found bad between the decision and its write is not let go
-// on, and the next write takes it back.
-func TestAWriteThatIsOvertakenByAWarning(t *testing.T) {
-	inJudging(t, func(ctx context.Context, j *judging) {
+// Guards against a write that lets calls go to a target that another node found bad after the
+// decision; the next write reverts it.
+func TestAWriteSupersededByAWarning(t *testing.T) {
+	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
 		before := j.store.calls
 		o := j.trials.open["s"]
@@ -410,8 +406,8 @@
 	})
 }
 
-// What is counted of endpoints are those that take new work: of the old version without
-// what is barred, and of the target with the groups that it counts in.
+// Endpoints that take new work are counted: of the old version without barred ones, and of the
+// target with its cohorts.
 func TestEndpointsAreCountedByVersion(t *testing.T) {
 	n := versionedNode()
 	barred := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Barred: []string{"v0"}}
