--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -189,7 +189,7 @@
 	return lo.PickBy(lo.MapValues(lapsed, func(n int, service string) bool { return listed[service] > n }), func(_ string, apart bool) bool { return apart })
 }
 
-// refresh publishes the directory again after evacuations, orders or notices changed.
+// refresh publishes the directory again after evacuations, orders, warnings or notices changed.
 func (t *engineTable) refresh() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 }
 
-// publish publishes the directory and notifies all who depend on it. No call is sent before the
+// publish stores the new directory and notifies all who depend on it. No call is sent before the
 // node knows which zones and which versions are to get no new work.
 func (t *engineTable) publish() {
 	if t.evacuations.Load() == nil || t.rollouts.Load() == nil {
--- a/fleet/relay/follow.go
+++ b/fleet/relay/follow.go
@@ -22,8 +22,9 @@
 
 // heartbeatShare is the interval between two pings of a node that watches the store for others, as
 // a share of the time limit for leaving endpoints. With the time that two pings may take, an
-// outage is detected within 1.4 s of 3 at most. Nodes that ask this one need up to 0.5 s more to
-// turn to the store: a ping of their own, and a list.
+// outage is detected within at most 1.4 s of the 3 s that Settings.Contact allows by default.
+// Nodes that ask this one need up to 0.5 s more to turn to the store: a ping of their own, and a
+// list.
 const heartbeatShare = 0.15
 
 // relayedRest is how long a node rests that receives changes from others: the node that watches
@@ -87,7 +88,7 @@
 // followEvacuations follows the zones that operators want evacuated, if the deployment supports
 // that. Changes are applied at once, without a rest between them.
 func (n *Node) followEvacuations(ctx context.Context) {
-	if !n.settings.Evacuates() {
+	if !n.settings.EvacuationsEnabled() {
 		n.evacuations.Store(&evacuation.Zones{})
 		return
 	}
--- a/fleet/relay/incarnations.go
+++ b/fleet/relay/incarnations.go
@@ -39,7 +39,7 @@
 	if known {
 		idle = t.dropIdle(before.Address)
 	}
-	t.metrics.NewLife(change)
+	t.metrics.Restarted(change)
 	t.log.WithFields(incarnationFields(before, e)).WithFields(log.Fields{
 		"birth": change, "parts": dropped.Parts, "calls": dropped.Calls, "peers": dropped.Peers, "doubted": dropped.Doubted, "connections": idle,
 	}).Info("endpoint restarted under its id: state of the ended incarnation dropped")
--- a/fleet/relay/metrics.go
+++ b/fleet/relay/metrics.go
@@ -14,16 +14,16 @@
 
 // Metrics holds the instruments of a relaying node.
 type Metrics struct {
-	finished metric.Int64Counter
-	store    metric.Int64Counter
-	lives    metric.Int64Counter
-	bad      metric.Int64Counter
-	isolated metric.Int64Counter
-	slept    metric.Int64Counter
-	limited  metric.Int64Counter
-	noticed  metric.Int64Counter
-	took     metric.Float64Histogram
-	first    metric.Float64Histogram
+	finished    metric.Int64Counter
+	store       metric.Int64Counter
+	restarts    metric.Int64Counter
+	badEntries  metric.Int64Counter
+	quarantined metric.Int64Counter
+	suspendedMs metric.Int64Counter
+	limits      metric.Int64Counter
+	notices     metric.Int64Counter
+	duration    metric.Float64Histogram
+	firstEvent  metric.Float64Histogram
 
 	evacuated metric.Int64Gauge
 	builds    metric.Int64Gauge
@@ -32,10 +32,10 @@
 
 	stage, answers, badAnswers metric.Int64Gauge // of rollouts
 	share                      metric.Float64Gauge
-	paced                      metric.Int64Gauge
-	held                       metric.Int64Gauge
-	peak                       metric.Int64Gauge
-	short                      metric.Int64Gauge
+	pacedWrites                metric.Int64Gauge
+	heldBytes                  metric.Int64Gauge
+	peakHeldBytes              metric.Int64Gauge
+	outOfMemory                metric.Int64Gauge
 }
 
 // latencyBuckets are bucket bounds in seconds, from a local call to a long stream.
@@ -51,12 +51,12 @@
 	}{
 		{&metrics.finished, "lynxshed.relay.calls", "calls that ended, by route and outcome"},
 		{&metrics.store, "lynxshed.relay.store_calls", "calls to the store that ended, by kind of object, verb and outcome"},
-		{&metrics.lives, "lynxshed.relay.new_lives", "endpoints that were seen to have started again under their id, by how their birth changed"},
-		{&metrics.bad, "lynxshed.relay.bad_entries", "entries of the store that could not be read, each once for each of its revisions, by kind"},
-		{&metrics.slept, "lynxshed.relay.suspended_ms", "milliseconds for which the VM was suspended since the process began"},
-		{&metrics.noticed, "lynxshed.relay.notices", "what endpoints say in answers, as this node began to act on it, by kind: leaving, rest"},
-		{&metrics.limited, "lynxshed.relay.limits", "limits of endpoints that this node learned of, by change: named, changed, ended"},
-		{&metrics.isolated, "lynxshed.relay.quarantine", "requests that this node began to hold back, or let go, since endpoints ended under them, by which of both"},
+		{&metrics.restarts, "lynxshed.relay.new_lives", "endpoints that were seen to have started again under their id, by how their birth changed"},
+		{&metrics.badEntries, "lynxshed.relay.bad_entries", "entries of the store that could not be read, each once for each of its revisions, by kind"},
+		{&metrics.suspendedMs, "lynxshed.relay.suspended_ms", "milliseconds for which the VM was suspended since the process began"},
+		{&metrics.notices, "lynxshed.relay.notices", "what endpoints say in answers, as this node began to act on it, by kind: leaving, rest"},
+		{&metrics.limits, "lynxshed.relay.limits", "limits of endpoints that this node learned of, by change: named, changed, ended"},
+		{&metrics.quarantined, "lynxshed.relay.quarantine", "requests that this node began to hold back, or let go, since endpoints ended under them, by which of both"},
 	}
 	for _, c := range counters {
 		*c.to, err = m.Int64Counter(c.name, metric.WithDescription(c.what))
@@ -72,10 +72,10 @@
 		{&metrics.intake, "lynxshed.relay.intake_open", "1 while new connections are welcome as far as the link goes, 0 while one customer's callers fill it"},
 		{&metrics.answers, "lynxshed.relay.rollout_answers", "answers that this node had since the open order, by version"},
 		{&metrics.badAnswers, "lynxshed.relay.rollout_bad_answers", "those of them that failed, or took several times what is usual"},
-		{&metrics.paced, "lynxshed.relay.paced_writes", "writes that have had to wait for the way out"},
-		{&metrics.held, "lynxshed.relay.calls_held", "bytes that calls in progress hold"},
-		{&metrics.peak, "lynxshed.relay.calls_held_peak", "the most bytes that calls in progress have held"},
-		{&metrics.short, "lynxshed.relay.calls_no_memory", "calls that were refused since they did not fit into the memory for calls"},
+		{&metrics.pacedWrites, "lynxshed.relay.paced_writes", "writes that have had to wait for the way out"},
+		{&metrics.heldBytes, "lynxshed.relay.calls_held", "bytes that calls in progress hold"},
+		{&metrics.peakHeldBytes, "lynxshed.relay.calls_held_peak", "the most bytes that calls in progress have held"},
+		{&metrics.outOfMemory, "lynxshed.relay.calls_no_memory", "calls that were refused since they did not fit into the memory for calls"},
 	}
 	for _, g := range gauges {
 		*g.to, err = m.Int64Gauge(g.name, metric.WithDescription(g.what))
@@ -96,8 +96,8 @@
 		to         *metric.Float64Histogram
 		name, what string
 	}{
-		{&metrics.took, "lynxshed.relay.call", "time from arrival to the end of the answer"},
-		{&metrics.first, "lynxshed.relay.first_event", "time from arrival to the first event"},
+		{&metrics.duration, "lynxshed.relay.call", "time from arrival to the end of the answer"},
+		{&metrics.firstEvent, "lynxshed.relay.first_event", "time from arrival to the first event"},
 	}
 	for _, h := range histograms {
 		*h.to, err = m.Float64Histogram(h.name, metric.WithUnit("s"), metric.WithDescription(h.what), metric.WithExplicitBucketBoundaries(latencyBuckets...))
@@ -110,12 +110,12 @@
 func (m *Metrics) Finished(route, outcome string, took time.Duration) {
 	of := attribute.String("route", route)
 	m.finished.Add(context.Background(), 1, metric.WithAttributes(of, attribute.String("outcome", outcome)))
-	m.took.Record(context.Background(), took.Seconds(), metric.WithAttributes(of))
+	m.duration.Record(context.Background(), took.Seconds(), metric.WithAttributes(of))
 }
 
 // FirstEvent records the time to a stream's first event.
 func (m *Metrics) FirstEvent(route string, took time.Duration) {
-	m.first.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("route", route)))
+	m.firstEvent.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("route", route)))
 }
 
 // StoreCall counts a call to the store that ended.
@@ -123,34 +123,34 @@
 	m.store.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind), attribute.String("verb", verb), attribute.String("outcome", outcome)))
 }
 
-// NewLife counts an endpoint that restarted under its id.
-func (m *Metrics) NewLife(birth string) {
-	m.lives.Add(context.Background(), 1, metric.WithAttributes(attribute.String("birth", birth)))
+// Restarted counts an endpoint that restarted under its id.
+func (m *Metrics) Restarted(birth string) {
+	m.restarts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("birth", birth)))
 }
 
 // BadEntry counts an entry that can't be read.
 func (m *Metrics) BadEntry(kind string) {
-	m.bad.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
+	m.badEntries.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
 // Quarantined counts a request that was quarantined or released.
 func (m *Metrics) Quarantined(released bool) {
-	m.isolated.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", lo.Ternary(released, "let go", "held back"))))
+	m.quarantined.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", lo.Ternary(released, "let go", "held back"))))
 }
 
 // Noticed counts a notice in answers of endpoints that this node acts on.
 func (m *Metrics) Noticed(kind string) {
-	m.noticed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
+	m.notices.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
 // Limited counts a limit that this node learned of, or a change of one.
 func (m *Metrics) Limited(change string) {
-	m.limited.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
+	m.limits.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
 }
 
 // Suspended counts the time for which the VM was suspended.
 func (m *Metrics) Suspended(d time.Duration) {
-	m.slept.Add(context.Background(), d.Milliseconds())
+	m.suspendedMs.Add(context.Background(), d.Milliseconds())
 }
 
 // Evacuated records how many zones are to get no new work.
@@ -181,14 +181,14 @@
 // Link records the link utilization, whether new connections are accepted, and how many writes had
 // to wait.
 func (m *Metrics) Link(used float64, open bool, waited int64) {
-	m.paced.Record(context.Background(), waited)
+	m.pacedWrites.Record(context.Background(), waited)
 	m.link.Record(context.Background(), used)
 	m.intake.Record(context.Background(), lo.Ternary[int64](open, 1, 0))
 }
 
 // Memory records the bytes that calls in progress hold, and how many calls did not fit.
 func (m *Metrics) Memory(s memory.State) {
-	m.held.Record(context.Background(), s.Held)
-	m.peak.Record(context.Background(), s.Peak)
-	m.short.Record(context.Background(), s.Short)
+	m.heldBytes.Record(context.Background(), s.Held)
+	m.peakHeldBytes.Record(context.Background(), s.Peak)
+	m.outOfMemory.Record(context.Background(), s.Short)
 }
--- a/fleet/relay/relay_test.go
+++ b/fleet/relay/relay_test.go
@@ -285,7 +285,7 @@
 	m.StoreCall("kind", "put", "conflict")
 	m.Evacuated(1)
 	m.BadEntry("kind")
-	m.NewLife("later")
+	m.Restarted("later")
 	m.Quarantined(false)
 	m.Limited("named")
 	m.Noticed("leaving")
--- a/fleet/relay/restored_engines.go
+++ b/fleet/relay/restored_engines.go
@@ -23,7 +23,7 @@
 // entries.
 type eraRecords struct {
 	leaving  map[string]incarnationInEra // that announced that they leave
-	gone     map[string]incarnationInEra // whose entries went
+	gone     map[string]incarnationInEra // whose entries are gone
 	unused   map[string]bool             // kept out of use, since their entries returned with a copy
 	unlisted map[string]bool             // that a copy does not name, and that are in use
 }
--- a/fleet/relay/restored_orders.go
+++ b/fleet/relay/restored_orders.go
@@ -16,8 +16,8 @@
 const writeBackInterval = 2 * time.Second
 
 // writeOrdersBack writes the statuses of orders that the store lost when it was restored from a
-// copy, until ctx ends. Otherwise nodes that start would treat such an order as new. Slot returns
-// the slot of this node among those who may write.
+// copy, until ctx ends. Otherwise nodes that start would treat such an order as new. The function
+// slot returns the slot of this node among those who may write.
 func (n *Node) writeOrdersBack(ctx context.Context, slot func(key string) int) {
 	waited, tried := map[string]int{}, map[string]time.Time{}
 	every(ctx, writeSlot, func() {
--- a/fleet/relay/rollouts.go
+++ b/fleet/relay/rollouts.go
@@ -17,7 +17,7 @@
 // The orders are listed after the endpoints: they are then known up to every endpoint entry and
 // need not be listed again.
 func (n *Node) followRollouts(ctx context.Context) {
-	if !n.settings.RollsOut() {
+	if !n.settings.RolloutsEnabled() {
 		n.rollouts.Store(&rollout.Set{})
 		return
 	}
--- a/fleet/relay/settings.go
+++ b/fleet/relay/settings.go
@@ -17,31 +17,31 @@
 // Settings configure a relaying node, as JSON with comments. Unknown fields are ignored, so that
 // an older node can read a newer file.
 type Settings struct {
-	Node       string            `json:"node"`       // name of the VM, unique in the fleet
-	Zone       string            `json:"zone"`       // availability zone of the VM
-	Listen     string            `json:"listen"`     // address for callers, IP:PORT
-	Ready      ReadySettings     `json:"ready"`      // readiness check of the balancer
-	Peer       string            `json:"peer"`       // address for datagrams between nodes, IP:PORT
-	Store      string            `json:"store"`      // address of the store, IP:PORT
-	HistoryS   float64           `json:"historyS"`   // seconds of history that the store keeps; 0: unknown
-	ContactMs  float64           `json:"contactMs"`  // ms after an outage of the store until its whole content must be in force again
-	ApplyMs    float64           `json:"applyMs"`    // ms until an accepted policy must be in force
-	LeavingMs  float64           `json:"leavingMs"`  // ms until a leaving endpoint must get no new work
-	EvacuateMs float64           `json:"evacuateMs"` // ms until the endpoints of an evacuated zone must get no new work; 0: zones are never evacuated
-	LinkMbps   float64           `json:"linkMbps"`   // link capacity of the VM; 0: unknown
-	MemoryMB   float64           `json:"memoryMB"`   // memory bound of the process; 0: none
-	DrainS     float64           `json:"drainS"`     // seconds that a planned stop may take
-	Bootstrap  bool              `json:"bootstrap"`  // the whole fleet starts for the first time
-	Retry      RetrySettings     `json:"retry"`      // bound on the retries of the fleet
-	Budget     BudgetSettings    `json:"budget"`     // share of the budgets that a node holds
-	Cold       ColdSettings      `json:"cold"`       // bounds on calls to endpoints that have just started
-	Limit      LimitSettings     `json:"limit"`      // bounds on calls to endpoints that name a limit
-	Rollout    RolloutSettings   `json:"rollout"`    // bounds on calls to a bad version; without a share services are never moved to another version
-	Regions    map[string]string `json:"regions"`    // region by availability zone
-	Bytes      BytesSettings     `json:"bytes"`      // cost of a megabyte that leaves the zone
-	Disable    []string          `json:"disable"`    // disabled mechanisms, to measure their benefit
-	LogLevel   string            `json:"logLevel"`   // debug, info, warn or error
-	Trace      TraceSettings     `json:"trace"`
+	Node          string               `json:"node"`       // name of the VM, unique in the fleet
+	Zone          string               `json:"zone"`       // availability zone of the VM
+	Listen        string               `json:"listen"`     // address for callers, IP:PORT
+	Ready         ReadySettings        `json:"ready"`      // readiness check of the balancer
+	Peer          string               `json:"peer"`       // address for datagrams between nodes, IP:PORT
+	Store         string               `json:"store"`      // address of the store, IP:PORT
+	HistoryS      float64              `json:"historyS"`   // seconds of history that the store keeps; 0: unknown
+	ContactMs     float64              `json:"contactMs"`  // ms after an outage of the store until its whole content must be in force again
+	ApplyMs       float64              `json:"applyMs"`    // ms until an accepted policy must be in force
+	LeavingMs     float64              `json:"leavingMs"`  // ms until a leaving endpoint must get no new work
+	EvacuateMs    float64              `json:"evacuateMs"` // ms until the endpoints of an evacuated zone must get no new work; 0: zones are never evacuated
+	LinkMbps      float64              `json:"linkMbps"`   // link capacity of the VM; 0: unknown
+	MemoryMB      float64              `json:"memoryMB"`   // memory bound of the process; 0: none
+	DrainS        float64              `json:"drainS"`     // seconds that a planned stop may take
+	Bootstrap     bool                 `json:"bootstrap"`  // the whole fleet starts for the first time
+	Retry         RetrySettings        `json:"retry"`      // bound on the retries of the fleet
+	Budget        BudgetSettings       `json:"budget"`     // share of the budgets that a node holds
+	Cold          ColdSettings         `json:"cold"`       // bounds on calls to endpoints that have just started
+	Limit         LimitSettings        `json:"limit"`      // bounds on calls to endpoints that name a limit
+	Rollout       RolloutSettings      `json:"rollout"`    // bounds on calls to a bad version; without a share services are never moved to another version
+	Regions       map[string]string    `json:"regions"`    // region by availability zone
+	TransferCosts TransferCostSettings `json:"bytes"`      // cost of a megabyte that leaves the zone
+	Disable       []string             `json:"disable"`    // disabled mechanisms, to measure their benefit
+	LogLevel      string               `json:"logLevel"`   // debug, info, warn or error
+	Trace         TraceSettings        `json:"trace"`
 }
 
 // TraceSettings name the destinations of spans; without one nothing is traced.
@@ -83,9 +83,9 @@
 	return limit.Rule{Overrun: l.Overrun, Tolerance: l.Tolerance, Window: time.Duration(l.WindowMs * float64(time.Millisecond))}
 }
 
-// BytesSettings set the cost of a megabyte in prompt tokens: the value of a prompt with that many
+// TransferCostSettings set the cost of a megabyte in prompt tokens: the value of a prompt with that many
 // tokens to the deployment. 0 is the default.
-type BytesSettings struct {
+type TransferCostSettings struct {
 	ZoneTokens   float64 `json:"zoneTokens"`   // to another zone of the region
 	RegionTokens float64 `json:"regionTokens"` // to another region
 }
@@ -105,9 +105,9 @@
 
 // BudgetSettings set how much of the budgets the nodes hold; 0 is the default.
 type BudgetSettings struct {
-	HorizonS float64 `json:"horizonS"` // seconds for which the holdings last at the present demand
-	Exposure float64 `json:"exposure"` // largest share held of what is left of a budget
-	First    float64 `json:"first"`    // share held of what is left of a budget before any demand is known
+	HorizonS     float64 `json:"horizonS"` // seconds for which the holdings last at the present demand
+	Exposure     float64 `json:"exposure"` // largest share held of what is left of a budget
+	InitialShare float64 `json:"first"`    // share held of what is left of a budget before any demand is known
 }
 
 // Tuning returns the tuning with defaults for unset fields.
@@ -119,8 +119,8 @@
 	if b.Exposure > 0 {
 		t.Exposure = b.Exposure
 	}
-	if b.First > 0 {
-		t.First = b.First
+	if b.InitialShare > 0 {
+		t.First = b.InitialShare
 	}
 	return t
 }
@@ -221,7 +221,7 @@
 func (s Settings) Places() distance.Places {
 	costs := distance.None()
 	if s.Choice().Distance {
-		costs = distance.DefaultCosts().WithBytes(s.Bytes.ZoneTokens, s.Bytes.RegionTokens)
+		costs = distance.DefaultCosts().WithBytes(s.TransferCosts.ZoneTokens, s.TransferCosts.RegionTokens)
 	}
 	return distance.From(s.Zone, s.Regions, costs)
 }
@@ -240,11 +240,11 @@
 // EndpointDrain returns how soon a leaving endpoint must get no new work.
 func (s Settings) EndpointDrain() time.Duration { return seconds(s.LeavingMs / 1000) }
 
-// Evacuates reports whether operators may evacuate zones.
-func (s Settings) Evacuates() bool { return s.EvacuateMs > 0 }
+// EvacuationsEnabled reports whether operators may evacuate zones.
+func (s Settings) EvacuationsEnabled() bool { return s.EvacuateMs > 0 }
 
-// RollsOut reports whether operators may order services to another version.
-func (s Settings) RollsOut() bool { return s.Rollout.Share > 0 }
+// RolloutsEnabled reports whether operators may order services to another version.
+func (s Settings) RolloutsEnabled() bool { return s.Rollout.Share > 0 }
 
 // Notice returns for how long a node that is about to stop still gets connections of callers.
 func (s Settings) Notice() time.Duration { return seconds(s.Ready.NoticeS) }
--- a/fleet/relay/versions.go
+++ b/fleet/relay/versions.go
@@ -20,7 +20,7 @@
 // byVersion limits the directory to endpoints of versions that may get work, and publishes how
 // calls choose between versions.
 func (t *engineTable) byVersion(d *engine.Directory) *engine.Directory {
-	if !t.settings.RollsOut() {
+	if !t.settings.RolloutsEnabled() {
 		return d
 	}
 	set := t.withUsedVersions(*t.rollouts.Load(), d)
