--- a/fleet/relay/store/again.go
+++ b/fleet/relay/store/again.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Again has a follower list its kind anew at once, rather than learn of changes when
-// its watch ends. It is safe for concurrent use; nil asks for nothing.
+// Again makes a follower list its kind at once instead of waiting for its watch to end.
+// It is safe for concurrent use; a nil Again never requests a list.
 type Again struct {
 	mu    sync.Mutex
-	watch chan struct{} // closed when the watch that waits now is to end
+	watch chan struct{} // closed to end the current watch
 }
 
-// Ask has the watch that waits now end, and the kind listed. Where the follower lists
-// already, nothing changes: who still lacks something asks again.
+// Ask ends the current watch and has the kind listed. It has no effect while the
+// follower is listing already; a caller that still lacks something asks again.
 func (a *Again) Ask() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Asked is closed when the watch that is about to begin is to end.
+// Asked returns a channel that is closed to end the watch that is about to begin.
 func (a *Again) Asked() <-chan struct{} {
 	if a == nil {
 		return nil
--- a/fleet/relay/store/again_test.go
+++ b/fleet/relay/store/again_test.go
@@ -11,7 +11,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// quietStore lists at once, and its watches bring nothing before they end.
+// quietStore lists at once; its watches return no events.
 type quietStore struct {
 	store.Store
 	lists, watches int
@@ -32,14 +32,14 @@
 	}
 }
 
-// Who asks for it has the kind listed at once; else a watch ends by itself, and nothing
-// is listed again.
-func TestAKindIsListedAgainAtOnce(t *testing.T) {
+// Ask has the kind listed at once. Otherwise a watch ends by itself and nothing is listed
+// again.
+func TestAgainListsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &quietStore{}
 		var again store.Again
-		again.Ask() // nobody follows yet
+		again.Ask() // no follower yet
 		var seen []string
 		go store.Follow(ctx, s, store.Watching{Kind: "k", Rest: store.Always(0), Again: &again}, func(c store.Change) { seen = append(seen, describe(c)) })
 		time.Sleep(30 * time.Second)
@@ -58,9 +58,9 @@
 	})
 }
 
-// A watch that is sent anew since the store may have swallowed it goes on from where it
-// was where changes are small; else all is listed.
-func TestASmallKindIsNotListedWhenItsWatchIsSentAnew(t *testing.T) {
+// A restarted watch of a small kind continues from its revision; any other kind is listed
+// again.
+func TestRestartedWatchOfSmallKindDoesNotList(t *testing.T) {
 	for _, small := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/fleet/relay/store/ask.go
+++ b/fleet/relay/store/ask.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answer is what a source answered a list or a watch with.
+// answer is the result of a list or a watch that a source was asked for.
 type answer struct {
 	from    Source
 	objects []Object
@@ -15,21 +15,22 @@
 	err     error
 }
 
-// holds is whether the source answered for the store.
-func (a answer) holds() bool { return a.err == nil || errors.Is(a.err, ErrCompacted) }
+// valid reports whether the source answered for the store.
+func (a answer) valid() bool { return a.err == nil || errors.Is(a.err, ErrCompacted) }
 
-// asking asks one source; in a hurry it is to answer at once with what there is.
-type asking func(ctx context.Context, from Source, hurry bool) answer
+// askFunc asks one source; with immediate set, the source must answer at once with what
+// it has.
+type askFunc func(ctx context.Context, from Source, immediate bool) answer
 
-// ask asks the sources one after another until one answers; false where none did. Where
-// one was silent the others are asked at once: those that fall silent together, with a
-// zone or behind a cut, would cost the time of a watch each.
-func (s *Sourced) ask(ctx context.Context, kind string, call asking) (answer, bool) {
-	sources := s.awake(kind)
+// ask asks the sources one after another until one answers; it returns false if none did.
+// After a silent source it asks the others in parallel: sources that fall silent together,
+// with their zone or in a network partition, would cost the time of a watch each.
+func (s *Sourced) ask(ctx context.Context, kind string, call askFunc) (answer, bool) {
+	sources := s.available(kind)
 	for i, from := range sources {
 		a := call(ctx, from, false)
 		a.from = from
-		if over := s.took(ctx, kind, a); over {
+		if done := s.record(ctx, kind, a); done {
 			return a, true
 		}
 		if !errors.Is(a.err, ErrUnfit) {
@@ -39,21 +40,21 @@
 	return answer{}, false
 }
 
-// took notes how a source answered, and is whether the call is over with that.
-func (s *Sourced) took(ctx context.Context, kind string, a answer) bool {
+// record notes how a source answered, and reports whether that ends the call.
+func (s *Sourced) record(ctx context.Context, kind string, a answer) bool {
 	switch {
-	case a.holds():
-		s.answeredBy(a.from, kind)
+	case a.valid():
+		s.recordAnswer(a.from, kind)
 		return true
 	case errors.Is(ctx.Err(), context.Canceled):
-		return true // the caller gave up: that says nothing of the source
+		return true // the caller canceled, which says nothing about the source
 	}
-	s.failed(a.from, kind, a.err)
+	s.recordFailure(a.from, kind, a.err)
 	return ctx.Err() != nil
 }
 
-// askAll asks several sources at once, and takes the first answer.
-func (s *Sourced) askAll(parent context.Context, kind string, sources []Source, call asking) (answer, bool) {
+// askAll asks several sources in parallel and returns the first valid answer.
+func (s *Sourced) askAll(parent context.Context, kind string, sources []Source, call askFunc) (answer, bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	answers := make(chan answer, len(sources))
@@ -65,7 +66,7 @@
 		}()
 	}
 	for range sources {
-		if a := <-answers; s.took(parent, kind, a) {
+		if a := <-answers; s.record(parent, kind, a) {
 			return a, true
 		}
 	}
--- a/fleet/relay/store/ask_test.go
+++ b/fleet/relay/store/ask_test.go
@@ -12,13 +12,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// dumb is a source that may fall silent; who asks it gives up where no answer begins in
-// time, as a reader does.
-type dumb struct {
+// silentSource is a source that may become silent. Like any Reader it gives up if no answer
+// begins in time.
+type silentSource struct {
 	*silence
 }
 
-func (d dumb) Watch(ctx context.Context, _ string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
+func (d silentSource) Watch(ctx context.Context, _ string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+store.AnswerBegins)
 	defer cancel()
 	for began := time.Now(); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
@@ -30,16 +30,16 @@
 	return nil, 0, ctx.Err()
 }
 
-func (d dumb) List(ctx context.Context, kind string) ([]store.Object, store.Revision, error) {
+func (d silentSource) List(ctx context.Context, kind string) ([]store.Object, store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, store.AnswerBegins)
 	defer cancel()
 	return d.silence.List(ctx, kind)
 }
 
-// However many of its sources fall silent at the same moment, a node hears of what
-// changes then from another one or from the store within the time in which an endpoint
-// that leaves must get no new work.
-func TestSourcesThatFallSilentTogetherCostOneWait(t *testing.T) {
+// However many of its sources become silent at the same time, a node receives a change from
+// another source or the store within the time in which a leaving endpoint must get no new
+// work.
+func TestSourcesSilentTogetherCostOneWait(t *testing.T) {
 	const sources, leaving = 4, 2 * time.Second
 	for silent := range sources + 1 {
 		for begins := 3 * time.Second; begins < 4*time.Second; begins += 170 * time.Millisecond {
@@ -50,7 +50,7 @@
 				platform := &silence{revision: 1, changed: make(chan struct{})}
 				var all []store.Source
 				for i := range sources {
-					all = append(all, store.Source{Name: string(rune('a' + i)), Reader: dumb{&silence{revision: 1, changed: make(chan struct{})}}})
+					all = append(all, store.Source{Name: string(rune('a' + i)), Reader: silentSource{&silence{revision: 1, changed: make(chan struct{})}}})
 				}
 				s := store.NewSourced(platform, func() []store.Source { return all })
 				var mu sync.Mutex
@@ -66,7 +66,7 @@
 				})
 				time.Sleep(begins)
 				for i, one := range all {
-					r := one.Reader.(dumb).silence
+					r := one.Reader.(silentSource).silence
 					r.mu.Lock()
 					r.silent, r.revision = i < silent, 2
 					r.mu.Unlock()
--- a/fleet/relay/store/cache.go
+++ b/fleet/relay/store/cache.go
@@ -9,35 +9,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnfit says that a cache can't answer for the store: it follows somebody
-// else's word, or lost the store.
+// ErrUnfit means that a cache can't answer for the store: its content does not come from
+// near enough to the store, or the store is lost.
 var ErrUnfit = errors.New("store: the cache does not follow the store now")
 
-// cacheEvents is how many changes a cache keeps for watches that go on from an
-// older revision.
-const cacheEvents = 512
+// maxCachedEvents is the number of changes that a cache keeps for watches that continue
+// from an older revision.
+const maxCachedEvents = 512
 
-// Origin is how near to the store an answer is: a node tells others only what it has from
-// the store itself or from a node that watches it, so that no news goes in circles, and
-// none is told at a third hand.
+// Origin is how near to the store an answer comes from. A node passes on only what it has
+// from the store itself or from a node that watches the store, so that updates don't loop
+// between nodes and pass through at most two of them.
 type Origin int
 
-// The origins, the farthest first.
+// The origins, farthest first.
 const (
-	FromOther   Origin = iota // at third hand, or from nobody
+	FromOther   Origin = iota // from a node that does not watch the store, or unknown
 	FromWatcher               // from a node that watches the store
 	FromStore                 // from the store itself
 )
 
-// Cache holds what a follower handed on of one kind, and answers lists and
-// watches from it, so that nodes which do not watch the store learn of changes
-// from one that does. It is safe for concurrent use.
+// Cache holds the objects of one kind that a follower delivered, and answers lists and
+// watches from them, so that nodes which do not watch the store receive changes from one
+// that does. It is safe for concurrent use.
 type Cache struct {
 	mu       sync.Mutex
-	origin   Origin // of what it holds; lost with the store
+	origin   Origin // of the content; FromOther while the store is lost
 	objects  map[string]Object
 	revision Revision
-	floor    Revision // events up to here are not kept
+	floor    Revision // events up to here are dropped
 	events   []cachedEvent
 	changed  chan struct{} // closed at the next change
 }
@@ -47,12 +47,12 @@
 	at Revision // revision of the update that brought it
 }
 
-// NewCache returns a cache that knows nothing yet.
+// NewCache returns an empty cache.
 func NewCache() *Cache {
 	return &Cache{objects: map[string]Object{}, changed: make(chan struct{})}
 }
 
-// Apply takes in a follower's change, and where that came from.
+// Apply applies a follower's change, which came from the given origin.
 func (c *Cache) Apply(change Change, from Origin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,28 +84,28 @@
 		c.objects[e.Object.Name] = e.Object
 	}
 	c.events = append(c.events, cachedEvent{Event: e, at: c.revision})
-	if extra := len(c.events) - cacheEvents; extra > 0 {
+	if extra := len(c.events) - maxCachedEvents; extra > 0 {
 		c.floor = c.events[extra-1].at
 		c.events = c.events[extra:]
 	}
 }
 
-// Revision is that of what the cache holds; 0 is nothing yet.
+// Revision returns the revision of the content; 0 if there is none yet.
 func (c *Cache) Revision() Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision
 }
 
-// List returns all objects and their revision, where they come from a watcher or the
-// store.
+// List returns all objects and their revision, or ErrUnfit unless they come from a watcher
+// or the store.
 func (c *Cache) List() ([]Object, Revision, error) { return c.ListFrom(FromWatcher) }
 
-// ListFrom is List where what the cache holds comes from so near to the store at least.
-func (c *Cache) ListFrom(least Origin) ([]Object, Revision, error) {
+// ListFrom is List for content that comes from minOrigin or nearer.
+func (c *Cache) ListFrom(minOrigin Origin) ([]Object, Revision, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.origin < least {
+	if c.origin < minOrigin {
 		return nil, 0, ErrUnfit
 	}
 	objects := make([]Object, 0, len(c.objects))
@@ -115,18 +115,18 @@
 	return objects, c.revision, nil
 }
 
-// Watch waits at most wait for changes after a revision, as a store does.
+// Watch waits up to wait for changes after a revision, as Store.Watch does.
 func (c *Cache) Watch(ctx context.Context, since Revision, wait time.Duration) ([]Event, Revision, error) {
 	return c.WatchFrom(ctx, FromWatcher, since, wait)
 }
 
-// WatchFrom is Watch where what the cache holds comes from so near to the store at least,
-// also once it has waited.
-func (c *Cache) WatchFrom(ctx context.Context, least Origin, since Revision, wait time.Duration) ([]Event, Revision, error) {
+// WatchFrom is Watch for content that comes from minOrigin or nearer, both when the call
+// begins and after it has waited.
+func (c *Cache) WatchFrom(ctx context.Context, minOrigin Origin, since Revision, wait time.Duration) ([]Event, Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, at, changed, err := c.after(least, since)
+		events, at, changed, err := c.after(minOrigin, since)
 		if err != nil || len(events) > 0 {
 			return events, at, err
 		}
@@ -140,22 +140,22 @@
 	}
 }
 
-// after returns the events after a revision, and what closes at the next change.
-func (c *Cache) after(least Origin, since Revision) ([]Event, Revision, <-chan struct{}, error) {
+// after returns the events after a revision, and a channel that is closed at the next change.
+func (c *Cache) after(minOrigin Origin, since Revision) ([]Event, Revision, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.origin < least || since.Era() > c.revision.Era():
+	case c.origin < minOrigin || since.Era() > c.revision.Era():
 		return nil, 0, nil, ErrUnfit
 	case since < c.floor:
 		return nil, 0, nil, ErrCompacted
 	}
-	return c.newest(since), c.revision, c.changed, nil
+	return c.latest(since), c.revision, c.changed, nil
 }
 
-// newest lists the last change of each object after a revision: who is behind by
-// many versions of a large object needs the last one only.
-func (c *Cache) newest(since Revision) []Event {
+// latest lists the last change of each object after a revision: a node that is behind by
+// many versions of a large object needs only the last one.
+func (c *Cache) latest(since Revision) []Event {
 	var events []Event
 	seen := map[string]bool{}
 	for _, e := range slices.Backward(c.events) {
--- a/fleet/relay/store/counted.go
+++ b/fleet/relay/store/counted.go
@@ -12,20 +12,20 @@
 	StoreCall(kind, verb, outcome string)
 }
 
-// counted is a store whose calls are counted.
+// counted is a Store that counts the calls to another one.
 type counted struct {
 	store   Store
 	counter Counter
 }
 
-// Counted returns a store that tells the counter of each call that ended.
+// Counted returns a Store that reports each completed call to the counter.
 func Counted(s Store, c Counter) Store { return counted{store: s, counter: c} }
 
 func (c counted) count(kind, verb string, err error) {
 	c.counter.StoreCall(kind, verb, outcomeOf(err))
 }
 
-// outcomeOf names how a call ended, with few distinct words.
+// outcomeOf classifies a call's result into a small set of labels.
 func outcomeOf(err error) string {
 	switch {
 	case err == nil:
--- a/fleet/relay/store/counted_test.go
+++ b/fleet/relay/store/counted_test.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// failing is a store whose every get ends in one error.
+// failing is a store whose Get always returns the same error.
 type failing struct {
 	store.Store
 	err error
@@ -20,7 +20,7 @@
 	return store.Object{}, f.err
 }
 
-// tally collects what was counted.
+// tally collects the counted calls.
 type tally []string
 
 func (t *tally) StoreCall(kind, verb, outcome string) { *t = append(*t, kind+" "+verb+" "+outcome) }
--- a/fleet/relay/store/dropped.go
+++ b/fleet/relay/store/dropped.go
@@ -8,25 +8,26 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// droppedEvery is the least time between two log lines on answers that were dropped.
-const droppedEvery = time.Second
+// droppedLogInterval is the minimum time between two log lines about dropped answers.
+const droppedLogInterval = time.Second
 
-// Dropped tells of answers that were dropped as older than what is known: a store that comes
-// back with an earlier state, or a source that lags behind, shows in it. It is not safe for
-// concurrent use.
+// Dropped logs answers that were dropped because they are older than what is known, as a
+// store restored to an earlier state or a source that lags behind gives them. It is not
+// safe for concurrent use.
 type Dropped struct {
-	Log  log.Interface // nil: nothing is told
-	told time.Time
+	Log    log.Interface // nil: nothing is logged
+	logged time.Time     // when it last logged
 }
 
-// Tell logs one, unless another one was logged a moment ago; call is how the store was asked.
+// Tell logs a dropped answer, at most one per droppedLogInterval; call is the call that
+// returned it.
 func (d *Dropped) Tell(kind, call string, at, known Revision) {
 	now := clock.Now()
-	if d.Log == nil || now.Sub(d.told) < droppedEvery {
+	if d.Log == nil || now.Sub(d.logged) < droppedLogInterval {
 		return
 	}
-	d.told = now
+	d.logged = now
 	d.Log.WithFields(log.Fields{
 		"dependency": "store", "of": kind, "call": call, "revision": at.Number(), "era": at.Era(), "known": known.Number(), "knownEra": known.Era(),
-	}).Warn("answer older than what is known, dropped")
+	}).Warn("dropped an answer older than the known revision")
 }
--- a/fleet/relay/store/eras.go
+++ b/fleet/relay/store/eras.go
@@ -2,45 +2,46 @@
 
 import "sync"
 
-// Eras is the newest era of the store that a node knows of. The store begins a new era
-// each time it comes back from a copy: what it acknowledged after the copy was made is
-// gone, and its revisions are given out again. It is safe for concurrent use.
+// Eras tracks the newest era of the store that a node knows of. The store begins a new
+// era each time it is restored from a copy: writes acknowledged after the copy was made
+// are lost, and their revision numbers are assigned again. It is safe for concurrent use.
 type Eras struct {
 	mu     sync.Mutex
 	newest int64
 	known  bool
 	risen  bool
-	tell   []func(before, now int64)
+	onRise []func(before, now int64)
 }
 
-// NewEras returns eras of a store that was not heard yet.
+// NewEras returns a tracker that knows no era yet.
 func NewEras() *Eras { return &Eras{} }
 
-// OnRise has a function told of each new era but the first that is heard, before any is.
-func (e *Eras) OnRise(tell func(before, now int64)) { e.tell = append(e.tell, tell) }
+// OnRise registers a function that is called for each new era after the first one
+// observed. It must be called before any era is observed.
+func (e *Eras) OnRise(notify func(before, now int64)) { e.onRise = append(e.onRise, notify) }
 
-// Newest is the newest era that is known; 0 where the store tells none.
+// Newest returns the newest known era; 0 if the store reports none.
 func (e *Eras) Newest() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.newest
 }
 
-// Known is whether the store, or another node, told any era.
+// Known reports whether the store or another node reported any era.
 func (e *Eras) Known() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.known
 }
 
-// Risen is whether a new era began since the first one that was heard.
+// Risen reports whether a new era began since the first one observed.
 func (e *Eras) Risen() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.risen
 }
 
-// Saw takes in an era that the store, or another node, told.
+// Saw records an era that the store or another node reported.
 func (e *Eras) Saw(era int64) {
 	e.mu.Lock()
 	before, rises := e.newest, e.known && era > e.newest
@@ -49,7 +50,7 @@
 	if !rises {
 		return
 	}
-	for _, tell := range e.tell {
-		tell(before, era)
+	for _, notify := range e.onRise {
+		notify(before, era)
 	}
 }
--- a/fleet/relay/store/faults.go
+++ b/fleet/relay/store/faults.go
@@ -10,106 +10,108 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// Entries may come from other writers, and some can't be read. Each is told of once, as
-// long as it stays as it is; a thousand of them write no thousand lines.
+// Other writers may write entries that can't be decoded. Each is logged once while it stays
+// unchanged, and the log is rate-limited, so that a thousand of them don't write a thousand
+// lines.
 
-// Bounds of what is told and kept of bad entries.
+// Limits on what is logged and remembered of bad entries.
 const (
-	faultsKnown = 1024        // entries of which it is known that they were told of
-	faultsBurst = 20          // lines at once
-	faultsEvery = time.Second // for each further line
+	maxFaults     = 1024        // bad entries remembered as logged
+	faultBurst    = 20          // log lines at once
+	faultInterval = time.Second // per further log line
 )
 
-// FaultCounter counts entries that can't be read, by kind.
+// FaultCounter counts entries that can't be decoded, by kind.
 type FaultCounter interface {
 	BadEntry(kind string)
 }
 
-// Faults tells of entries that can't be read. It is safe for concurrent use.
+// Faults logs and counts entries that can't be decoded. It is safe for concurrent use.
 type Faults struct {
 	log     log.Interface
-	counter FaultCounter // nil counts nothing
+	counter FaultCounter // nil: nothing is counted
 	seed    maphash.Seed
 
-	mu     sync.Mutex
-	told   map[faultyEntry]uint64 // what was told of it
-	lines  float64                // that may be written now
-	at     time.Time
-	untold int // entries since the last line
+	mu         sync.Mutex
+	logged     map[faultyEntry]uint64 // hash of the revision and fault last logged
+	tokens     float64                // log lines allowed now
+	at         time.Time              // when tokens was updated
+	suppressed int                    // entries not logged since the last line
 }
 
 type faultyEntry struct{ kind, name string }
 
-// NewFaults returns one that has told nothing yet; a counter of nil counts nothing.
+// NewFaults returns a Faults that has logged nothing yet; the counter may be nil.
 func NewFaults(l log.Interface, c FaultCounter) *Faults {
-	return &Faults{log: l, counter: c, seed: maphash.MakeSeed(), told: map[faultyEntry]uint64{}, lines: faultsBurst, at: clock.Now()}
+	return &Faults{log: l, counter: c, seed: maphash.MakeSeed(), logged: map[faultyEntry]uint64{}, tokens: faultBurst, at: clock.Now()}
 }
 
-// Tell tells that an entry can't be read, the step that found it and why; not again while
-// it stays at its revision with the same fault. Kept is what holds in its place.
+// Tell logs and counts an entry that can't be decoded, once per revision and fault. Step
+// is where the fault was found, and kept is what is used in the entry's place.
 func (f *Faults) Tell(o Object, step, kept string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := faultyEntry{o.Kind, o.Name}
-	now := maphash.Comparable(f.seed, struct {
+	hash := maphash.Comparable(f.seed, struct {
 		revision Revision
 		reason   string
 	}{o.Revision, err.Error()})
-	if before, known := f.told[key]; known && before == now {
+	if before, known := f.logged[key]; known && before == hash {
 		return
 	}
-	f.remember(key, now)
+	f.remember(key, hash)
 	if f.counter != nil {
 		f.counter.BadEntry(o.Kind)
 	}
-	if !f.mayWrite(clock.Now()) {
-		f.untold++
+	if !f.allowLine(clock.Now()) {
+		f.suppressed++
 		return
 	}
 	f.log.WithFields(log.Fields{
-		"kind": o.Kind, "key": o.Name, "revision": o.Revision.Number(), "step": step, "kept": kept, "untold": f.untold,
-	}).WithError(err).Warn("entry that can't be read")
-	f.untold = 0
+		"kind": o.Kind, "key": o.Name, "revision": o.Revision.Number(), "step": step, "kept": kept, "untold": f.suppressed,
+	}).WithError(err).Warn("entry can't be decoded")
+	f.suppressed = 0
 }
 
-// Read notes that an entry can be read, and tells of it where it could not before.
+// Read notes that an entry can be decoded, and logs that if it could not be before.
 func (f *Faults) Read(o Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := faultyEntry{o.Kind, o.Name}
-	if _, bad := f.told[key]; !bad {
+	if _, bad := f.logged[key]; !bad {
 		return
 	}
-	delete(f.told, key)
-	if f.mayWrite(clock.Now()) {
-		f.log.WithFields(log.Fields{"kind": o.Kind, "key": o.Name, "revision": o.Revision.Number()}).Info("entry can be read again")
+	delete(f.logged, key)
+	if f.allowLine(clock.Now()) {
+		f.log.WithFields(log.Fields{"kind": o.Kind, "key": o.Name, "revision": o.Revision.Number()}).Info("entry can be decoded again")
 	}
 }
 
-// Gone forgets an entry that was taken away.
+// Gone forgets an entry that was deleted.
 func (f *Faults) Gone(o Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.told, faultyEntry{o.Kind, o.Name})
+	delete(f.logged, faultyEntry{o.Kind, o.Name})
 }
 
-// remember keeps what was told of an entry, and forgets that of another where it is too much.
-func (f *Faults) remember(key faultyEntry, what uint64) {
-	if _, known := f.told[key]; !known && len(f.told) >= faultsKnown {
-		for other := range f.told {
-			delete(f.told, other)
+// remember stores the hash logged for an entry, and evicts any other entry when full.
+func (f *Faults) remember(key faultyEntry, hash uint64) {
+	if _, known := f.logged[key]; !known && len(f.logged) >= maxFaults {
+		for other := range f.logged {
+			delete(f.logged, other)
 			break
 		}
 	}
-	f.told[key] = what
+	f.logged[key] = hash
 }
 
-func (f *Faults) mayWrite(now time.Time) bool {
-	f.lines = min(f.lines+now.Sub(f.at).Seconds()/faultsEvery.Seconds(), faultsBurst)
+// allowLine takes one log line from the token bucket, if there is one.
+func (f *Faults) allowLine(now time.Time) bool {
+	f.tokens = min(f.tokens+now.Sub(f.at).Seconds()/faultInterval.Seconds(), faultBurst)
 	f.at = now
-	if f.lines < 1 {
+	if f.tokens < 1 {
 		return false
 	}
-	f.lines--
+	f.tokens--
 	return true
 }
--- a/fleet/relay/store/faults_test.go
+++ b/fleet/relay/store/faults_test.go
@@ -17,10 +17,9 @@
 
 func (c counts) BadEntry(kind string) { c[kind]++ }
 
-// An entry that can't be read is told of once with its kind, its key, the step and the
-// reason, not again while it stays as it is, and again where it changes; a later good one
-// is told, too.
-func TestABadEntryIsToldOnce(t *testing.T) {
+// A bad entry is logged once with its kind, key, step and reason, and again only after it
+// changes. A later valid revision is logged too.
+func TestBadEntryIsLoggedOnce(t *testing.T) {
 	lines, counted := memory.New(), counts{}
 	f := NewFaults(&log.Logger{Handler: lines, Level: log.InfoLevel}, counted)
 	bad := func(revision Revision) Object { return Object{Kind: "k", Name: "n", Revision: revision} }
@@ -35,16 +34,16 @@
 	assert.Len(t, lines.Entries, 2, "another revision")
 	assert.Equal(t, counts{"k": 2}, counted)
 	f.Read(bad(At(2, 5)))
-	assert.Len(t, lines.Entries, 3, "it can be read again")
-	assert.Equal(t, int64(5), lines.Entries[2].Fields["revision"], "as the store numbers it")
+	assert.Len(t, lines.Entries, 3, "it can be decoded again")
+	assert.Equal(t, int64(5), lines.Entries[2].Fields["revision"], "the store's own number")
 	f.Read(bad(6))
-	assert.Len(t, lines.Entries, 3, "that is told once")
+	assert.Len(t, lines.Entries, 3, "that is logged once")
 	f.Tell(bad(7), "endpoint", "no endpoint", errors.New("no address"))
 	assert.Len(t, lines.Entries, 4)
 }
 
-// A thousand bad entries, and such that change all the time, write few lines and are
-// remembered up to a bound; all are counted.
+// Thousands of bad entries that keep changing write few log lines and are remembered up to
+// a limit; all of them are counted.
 func TestManyBadEntriesWriteFewLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lines, counted := memory.New(), counts{}
@@ -56,13 +55,13 @@
 			}
 			time.Sleep(time.Second)
 		}
-		assert.LessOrEqual(t, len(lines.Entries), faultsBurst+seconds)
+		assert.LessOrEqual(t, len(lines.Entries), faultBurst+seconds)
 		assert.Equal(t, seconds*entries, counted["k"])
-		assert.LessOrEqual(t, len(f.told), faultsKnown)
-		untold := 0
+		assert.LessOrEqual(t, len(f.logged), maxFaults)
+		suppressed := 0
 		for _, e := range lines.Entries {
-			untold += e.Fields["untold"].(int)
+			suppressed += e.Fields["untold"].(int)
 		}
-		assert.Greater(t, untold, (seconds-2)*entries, "what was not told is")
+		assert.Greater(t, suppressed, (seconds-2)*entries, "suppressed entries are logged as a number")
 	})
 }
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -12,43 +12,47 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// How a follower waits. A watch is shorter than the store's own bound, so that
-// a silent partition is felt; an error backs off, with jitter.
+// How a follower waits. A watch is shorter than the store's own limit, so that a silent
+// partition is detected; errors back off with jitter.
 const (
-	longestWait = 25 * time.Second
-	historyPart = 0.8 // of the store's history that a watch waits at most, so that it can go on from where it was
-	watchSlack  = 700 * time.Millisecond
-	callTimeout = 2 * time.Second
-	backoffMin  = 150 * time.Millisecond
-	backoffMax  = 500 * time.Millisecond // a store that refuses is only pinged: who watches it is to be back before those who wait for it ask themselves
-	aloneTries  = 2                      // failures in a row after which a follower leaves asking to the leader
-	leaderWait  = 3 * time.Second        // for the leader, before a follower asks again by itself
-	mostExcused = 2                      // failures without an answer between them that are put down to standstills: a store may be lost beside these
-	unnamedRest = 500 * time.Millisecond // after a list that a change without a name asked for, which may come time and again
-	peersPause  = 200 * time.Millisecond // before peers are asked again: it costs the store nothing
+	maxWatchWait = 25 * time.Second
+	historyShare = 0.8 // maximum share of the store's history that a watch waits, so that it can continue from its revision
+	watchSlack   = 700 * time.Millisecond
+	callTimeout  = 2 * time.Second
+	backoffMin   = 150 * time.Millisecond
+	// backoffMax is short because a store that refuses is only pinged: the nodes that watch
+	// it must be connected again before the nodes that wait for them ask it themselves.
+	backoffMax = 500 * time.Millisecond
+	maxTries   = 2               // consecutive failures after which a follower leaves retrying to the leader
+	leaderWait = 3 * time.Second // for the leader, before a follower retries by itself
+	// maxExcused is the number of failures without an answer in between that are attributed
+	// to stalls of the process: the store may be lost at the same time.
+	maxExcused     = 2
+	unnamedBackoff = 500 * time.Millisecond // after a list caused by a change without a name, which may recur
+	peerBackoff    = 200 * time.Millisecond // before peers are asked again, which costs the store nothing
 )
 
-// Watching says what is followed, and how.
+// Watching configures a follower.
 type Watching struct {
 	Kind    string
-	Rest    func() time.Duration // after events, so that a burst of them costs few calls
-	History time.Duration        // how long the store keeps history; 0 is not known
-	Health  *Health              // shared by a node's followers; nil is none
-	Leads   bool                 // asks for all of them while the store is lost
-	Longest func() time.Duration // that one watch may wait, so that a silent store is felt; nil is no bound of its own
-	Small   bool                 // changes are few and small: a watch that is sent anew goes on from where it was, and nothing is listed
+	Rest    func() time.Duration // pause after events, so that a burst costs few calls
+	History time.Duration        // how long the store keeps history; 0 if unknown
+	Health  *Health              // shared by a node's followers; nil: not shared
+	Leads   bool                 // retries on behalf of all followers while the store is lost
+	Longest func() time.Duration // maximum wait of one watch, so that a silent store is detected; nil: no limit of its own
+	Small   bool                 // changes are few and small: a restarted watch continues from its revision without a list
 	Log     log.Interface        // nil: nothing is logged
-	Again   *Again               // has the kind listed anew at once; nil: nobody asks for that
+	Again   *Again               // requests a new list at once; nil: never
 }
 
-// Always is a rest that does not change.
+// Always returns a constant Rest.
 func Always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// wait is how long one watch waits for events.
+// wait returns how long one watch waits for events.
 func (w Watching) wait() time.Duration {
-	wait := longestWait
+	wait := maxWatchWait
 	if w.History > 0 {
-		wait = min(wait, time.Duration(historyPart*float64(w.History)))
+		wait = min(wait, time.Duration(historyShare*float64(w.History)))
 	}
 	if w.Longest != nil {
 		wait = min(wait, w.Longest())
@@ -56,40 +60,41 @@
 	return wait
 }
 
-// swallowedAfter is how old a list is at least that is sent anew together with the
-// watches: a store that answers takes less, and a list too many costs one call.
-const swallowedAfter = 50 * time.Millisecond
+// minRenewedListAge is the minimum age of a pending list that is restarted together with
+// the watches: a store that answers takes less time, and an extra list costs one call.
+const minRenewedListAge = 50 * time.Millisecond
 
-// errRenewed says that a list was given up to be sent anew, since the store is back.
-var errRenewed = errors.New("store: sent anew")
+// errRenewed means that a list was canceled to be sent again, since the store is available
+// again.
+var errRenewed = errors.New("store: list restarted")
 
-// errBehind says that an answer is older than what was handed on already.
-var errBehind = errors.New("store: the answer is older than what was seen")
+// errBehind means that an answer is older than one already delivered.
+var errBehind = errors.New("store: answer older than one already delivered")
 
-// Change is what a follower hands on: sealed.
+// Change is what a follower delivers: a Snapshot, an Update or Lost.
 type Change interface{ change() }
 
-// Snapshot is the whole of a kind at a revision.
+// Snapshot holds all objects of a kind at a revision.
 type Snapshot struct {
 	Objects  []Object
 	Revision Revision
 }
 
-// Update is a run of events up to a revision.
+// Update holds the events up to a revision.
 type Update struct {
 	Events   []Event
 	Revision Revision
 }
 
-// Lost says that the store did not answer; Err tells why.
+// Lost means that the store did not answer, because of Err.
 type Lost struct{ Err error }
 
 func (Snapshot) change() {}
 func (Update) change()   {}
 func (Lost) change()     {}
 
-// Follow lists a kind and then watches it until ctx ends. It never hands on a
-// revision older than one it handed on before: an older list is dropped.
+// Follow lists a kind and then watches it until ctx ends. It never delivers a revision
+// older than one it delivered before: an older list is dropped.
 func Follow(ctx context.Context, s Store, w Watching, apply func(Change)) {
 	f := follower{Watching: w, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: w.Log}}
 	if f.Health == nil {
@@ -101,9 +106,9 @@
 		if errors.Is(err, errRenewed) {
 			continue
 		}
-		if err != nil && f.excused < mostExcused && f.Health.Stood(sent) {
-			// The call's time was over while the process stood still, which is no silence of the
-			// store. A list tells soon whether it is silent, too; a watch might wait for long.
+		if err != nil && f.excused < maxExcused && f.Health.Stood(sent) {
+			// The call timed out while the process stalled, so the store may have answered. A
+			// list soon shows whether the store is silent too; a watch might wait for long.
 			f.listed = false
 			f.excused++
 			continue
@@ -121,11 +126,11 @@
 	store    Store
 	apply    func(Change)
 	at       Revision
-	listed   bool // and no watch was given up since
-	unnamed  bool // it is listed anew since a change had no name
+	listed   bool // a list succeeded, and no watch was abandoned since
+	unnamed  bool // the kind is listed again because a change had no name
 	lost     bool
-	failures int // in a row
-	excused  int // failures since the last answer that a standstill may have caused
+	failures int // consecutive
+	excused  int // failures since the last answer that a stall may have caused
 	dropped  Dropped
 	backoff  time.Duration
 }
@@ -136,11 +141,11 @@
 		f.Health.leaderAnswered()
 		return
 	}
-	f.Health.found(f.Kind)
+	f.Health.answered(f.Kind)
 }
 
-// step lists where the store was lost meanwhile, since the changes that were
-// missed may be many and large, and watches else.
+// step watches, or lists if the store was lost since, because the missed changes may be
+// many and large.
 func (f *follower) step(ctx context.Context) error {
 	if f.listed && !f.lost {
 		return f.watch(ctx)
@@ -150,13 +155,13 @@
 	}
 	if f.unnamed {
 		f.unnamed = false
-		clock.Pause(ctx, unnamedRest)
+		clock.Pause(ctx, unnamedBackoff)
 	}
 	return nil
 }
 
-// hasUnnamed is whether an object changed of which not even the name can be read: which
-// one it was tells only a list, by what it lacks.
+// hasUnnamed reports whether an object changed whose name can't be decoded. Only a list
+// shows which one it was, by its absence.
 func hasUnnamed(events []Event) bool {
 	return slices.ContainsFunc(events, func(e Event) bool { return e.Object.Name == "" })
 }
@@ -167,7 +172,7 @@
 	defer cancel()
 	began := clock.Now()
 	go cancelOn(bounded, func() {
-		if clock.Since(began) > swallowedAfter {
+		if clock.Since(began) > minRenewedListAge {
 			cancel()
 		}
 	}, renew, nil)
@@ -179,7 +184,7 @@
 		return err
 	}
 	if at < f.at {
-		return f.behind("list", at)
+		return f.behindError("list", at)
 	}
 	f.at, f.listed, f.lost = at, true, false
 	f.apply(Snapshot{Objects: objects, Revision: at})
@@ -201,7 +206,7 @@
 		return err
 	}
 	if at < f.at {
-		return f.behind("watch", at)
+		return f.behindError("watch", at)
 	}
 	if hasUnnamed(events) {
 		f.listed, f.unnamed = false, true
@@ -209,21 +214,21 @@
 	}
 	f.at = at
 	f.apply(Update{Events: events, Revision: at})
-	// An answer that lay unread while the process stood still tells the first of the changes
-	// since, and what came after it has waited long enough.
+	// An answer that lay unread while the process stalled holds only the first of the changes
+	// since; the later ones have waited long enough.
 	if len(events) > 0 && !f.Health.Stood(sent) {
 		clock.Pause(parent, f.Rest())
 	}
 	return nil
 }
 
-// behind is the error of an answer that is older than what was handed on already.
-func (f *follower) behind(call string, at Revision) error {
+// behindError logs an answer that is older than one already delivered, and returns its error.
+func (f *follower) behindError(call string, at Revision) error {
 	f.dropped.Tell(f.Kind, call, at, f.at)
 	return errors.Wrapf(errBehind, "%s of %s at revision %s, after %s", call, f.Kind, at, f.at)
 }
 
-// cancelOn ends a watch early where it is to be sent anew.
+// cancelOn cancels a call early if it must be restarted.
 func cancelOn(ctx context.Context, cancel context.CancelFunc, renew, again <-chan struct{}) {
 	select {
 	case <-renew:
@@ -252,33 +257,33 @@
 		f.apply(Lost{Err: err})
 	}
 	f.lost = true
-	f.tellLost(errors.Is(err, ErrAlone) || errors.Is(err, errBehind))
+	f.recordLost(errors.Is(err, ErrAlone) || errors.Is(err, errBehind))
 	if errors.Is(err, ErrSourcesOut) || errors.Is(err, errBehind) {
-		clock.Pause(ctx, Jittered(peersPause))
+		clock.Pause(ctx, Jittered(peerBackoff))
 		return
 	}
 	f.failures++
-	if !f.Leads && f.failures > aloneTries && f.Health.wait(ctx, leaderWait) {
+	if !f.Leads && f.failures > maxTries && f.Health.wait(ctx, leaderWait) {
 		clock.Pause(ctx, rand.N(backoffMin))
 		return
 	}
-	f.rest(ctx, f.backoff/2+rand.N(f.backoff/2))
+	f.pause(ctx, f.backoff/2+rand.N(f.backoff/2))
 	f.backoff = min(2*f.backoff, backoffMax)
 }
 
-// rest waits before the next try, or until watches are sent anew.
-func (f *follower) rest(ctx context.Context, d time.Duration) {
+// pause waits before the next try, or until watches are restarted.
+func (f *follower) pause(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	cancelOn(ctx, cancel, f.Health.renewed(), nil)
 }
 
-// tellLost notes that the follower got no answer. One that was older than what was seen
-// came of a source that is behind, and says nothing of the store. A node that is alone,
-// since its link is full or it is cut off, or whose sources alone lost the store, has no
-// reason to believe that entries lapsed for want of the store: what its sources list when
+// recordLost records that the follower got no answer. An answer older than one already
+// delivered comes from a source that is behind, and says nothing about the store. If the
+// node is alone (its link is full, it is partitioned, or only its sources lost the store),
+// nothing suggests that entries expired because of an outage: what its sources list when
 // they answer again is what the store lists.
-func (f *follower) tellLost(alone bool) {
+func (f *follower) recordLost(alone bool) {
 	switch {
 	case f.Leads:
 		f.Health.leaderLost(alone)
--- a/fleet/relay/store/follow_test.go
+++ b/fleet/relay/store/follow_test.go
@@ -13,7 +13,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// scripted is a store that answers lists and watches in turn.
+// scripted is a store that answers calls with a sequence of steps.
 type scripted struct {
 	store.Store
 	mu    sync.Mutex
@@ -27,7 +27,7 @@
 	events  []store.Event
 	at      store.Revision
 	err     error
-	after   time.Duration // that it comes
+	after   time.Duration // delay of the answer
 }
 
 func (s *scripted) next(call string) answer {
@@ -63,13 +63,13 @@
 		seen  []string
 	}{
 		{"list, then watch", []answer{{at: 5}, {at: 6}, {at: 7}}, []string{"list", "watch", "watch"}, []string{"snapshot 5", "update 6", "update 7"}},
-		{"history is gone", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 9}}, []string{"list", "watch", "list"}, []string{"snapshot 5", "snapshot 9"}},
+		{"history is compacted", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 9}}, []string{"list", "watch", "list"}, []string{"snapshot 5", "snapshot 9"}},
 		{"an older list is dropped", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 4}, {at: 6}}, []string{"list", "watch", "list", "list"}, []string{"snapshot 5", "lost", "snapshot 6"}},
 		{"a watch that goes back is dropped", []answer{{at: 5}, {at: 3}, {at: 6}}, []string{"list", "watch", "list"}, []string{"snapshot 5", "lost", "snapshot 6"}},
-		{"lost is told once", []answer{{err: lost}, {err: lost}, {at: 5}}, []string{"list", "list", "list"}, []string{"lost", "snapshot 5"}},
-		{"after a lost watch all is listed anew", []answer{{at: 5}, {err: lost}, {at: 6}, {at: 7}}, []string{"list", "watch", "list", "watch"}, []string{"snapshot 5", "lost", "snapshot 6", "update 7"}},
-		{"a change without a name is listed", []answer{{at: 5}, {at: 6, events: []store.Event{{Object: store.Object{Fault: "no JSON"}}}}, {at: 6}, {at: 7}}, []string{"list", "watch", "list", "watch"}, []string{"snapshot 5", "snapshot 6", "update 7"}},
-		{"and again where that fails", []answer{{at: 5}, {at: 6, events: []store.Event{{Object: store.Object{Name: "n"}}, {}}}, {err: lost}, {at: 7}}, []string{"list", "watch", "list", "list"}, []string{"snapshot 5", "lost", "snapshot 7"}},
+		{"lost is reported once", []answer{{err: lost}, {err: lost}, {at: 5}}, []string{"list", "list", "list"}, []string{"lost", "snapshot 5"}},
+		{"after a lost watch the kind is listed again", []answer{{at: 5}, {err: lost}, {at: 6}, {at: 7}}, []string{"list", "watch", "list", "watch"}, []string{"snapshot 5", "lost", "snapshot 6", "update 7"}},
+		{"a change without a name causes a list", []answer{{at: 5}, {at: 6, events: []store.Event{{Object: store.Object{Fault: "no JSON"}}}}, {at: 6}, {at: 7}}, []string{"list", "watch", "list", "watch"}, []string{"snapshot 5", "snapshot 6", "update 7"}},
+		{"and another one if that fails", []answer{{at: 5}, {at: 6, events: []store.Event{{Object: store.Object{Name: "n"}}, {}}}, {err: lost}, {at: 7}}, []string{"list", "watch", "list", "list"}, []string{"snapshot 5", "lost", "snapshot 7"}},
 		{"an older list after a lost watch is dropped", []answer{{at: 5}, {err: lost}, {at: 4}, {at: 6}}, []string{"list", "watch", "list", "list"}, []string{"snapshot 5", "lost", "snapshot 6"}},
 	}
 	for _, c := range cases {
@@ -84,15 +84,15 @@
 	}
 }
 
-// An answer that is older than what was seen says that its source is behind, and nothing of
-// the store: an entry that goes then did not lapse for want of it, and is not kept.
-func TestASourceThatIsBehindIsNoLostStore(t *testing.T) {
+// An answer older than one already delivered shows that its source lags, not that the store
+// is lost: an entry removed then did not expire because of an outage, and must not be kept.
+func TestLaggingSourceIsNotAnOutage(t *testing.T) {
 	cases := []struct {
-		name    string
-		steps   []answer
-		doubted bool
+		name      string
+		steps     []answer
+		suspected bool
 	}{
-		{"a list that is older", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 4}}, false},
+		{"an older list", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 4}}, false},
 		{"a watch that goes back", []answer{{at: 5}, {at: 3}}, false},
 		{"no answer", []answer{{at: 5}, {err: errors.New("lost")}}, true},
 	}
@@ -101,32 +101,32 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			health := store.NewHealth()
 			store.Follow(ctx, &scripted{steps: c.steps, done: cancel}, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond), Health: health}, func(store.Change) {})
-			assert.Equal(t, c.doubted, health.Doubted())
+			assert.Equal(t, c.suspected, health.Doubted())
 		})
 	}
 }
 
-// An answer that lay unread while the process stood still is followed by a watch at once:
-// another rest would keep what changed meanwhile out of force for longer than is promised.
-func TestNoRestAfterAStandstill(t *testing.T) {
-	const rest, standsFor = 600 * time.Millisecond, 3 * time.Second
+// An answer that lay unread while the process stalled is followed by a watch at once:
+// another rest would delay the changes since for longer than is promised.
+func TestNoRestAfterAStall(t *testing.T) {
+	const rest, stall = 600 * time.Millisecond, 3 * time.Second
 	events := []store.Event{{Object: store.Object{Name: "n"}}}
 	for _, c := range []struct {
-		name  string
-		stood bool
-		takes time.Duration
+		name    string
+		stalled bool
+		takes   time.Duration
 	}{
-		{"it ran", false, standsFor + rest},
-		{"it stood still", true, standsFor},
+		{"running", false, stall + rest},
+		{"stalled", true, stall},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				s := &scripted{steps: []answer{{at: 5}, {at: 6, events: events, after: standsFor}, {at: 7}}, done: cancel}
+				s := &scripted{steps: []answer{{at: 5}, {at: 6, events: events, after: stall}, {at: 7}}, done: cancel}
 				began := time.Now()
-				stood := func(since time.Time) bool { return c.stood && !since.After(began) }
+				stalled := func(since time.Time) bool { return c.stalled && !since.After(began) }
 				var at time.Duration
-				w := store.Watching{Kind: "kind", Rest: store.Always(rest), Health: store.NewHealth().WithStandstills(stood)}
+				w := store.Watching{Kind: "kind", Rest: store.Always(rest), Health: store.NewHealth().WithStandstills(stalled)}
 				store.Follow(ctx, s, w, func(change store.Change) {
 					if describe(change) == "update 7" {
 						at = time.Since(began)
@@ -138,35 +138,35 @@
 	}
 }
 
-// A call whose time was over while this process stood still says nothing of the store: it
-// would be doubted, and an endpoint that went meanwhile be kept in use.
-func TestAStandstillIsNoLostStore(t *testing.T) {
+// A call that timed out while this process stalled says nothing about the store. If it
+// counted as an outage, an endpoint removed meanwhile would stay in use.
+func TestStallIsNotAnOutage(t *testing.T) {
 	lost := errors.New("lost")
 	for _, c := range []struct {
-		name    string
-		stands  []bool // while each of the calls is under way
-		steps   []answer
-		calls   []string
-		doubted bool
+		name      string
+		stalls    []bool // during each of the calls
+		steps     []answer
+		calls     []string
+		suspected bool
 	}{
-		{"a watch, and it ran", nil, []answer{{at: 5}, {err: lost}, {at: 6}}, []string{"list", "watch", "list"}, true},
+		{"a watch without a stall", nil, []answer{{at: 5}, {err: lost}, {at: 6}}, []string{"list", "watch", "list"}, true},
 		{"a watch", []bool{false, true}, []answer{{at: 5}, {err: lost}, {at: 6}}, []string{"list", "watch", "list"}, false},
 		{"a list", []bool{true}, []answer{{err: lost}, {at: 5}, {at: 6}}, []string{"list", "list", "watch"}, false},
-		{"the store is lost beside it", []bool{true}, []answer{{err: lost}, {err: lost}, {at: 6}}, []string{"list", "list", "list"}, true},
-		{"the store is lost while it stands still again and again", []bool{true, true, true, true}, []answer{{err: lost}, {err: lost}, {err: lost}, {at: 6}}, []string{"list", "list", "list", "list"}, true},
-		{"it stands still again once the store answered", []bool{true, false, true}, []answer{{err: lost}, {at: 5}, {err: lost}, {at: 6}}, []string{"list", "list", "watch", "list"}, false},
-		{"the history is gone beside it", []bool{false, true}, []answer{{at: 5}, {err: store.ErrCompacted}, {at: 6}}, []string{"list", "watch", "list"}, false},
+		{"the store is lost as well", []bool{true}, []answer{{err: lost}, {err: lost}, {at: 6}}, []string{"list", "list", "list"}, true},
+		{"the store is lost during repeated stalls", []bool{true, true, true, true}, []answer{{err: lost}, {err: lost}, {err: lost}, {at: 6}}, []string{"list", "list", "list", "list"}, true},
+		{"a second stall after an answer", []bool{true, false, true}, []answer{{err: lost}, {at: 5}, {err: lost}, {at: 6}}, []string{"list", "list", "watch", "list"}, false},
+		{"the history is compacted as well", []bool{false, true}, []answer{{at: 5}, {err: store.ErrCompacted}, {at: 6}}, []string{"list", "watch", "list"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s := &scripted{steps: c.steps, done: cancel}
 			health := store.NewHealth().WithStandstills(func(time.Time) bool {
 				done := len(s.calls) - 1
-				return done < len(c.stands) && c.stands[done]
+				return done < len(c.stalls) && c.stalls[done]
 			})
 			store.Follow(ctx, s, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond), Health: health}, func(store.Change) {})
 			assert.Equal(t, c.calls, s.calls)
-			assert.Equal(t, c.doubted, health.Doubted())
+			assert.Equal(t, c.suspected, health.Doubted())
 		})
 	}
 }
--- a/fleet/relay/store/health.go
+++ b/fleet/relay/store/health.go
@@ -8,104 +8,105 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// Health is what the followers of one node share about the store: one of them
-// leads, and asks again while the store is lost; the others wait for it. So a
-// store that refuses is asked once, not once for each kind that is followed.
+// Health is the state of the store as the followers of one node share it. One follower
+// leads and retries while the store is lost; the others wait for it, so that a store that
+// refuses calls is asked once and not once for each kind.
 //
-// A store that falls silent may swallow a watch that is sent to it meanwhile, and
-// say nothing of it when it is back. So whoever finds it back, this node's syncer
-// of budgets or a peer, tells, and watches that wait are sent anew.
+// A store that becomes silent may drop a watch sent meanwhile and never answer it. So
+// whichever part of the node (such as the budget syncer) or peer first reaches the store
+// again reports it, and pending watches are restarted.
 type Health struct {
-	mu         sync.Mutex
-	lost       chan struct{} // closed when the leader has an answer again; nil while it has
-	renew      chan struct{} // closed when watches are to be sent anew
-	renewedAt  time.Time
-	reconnects uint64
-	away       map[string]bool // parts of the node that get no answer
-	backAt     time.Time       // when one of them last had an answer again
-	stood      func(since time.Time) bool
+	mu          sync.Mutex
+	lost        chan struct{} // closed when the leader gets an answer again; nil while it gets answers
+	renew       chan struct{} // closed to restart watches
+	renewedAt   time.Time
+	reconnects  uint64
+	unavailable map[string]bool            // parts of the node that get no answer
+	availableAt time.Time                  // when one of them last got an answer again
+	stalled     func(since time.Time) bool // nil: stalls are not detected
 }
 
-// doubtAfter is how long after the store's return what it lists may still lack
-// entries that lapsed while it was away (the platform's page on discovery).
-const doubtAfter = 2 * time.Second
+// suspectAfter is how long after an outage the store's lists may still lack entries that
+// expired while it was unavailable (see the platform's page on discovery).
+const suspectAfter = 2 * time.Second
 
-// Lost notes that a part of the node gets no answer from the store.
+// Lost records that a part of the node gets no answer from the store.
 func (h *Health) Lost(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away[part] = true
+	h.unavailable[part] = true
 }
 
-// Doubted is whether entries may be missing from the store only because it is or
-// was away.
+// Doubted reports whether entries may be missing from the store only because it is or was
+// unavailable.
 func (h *Health) Doubted() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.away) > 0 || !h.backAt.IsZero() && clock.Since(h.backAt) < doubtAfter
+	return len(h.unavailable) > 0 || !h.availableAt.IsZero() && clock.Since(h.availableAt) < suspectAfter
 }
 
-// found notes that a part of the node that got no answer has one again.
-func (h *Health) found(part string) {
+// answered records that a part of the node gets answers from the store.
+func (h *Health) answered(part string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.away[part] {
-		delete(h.away, part)
-		h.backAt = clock.Now()
+	if h.unavailable[part] {
+		delete(h.unavailable, part)
+		h.availableAt = clock.Now()
 	}
 }
 
-// renewPause is the least time between two rounds of watches sent anew.
-const renewPause = time.Second
+// minRenewInterval is the minimum time between two restarts of the watches.
+const minRenewInterval = time.Second
 
-// NewHealth returns the health of a store that answers as far as is known.
-func NewHealth() *Health { return &Health{renew: make(chan struct{}), away: map[string]bool{}} }
+// NewHealth returns the health of a store that is available as far as is known.
+func NewHealth() *Health { return &Health{renew: make(chan struct{}), unavailable: map[string]bool{}} }
 
-// WithStandstills has calls that fail after the process stood still say nothing of the
-// store; stood is whether it did since a moment. It is to be set before anybody asks.
-func (h *Health) WithStandstills(stood func(since time.Time) bool) *Health {
-	h.stood = stood
+// WithStandstills keeps calls that fail because the process stalled from counting against
+// the store; stalled reports whether it did since a time. It must be called before use.
+func (h *Health) WithStandstills(stalled func(since time.Time) bool) *Health {
+	h.stalled = stalled
 	return h
 }
 
-// Stood is whether the process stood still since a moment: what waited in between was not
-// read, and what failed failed for want of it.
-func (h *Health) Stood(since time.Time) bool { return h.stood != nil && h.stood(since) }
+// Stood reports whether the process stalled since a time: answers that arrived meanwhile
+// were not read, and calls may have failed for that reason.
+func (h *Health) Stood(since time.Time) bool { return h.stalled != nil && h.stalled(since) }
 
-// Reconnected notes that a part of this node found the store back.
+// Reconnected records that a part of this node reached the store again.
 func (h *Health) Reconnected(part string) {
-	h.found(part)
+	h.answered(part)
 	h.mu.Lock()
 	h.reconnects++
 	h.mu.Unlock()
 	h.Renew()
 }
 
-// Reconnects is how often this node found the store back, for its peers.
+// Reconnects returns how often this node reached the store again, for its peers.
 func (h *Health) Reconnects() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reconnects
 }
 
-// Restored notes that the store came back from a copy: entries may be missing that are to
-// be written again, and what waits watches a history that is gone.
+// Restored records that the store was restored from a copy: entries that must be written
+// again may be missing, and pending watches follow a lost history.
 func (h *Health) Restored() {
 	h.mu.Lock()
-	h.backAt, h.renewedAt = clock.Now(), time.Time{}
+	h.availableAt, h.renewedAt = clock.Now(), time.Time{}
 	h.mu.Unlock()
 	h.Renew()
 }
 
-// Renew has the watches that wait sent anew.
+// Renew restarts pending watches.
 func (h *Health) Renew() { h.tryRenew() }
 
-// tryRenew is whether it does so: not where that was done a moment ago.
+// tryRenew restarts pending watches and reports whether it did: not within
+// minRenewInterval of the last restart.
 func (h *Health) tryRenew() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(h.renewedAt) < renewPause {
+	if now.Sub(h.renewedAt) < minRenewInterval {
 		return false
 	}
 	h.renewedAt = now
@@ -120,23 +121,23 @@
 	return h.renew
 }
 
-// leaderPart names the follower that leads among the parts of a node.
+// leaderPart is the name of the leading follower among the parts of a node.
 const leaderPart = "leader"
 
-// leaderLost notes that the leader got no answer; where the node is alone, that says
-// nothing of the store.
+// leaderLost records that the leader got no answer. If the node is alone, that says nothing
+// about the store.
 func (h *Health) leaderLost(alone bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !alone {
-		h.away[leaderPart] = true
+		h.unavailable[leaderPart] = true
 	}
 	if h.lost == nil {
 		h.lost = make(chan struct{})
 	}
 }
 
-// leaderAnswered notes that the leader got one, and wakes those who wait.
+// leaderAnswered records that the leader got an answer, and wakes the followers that wait.
 func (h *Health) leaderAnswered() {
 	h.mu.Lock()
 	lost := h.lost
@@ -148,16 +149,16 @@
 	}
 }
 
-// wait returns when the leader has an answer, after most at the latest; false
-// at once where the leader has not lost the store.
-func (h *Health) wait(ctx context.Context, most time.Duration) bool {
+// wait blocks until the leader gets an answer, for up to timeout. It returns false at once
+// if the leader has not lost the store.
+func (h *Health) wait(ctx context.Context, timeout time.Duration) bool {
 	h.mu.Lock()
 	lost := h.lost
 	h.mu.Unlock()
 	if lost == nil {
 		return false
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/fleet/relay/store/health_test.go
+++ b/fleet/relay/store/health_test.go
@@ -13,7 +13,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// outage is a store that is lost until it is put back, and counts who asks.
+// outage is a store that fails while lost is set, and counts calls by kind.
 type outage struct {
 	store.Store
 	mu    sync.Mutex
@@ -50,7 +50,7 @@
 	return nil, since, ctx.Err()
 }
 
-// take returns how often each kind was asked for, and begins anew.
+// take returns the calls by kind, resets them and sets lost.
 func (o *outage) take(lost bool) map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -59,20 +59,20 @@
 	return asked
 }
 
-func TestFollowersLeaveAskingToTheLeader(t *testing.T) {
+func TestFollowersLeaveRetriesToTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		o := &outage{asked: map[string]int{}, waits: map[string]time.Duration{}, lost: true}
 		health := store.NewHealth()
 		var mu sync.Mutex
-		back := map[string]time.Time{}
+		listedAt := map[string]time.Time{}
 		follow := func(kind string, leads bool) {
 			w := store.Watching{Kind: kind, Rest: store.Always(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leads}
 			store.Follow(ctx, o, w, func(c store.Change) {
 				if _, ok := c.(store.Snapshot); ok {
 					mu.Lock()
 					defer mu.Unlock()
-					back[kind] = time.Now()
+					listedAt[kind] = time.Now()
 				}
 			})
 		}
@@ -80,18 +80,18 @@
 		go follow("leader", true)
 		time.Sleep(20 * time.Second)
 		asked := o.take(false)
-		assert.GreaterOrEqual(t, asked["leader"], 15, "the leader goes on asking")
-		assert.LessOrEqual(t, asked["led"], 10, "the other asks now and then")
+		assert.GreaterOrEqual(t, asked["leader"], 15, "the leader keeps retrying")
+		assert.LessOrEqual(t, asked["led"], 10, "the other one retries rarely")
 
 		reconnected := time.Now()
 		time.Sleep(10 * time.Second)
 		mu.Lock()
-		assert.Less(t, back["leader"].Sub(reconnected), 1300*time.Millisecond)
-		assert.Less(t, back["led"].Sub(back["leader"]), 200*time.Millisecond, "the leader's answer wakes the other")
+		assert.Less(t, listedAt["leader"].Sub(reconnected), 1300*time.Millisecond)
+		assert.Less(t, listedAt["led"].Sub(listedAt["leader"]), 200*time.Millisecond, "the leader's answer wakes the other")
 		mu.Unlock()
 		time.Sleep(30 * time.Second)
 		o.mu.Lock()
-		assert.Equal(t, 16*time.Second, o.waits["led"], "a watch ends while the store still has the history")
+		assert.Equal(t, 16*time.Second, o.waits["led"], "a watch ends before the store drops its history")
 		o.mu.Unlock()
 		cancel()
 	})
--- a/fleet/relay/store/heartbeat.go
+++ b/fleet/relay/store/heartbeat.go
@@ -9,16 +9,16 @@
 	"github.com/lynxshed/lynxshed/fleet/clock"
 )
 
-// Heartbeat pings the store for a node that watches it for others, so that it feels within
-// a moment that the store is lost: a watch that is sent into silence says nothing until
-// it ends, and meanwhile this node would tell those who ask it that nothing has changed,
+// Heartbeat pings the store on a node that watches it for others, so that an outage is
+// detected quickly. A watch sent while the store is silent reports nothing until it times
+// out; meanwhile this node would tell the nodes that ask it that nothing has changed,
 // though they may reach the store themselves.
 type Heartbeat struct {
 	Store  Store
-	Every  time.Duration // between two pings
-	Serves func() bool   // whether others ask this node
-	Lost   func(error)   // told after each beat that finds the store lost
-	Health *Health       // watches are sent anew once the store is back
+	Every  time.Duration // interval between pings
+	Serves func() bool   // reports whether other nodes ask this one
+	Lost   func(error)   // called after each beat that finds the store unavailable
+	Health *Health       // restarts watches once the store is available again
 	Log    log.Interface
 }
 
@@ -34,8 +34,9 @@
 	}
 }
 
-// beat is whether the store is lost, given whether it was. It counts as lost until the
-// watches are sent anew, so that none of those sent into the silence is left.
+// beat pings once and reports whether the store counts as lost, given whether it did
+// before. It stays lost until the watches are restarted, so that no watch sent during the
+// outage remains.
 func (h Heartbeat) beat(ctx context.Context, lost bool) bool {
 	err := h.ping(ctx)
 	switch {
@@ -44,27 +45,27 @@
 	case err != nil:
 		h.Lost(err)
 		if !lost {
-			h.Log.WithField("dependency", "store").WithError(err).Warn("heartbeat lost: nodes that ask this one are told so")
+			h.Log.WithField("dependency", "store").WithError(err).Warn("store heartbeat lost: answering unavailable to the nodes that ask this one")
 		}
 		return true
 	case lost && h.Health.tryRenew():
-		h.Log.WithField("dependency", "store").Info("heartbeat back: watches are sent anew")
+		h.Log.WithField("dependency", "store").Info("store heartbeat restored: restarting watches")
 		return false
 	}
 	return lost
 }
 
-// ping asks twice, since one ping may be lost on a link that loses packets. The first one
-// has as long as those have with which nodes that ask this one would try the store: one
-// that is merely slow is not lost, and better asked by few.
+// ping tries twice, since one ping may be lost on a lossy link. The first try has the same
+// timeout as the pings of the nodes that ask this one: a store that is merely slow is not
+// lost, and is better asked by few nodes.
 func (h Heartbeat) ping(ctx context.Context) error {
-	if err := h.once(ctx, pingTimeout); err == nil {
+	if err := h.pingOnce(ctx, pingTimeout); err == nil {
 		return nil
 	}
-	return h.once(ctx, h.Every)
+	return h.pingOnce(ctx, h.Every)
 }
 
-func (h Heartbeat) once(ctx context.Context, timeout time.Duration) error {
+func (h Heartbeat) pingOnce(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return h.Store.Ping(ctx)
--- a/fleet/relay/store/heartbeat_test.go
+++ b/fleet/relay/store/heartbeat_test.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// cacheReader asks a node's caches as a peer does.
+// cacheReader reads a node's caches as a peer does.
 type cacheReader map[string]*store.Cache
 
 func (c cacheReader) List(_ context.Context, kind string) ([]store.Object, store.Revision, error) {
@@ -38,33 +38,33 @@
 
 var heartbeatKinds = []string{"policy", "endpoints", "evacuations"}
 
-// followAll follows every kind, the first of which leads, and tells each revision.
-func followAll(ctx context.Context, s *store.Sourced, health *store.Health, longest func() time.Duration, tell func(kind string, c store.Change)) {
+// followAll follows every kind, the first one as leader, and passes on each change.
+func followAll(ctx context.Context, s *store.Sourced, health *store.Health, longest func() time.Duration, apply func(kind string, c store.Change)) {
 	for i, kind := range heartbeatKinds {
 		w := store.Watching{Kind: kind, Rest: store.Always(time.Millisecond), History: 20 * time.Second, Health: health, Leads: i == 0}
 		if i == 0 {
 			w.Longest = longest
 		}
-		go store.Follow(ctx, s, w, func(c store.Change) { tell(kind, c) })
+		go store.Follow(ctx, s, w, func(c store.Change) { apply(kind, c) })
 	}
 }
 
-// A node whose sources are cut off from the store in silence, while it is not, learns of
-// what changes from then on within the time in which an endpoint that leaves must get no
-// new work, whenever the cut begins and whichever of the kinds is asked for.
-func TestWhatChangesWhileTheSourcesAreCutOffIsKnownInTime(t *testing.T) {
+// A node whose sources are silently partitioned from the store, while it is not, receives
+// changes within the time in which a leaving endpoint must get no new work, whenever the
+// partition begins and for every kind.
+func TestChangesArriveWhileSourcesArePartitioned(t *testing.T) {
 	for _, leaving := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		for begins := 5 * time.Second; begins < 8*time.Second; begins += 230 * time.Millisecond {
-			synctest.Test(t, func(t *testing.T) { cutOff(t, leaving, begins) })
+			synctest.Test(t, func(t *testing.T) { testPartitionedSource(t, leaving, begins) })
 		}
 	}
 }
 
-func cutOff(t *testing.T, leaving, begins time.Duration) {
+func testPartitionedSource(t *testing.T, leaving, begins time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer synctest.Wait()
 	defer cancel()
-	behind := &silence{revision: 1, changed: make(chan struct{})} // the store as the source reaches it
+	behind := &silence{revision: 1, changed: make(chan struct{})} // the store as seen by the source
 	reached := &silence{revision: 1, changed: make(chan struct{})}
 	source := source(ctx, behind, leaving)
 	node := store.NewSourced(reached, func() []store.Source { return []store.Source{{Name: "a", Reader: source}} })
@@ -93,7 +93,7 @@
 	}
 }
 
-// source is a node that watches the store for others.
+// source returns the caches of a node that watches the store for others.
 func source(ctx context.Context, s store.Store, leaving time.Duration) cacheReader {
 	caches := cacheReader{}
 	for _, kind := range heartbeatKinds {
@@ -117,9 +117,9 @@
 	return caches
 }
 
-// Once the store is back, the source answers for every kind again soon, though watches
-// were sent into the silence.
-func TestASourceServesAgainOnceTheStoreIsBack(t *testing.T) {
+// Soon after the store is available again, the source answers for every kind, although
+// watches were sent during the silence.
+func TestSourceServesAgainAfterAnOutage(t *testing.T) {
 	for length := 500 * time.Millisecond; length < 9*time.Second; length += 700 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/fleet/relay/store/patient_test.go
+++ b/fleet/relay/store/patient_test.go
@@ -13,13 +13,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// For a kind that can wait the store is asked only some time after the sources fell
-// silent; that they are silent says nothing of the store. Before any answer, without
-// sources and where it can't wait any more it is asked at once.
-func TestAPatientKindIsNotAskedOfTheStoreAtOnce(t *testing.T) {
+// For a kind whose changes can wait, the store is asked only some time after the sources
+// became silent, which says nothing about the store. It is asked at once before any answer,
+// without sources, and after the delay.
+func TestPatientKindDelaysAskingTheStore(t *testing.T) {
 	cases := []struct {
 		name     string
-		answered bool // by a source, before it fell silent
+		answered bool // by a source, before it became silent
 		sources  int
 		after    time.Duration
 		wait     time.Duration
@@ -27,7 +27,7 @@
 	}{
 		{"silent for a moment", true, 1, time.Second, 10 * time.Second, false},
 		{"silent for long", true, 1, 11 * time.Second, 10 * time.Second, true},
-		{"it can't wait", true, 1, time.Second, 0, true},
+		{"no delay", true, 1, time.Second, 0, true},
 		{"never answered", false, 1, time.Second, 10 * time.Second, true},
 		{"no sources", true, 0, time.Second, 10 * time.Second, true},
 	}
@@ -55,7 +55,7 @@
 				} {
 					calls = nil
 					if i > 0 && c.asks {
-						time.Sleep(c.wait) // the store's own answer counts as one, too
+						time.Sleep(c.wait) // the store's own answer counts too
 					}
 					err := call()
 					assert.Equal(t, c.asks, lo.Contains(calls, "store"))
--- a/fleet/relay/store/probed.go
+++ b/fleet/relay/store/probed.go
@@ -8,78 +8,78 @@
 	"github.com/cockroachdb/errors"
 )
 
-// probed is a store that is pinged before a call once it refused one: a call that is
-// refused costs as much as another, a ping a tenth of it.
+// probed pings the store before each call while the last call was refused: a refused
+// call costs as much as any other, a ping a tenth of that.
 type probed struct {
 	Store
-	refused atomic.Bool // the last call was
+	refused atomic.Bool // the last call was refused
 }
 
-// Probed returns a store that is pinged first while it refuses.
+// Probed returns a Store that pings s before each call while s refuses calls.
 func Probed(s Store) Store { return &probed{Store: s} }
 
-// may says whether a call is worth it. Only a refusal tells: a store that is silent to a
-// ping may be slow, and answer a call that waits for longer.
-func (p *probed) may(ctx context.Context) error {
+// probe returns an error if the store still refuses. Only a refused ping counts: a store
+// that does not answer a ping may be slow, and answer a call with a longer timeout.
+func (p *probed) probe(ctx context.Context) error {
 	if !p.refused.Load() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	if err := p.Store.Ping(ctx); errors.Is(err, ErrRefused) {
-		return errors.Wrap(err, "ping before a call")
+		return errors.Wrap(err, "ping before call")
 	}
 	return nil
 }
 
-func (p *probed) ended(err error) { p.refused.Store(errors.Is(err, ErrRefused)) }
+func (p *probed) record(err error) { p.refused.Store(errors.Is(err, ErrRefused)) }
 
 // List implements Store.
 func (p *probed) List(ctx context.Context, kind string) ([]Object, Revision, error) {
-	if err := p.may(ctx); err != nil {
+	if err := p.probe(ctx); err != nil {
 		return nil, 0, err
 	}
 	objects, at, err := p.Store.List(ctx, kind)
-	p.ended(err)
+	p.record(err)
 	return objects, at, err
 }
 
 // Watch implements Store.
 func (p *probed) Watch(ctx context.Context, kind string, since Revision, wait time.Duration) ([]Event, Revision, error) {
-	if err := p.may(ctx); err != nil {
+	if err := p.probe(ctx); err != nil {
 		return nil, 0, err
 	}
 	events, at, err := p.Store.Watch(ctx, kind, since, wait)
-	p.ended(err)
+	p.record(err)
 	return events, at, err
 }
 
 // Get implements Store.
 func (p *probed) Get(ctx context.Context, kind, name string) (Object, error) {
-	if err := p.may(ctx); err != nil {
+	if err := p.probe(ctx); err != nil {
 		return Object{}, err
 	}
 	o, err := p.Store.Get(ctx, kind, name)
-	p.ended(err)
+	p.record(err)
 	return o, err
 }
 
 // Put implements Store.
 func (p *probed) Put(ctx context.Context, o Object) (Object, error) {
-	if err := p.may(ctx); err != nil {
+	if err := p.probe(ctx); err != nil {
 		return Object{}, err
 	}
 	after, err := p.Store.Put(ctx, o)
-	p.ended(err)
+	p.record(err)
 	return after, err
 }
 
 // Delete implements Store.
 func (p *probed) Delete(ctx context.Context, kind, name string) error {
-	if err := p.may(ctx); err != nil {
+	if err := p.probe(ctx); err != nil {
 		return err
 	}
 	err := p.Store.Delete(ctx, kind, name)
-	p.ended(err)
+	p.record(err)
 	return err
 }
--- a/fleet/relay/store/probed_test.go
+++ b/fleet/relay/store/probed_test.go
@@ -10,26 +10,26 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// moody is a store that answers calls and pings as it is told.
-type moody struct {
+// fixedResults is a store with fixed results for calls and pings.
+type fixedResults struct {
 	store.Store
 	answer, ping error
 	calls, pings int
 }
 
-func (m *moody) Get(context.Context, string, string) (store.Object, error) {
+func (m *fixedResults) Get(context.Context, string, string) (store.Object, error) {
 	m.calls++
 	return store.Object{}, m.answer
 }
 
-func (m *moody) Ping(context.Context) error {
+func (m *fixedResults) Ping(context.Context) error {
 	m.pings++
 	return m.ping
 }
 
-// A store that refuses is pinged until it refuses no more; one that is silent, fails or
-// answers is called. What a refusal says, that nothing was done, holds for a call that
-// was not made.
+// A store that refuses is pinged before each call until it stops refusing; one that is
+// silent, fails or answers is called. A refusal means that nothing was done, which also
+// holds for a call that was not made.
 func TestAStoreThatRefusesIsPingedFirst(t *testing.T) {
 	silent := errors.New("silent")
 	cases := []struct {
@@ -40,13 +40,13 @@
 		{"it answers", nil, nil, 5, 0},
 		{"it refuses", store.ErrRefused, store.ErrRefused, 1, 4},
 		{"it refuses calls only", store.ErrRefused, nil, 5, 4},
-		{"it falls silent", silent, silent, 5, 0},
-		{"it refuses, and is silent to pings", store.ErrRefused, silent, 5, 4},
-		{"there is nothing", store.ErrNotFound, nil, 5, 0},
+		{"it becomes silent", silent, silent, 5, 0},
+		{"it refuses and does not answer pings", store.ErrRefused, silent, 5, 4},
+		{"no such object", store.ErrNotFound, nil, 5, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := &moody{answer: c.answer, ping: c.ping}
+			m := &fixedResults{answer: c.answer, ping: c.ping}
 			s := store.Probed(m)
 			for range 5 {
 				_, err := s.Get(t.Context(), "k", "n")
--- a/fleet/relay/store/revision.go
+++ b/fleet/relay/store/revision.go
@@ -2,35 +2,35 @@
 
 import "fmt"
 
-// Revision is a moment in the store's history: an era, and a number that the store gave out
-// in it. Of two revisions the greater one is the later, whatever their eras, so that
-// revisions are compared as numbers are. Numbers of different eras say nothing of each
-// other, and are told to the store and to other nodes beside their era. 0 is no revision.
+// Revision is a point in the store's history: an era, and a number that the store assigned
+// in it. The greater of two revisions is the later one, whatever their eras, so revisions
+// compare as integers. Numbers of different eras can't be compared, so they are sent to
+// the store and to other nodes together with their era. 0 is no revision.
 type Revision int64
 
-// numberBits is how many bits of a revision hold its number; those above hold its era.
+// numberBits is the width of a revision's number; the bits above it hold the era.
 const numberBits = 48
 
-// Bounds of what a revision can hold.
+// Limits of the parts of a revision.
 const (
 	MostNumber = 1<<numberBits - 1
 	MostEra    = 1<<(63-numberBits) - 1
 )
 
-// At is the revision of a number in an era. What is beyond the bounds is cut to them.
+// At returns the revision for a number in an era, both clamped to their limits.
 func At(era, number int64) Revision {
 	era, number = min(max(era, 0), MostEra), min(max(number, 0), MostNumber)
 	return Revision(era<<numberBits | number)
 }
 
-// Era is the era in which the store gave the revision out; 0 where the store tells none.
+// Era returns the era in which the store assigned the revision; 0 if the store reports none.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number is the store's own number of the revision.
+// Number returns the store's own number for the revision.
 func (r Revision) Number() int64 { return int64(r) & MostNumber }
 
-// IsOfEraBefore is whether the store came back from a copy between a revision and another
-// one; false where there is none before.
+// IsOfEraBefore reports whether the store was restored from a copy between r and now.
+// It is false if r is 0.
 func (r Revision) IsOfEraBefore(now Revision) bool { return r > 0 && r.Era() < now.Era() }
 
 // String implements fmt.Stringer.
--- a/fleet/relay/store/revision_test.go
+++ b/fleet/relay/store/revision_test.go
@@ -22,10 +22,10 @@
 	assert.True(t, At(0, 9).IsOfEraBefore(At(1, 3)))
 	assert.False(t, At(2, 3).IsOfEraBefore(At(2, 9)))
 	assert.False(t, At(2, 3).IsOfEraBefore(At(1, 9)))
-	assert.False(t, Revision(0).IsOfEraBefore(At(2, 9)), "none is known")
+	assert.False(t, Revision(0).IsOfEraBefore(At(2, 9)), "no revision")
 }
 
-func TestARevisionBeyondTheBoundsIsCutToThem(t *testing.T) {
+func TestRevisionPartsAreClamped(t *testing.T) {
 	assert.Equal(t, At(MostEra, MostNumber), At(MostEra+1, MostNumber+1))
 	assert.Equal(t, Revision(0), At(-1, -1))
 }
--- a/fleet/relay/store/silence_test.go
+++ b/fleet/relay/store/silence_test.go
@@ -12,8 +12,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// silence is a store that swallows what is sent to it while it is silent: such a
-// call gets no answer, also when the store is back.
+// silence is a store that drops calls sent while it is silent: such a call gets no answer,
+// not even when the store is available again.
 type silence struct {
 	store.Store
 	mu       sync.Mutex
@@ -63,28 +63,28 @@
 	return nil, revision, nil
 }
 
-// Whenever a store was silent, and whenever watches were sent into the silence,
-// what it says is in force again soon after it is back.
-func TestAWatchSentIntoSilenceIsSentAnew(t *testing.T) {
+// Changes arrive soon after a silent store is available again, whenever the silence began
+// and whenever watches were sent during it.
+func TestWatchSentDuringSilenceIsRestarted(t *testing.T) {
 	cases := []struct {
-		name  string
-		leads bool // the node bounds its leader's watch
-		word  func(*store.Health)
+		name   string
+		leads  bool // the leader's watch has a maximum wait
+		notify func(*store.Health)
 	}{
-		{"the leader feels it", true, func(*store.Health) {}},
-		{"another part of the node found the store back", false, func(h *store.Health) { h.Reconnected("accounts") }},
+		{"the leader detects it", true, func(*store.Health) {}},
+		{"another part of the node reached the store again", false, func(h *store.Health) { h.Reconnected("accounts") }},
 		{"a peer did", false, (*store.Health).Renew},
 	}
 	for _, c := range cases {
 		for begins := 500 * time.Millisecond; begins < 4*time.Second; begins += 350 * time.Millisecond {
 			t.Run(c.name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { swallowed(t, begins, c.leads, c.word) })
+				synctest.Test(t, func(t *testing.T) { testRestartedWatch(t, begins, c.leads, c.notify) })
 			})
 		}
 	}
 }
 
-func swallowed(t *testing.T, begins time.Duration, leads bool, word func(*store.Health)) {
+func testRestartedWatch(t *testing.T, begins time.Duration, leads bool, notify func(*store.Health)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	s := &silence{revision: 1, changed: make(chan struct{})}
@@ -111,11 +111,11 @@
 	go follow("leader", true)
 	go follow("led", false)
 	time.Sleep(begins)
-	s.set(true, 2) // watches that wait end, and the next ones are swallowed
+	s.set(true, 2) // pending watches end, and the next ones are dropped
 	time.Sleep(8 * time.Second)
 	s.set(false, 3)
 	time.Sleep(time.Second)
-	word(health)
+	notify(health)
 	time.Sleep(2 * time.Second)
 	mu.Lock()
 	defer mu.Unlock()
--- a/fleet/relay/store/sourced_test.go
+++ b/fleet/relay/store/sourced_test.go
@@ -25,8 +25,8 @@
 	return all
 }
 
-// A cache answers as the store that it follows would, and not at all where it
-// follows somebody else's word or lost the store.
+// A cache answers as the store that it follows would, and not at all if its content comes
+// from too far away or the store is lost.
 func TestACacheAnswersForItsStore(t *testing.T) {
 	changed := store.Update{Events: []store.Event{{Object: store.Object{Name: "c", Revision: 7}}, {Object: store.Object{Name: "a"}, Gone: true}}, Revision: 7}
 	snapshot := store.Snapshot{Objects: named("a", "b"), Revision: 5}
@@ -44,12 +44,12 @@
 		{"listed", []store.Change{snapshot}, store.FromStore, 5, []string{"a", "b"}, nil, 5, nil},
 		{"changed", []store.Change{snapshot, changed}, store.FromStore, 5, []string{"b", "c"}, []string{"c", "a gone"}, 7, nil},
 		{"nothing newer", []store.Change{snapshot, changed}, store.FromStore, 7, []string{"b", "c"}, nil, 7, nil},
-		{"asked by one that is further", []store.Change{snapshot}, store.FromStore, 9, []string{"a", "b"}, nil, 9, nil},
+		{"asked after a newer revision", []store.Change{snapshot}, store.FromStore, 9, []string{"a", "b"}, nil, 9, nil},
 		{"older than the list", []store.Change{snapshot}, store.FromStore, 4, []string{"a", "b"}, nil, 0, store.ErrCompacted},
-		{"a watcher's word", []store.Change{snapshot, changed}, store.FromWatcher, 5, []string{"b", "c"}, []string{"c", "a gone"}, 7, nil},
-		{"a peer's word", []store.Change{snapshot}, store.FromOther, 5, nil, nil, 0, store.ErrUnfit},
+		{"from a watcher", []store.Change{snapshot, changed}, store.FromWatcher, 5, []string{"b", "c"}, []string{"c", "a gone"}, 7, nil},
+		{"from another peer", []store.Change{snapshot}, store.FromOther, 5, nil, nil, 0, store.ErrUnfit},
 		{"the store is lost", []store.Change{snapshot, store.Lost{Err: errors.New("lost")}}, store.FromStore, 5, nil, nil, 0, store.ErrUnfit},
-		{"and back", []store.Change{snapshot, store.Lost{Err: errors.New("lost")}, changed}, store.FromStore, 5, []string{"b", "c"}, []string{"c", "a gone"}, 7, nil},
+		{"and available again", []store.Change{snapshot, store.Lost{Err: errors.New("lost")}, changed}, store.FromStore, 5, []string{"b", "c"}, []string{"c", "a gone"}, 7, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,8 +90,8 @@
 	return names
 }
 
-// A watch that waits hears of a change at once, and that the store was lost.
-func TestACacheWakesThoseWhoWait(t *testing.T) {
+// A pending watch ends at once on a change and when the store is lost.
+func TestCacheWakesPendingWatches(t *testing.T) {
 	cases := []struct {
 		name   string
 		change store.Change
@@ -99,7 +99,7 @@
 	}{
 		{"a change", store.Update{Events: []store.Event{{Object: store.Object{Name: "c"}}}, Revision: 6}, nil},
 		{"the store is lost", store.Lost{Err: errors.New("lost")}, store.ErrUnfit},
-		{"listed anew", store.Snapshot{Objects: named("a"), Revision: 9}, store.ErrCompacted},
+		{"listed again", store.Snapshot{Objects: named("a"), Revision: 9}, store.ErrCompacted},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	assert.Len(t, events, 3, "the last change of each object")
 }
 
-// asked is a reader that notes its calls, and may fail, hang or lag behind.
+// asked is a reader that records its calls, and may fail, hang or lag.
 type asked struct {
 	store.Store
 	name  string
@@ -141,7 +141,7 @@
 	mu    *sync.Mutex
 	err   error
 	hangs bool
-	at    store.Revision // revision of its lists; 0 is 3
+	at    store.Revision // revision of its lists; 0 means 3
 }
 
 func (a *asked) setErr(err error) {
@@ -178,10 +178,10 @@
 	return nil, since, a.answer(ctx, wait)
 }
 
-// The first source that has not failed lately is asked, then the next, and the store
-// where none is there, so that one source's end costs a bounded time and no version
-// goes back.
-func TestSourcesAreAskedInTheStoresPlace(t *testing.T) {
+// The first source that did not fail recently is asked, then the next, and the store if
+// none is left, so that the loss of a source costs a bounded time and revisions never go
+// back.
+func TestSourcesAreAskedBeforeTheStore(t *testing.T) {
 	refused := errors.Wrap(store.ErrUnfit, "peer")
 	cases := []struct {
 		name    string
@@ -191,7 +191,7 @@
 		rounds  int
 		want    []string
 		direct  bool
-		most    time.Duration // that all rounds take
+		max     time.Duration // for all rounds
 	}{
 		{"none named", asked{}, asked{}, false, 0, 1, []string{"store"}, true, 8 * time.Second},
 		{"the first", asked{}, asked{}, false, 2, 2, []string{"a", "a"}, false, 2 * time.Second},
@@ -200,7 +200,7 @@
 		{"both lost the store", asked{err: refused}, asked{err: refused}, false, 2, 3, []string{"a", "b"}, false, 0},
 		{"both fail", asked{err: errDead}, asked{err: errDead}, false, 2, 3, []string{"a", "b", "store", "store", "store"}, true, 4500 * time.Millisecond},
 		{"they fail, and the store is silent", asked{err: errDead}, asked{err: errDead}, true, 2, 1, []string{"a", "b", "store"}, false, 2200 * time.Millisecond},
-		{"its history is gone", asked{err: store.ErrCompacted}, asked{}, false, 2, 1, []string{"a"}, false, 0},
+		{"its history is compacted", asked{err: store.ErrCompacted}, asked{}, false, 2, 1, []string{"a"}, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -219,7 +219,7 @@
 				}
 				assert.Equal(t, c.want, calls)
 				assert.Equal(t, c.direct, s.Origin("kind") == store.FromStore)
-				assert.LessOrEqual(t, time.Since(began), c.most)
+				assert.LessOrEqual(t, time.Since(began), c.max)
 			})
 		})
 	}
@@ -234,15 +234,15 @@
 	return pinged.answer(ctx, 0)
 }
 
-// Where all sources say that they lost the store, this node finds out within a second
-// whether it reaches it, since what changes meanwhile binds it: if it does, it asks the
-// store itself; if not, it pings it now and then and asks nothing. The first source
-// that has the store again serves it.
-func TestAStoreThatTheSourcesLost(t *testing.T) {
+// If all sources report that they lost the store, this node finds out within a second
+// whether it reaches the store, since it must apply changes. If so, it asks the store; if
+// not, it only pings it from time to time. The first source that has the store again
+// serves this node.
+func TestStoreLostBySources(t *testing.T) {
 	cases := []struct {
 		name    string
 		reached bool
-	}{{"this node reaches it", true}, {"nor does this node", false}}
+	}{{"this node reaches it", true}, {"this node lost it too", false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -280,10 +280,10 @@
 	}
 }
 
-// Where the sources of the zone lost the store, one of another zone that has it answers
-// the same call, and goes on doing so; one whose list is older than what was seen is
-// passed over.
-func TestASourceThatHasTheStoreIsFoundAtOnce(t *testing.T) {
+// If the sources of the zone lost the store, a source of another zone that has it answers
+// the same call and the following ones. A source whose list is older than one already seen
+// is skipped.
+func TestSourceThatHasTheStoreIsFoundAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls []string
 		var mu sync.Mutex
@@ -314,8 +314,8 @@
 }
 
 // A follower whose sources all lost the store asks them again several times a second,
-// whatever leads: what changes meanwhile binds this node as soon as one has it again.
-func TestAFollowerOfLostSourcesAsksThemAgainSoon(t *testing.T) {
+// leader or not, since this node must apply changes as soon as a source has them.
+func TestLostSourcesAreRetriedSoon(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -333,15 +333,15 @@
 				}
 			})
 			time.Sleep(20 * time.Second)
-			back := time.Now()
+			recovered := time.Now()
 			source.setErr(nil)
-			assert.LessOrEqual(t, (<-listed).Sub(back), 1500*time.Millisecond, "a source rests for a second")
+			assert.LessOrEqual(t, (<-listed).Sub(recovered), 1500*time.Millisecond, "the backoff of a source is a second")
 		})
 	}
 }
 
-// A store that is lost again while this node asks it is left to pings once more.
-func TestAStoreThatIsLostAgain(t *testing.T) {
+// A store that is lost again while this node asks it is only pinged from then on.
+func TestStoreLostAgainIsOnlyPinged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls []string
 		var mu sync.Mutex
@@ -363,25 +363,25 @@
 	})
 }
 
-// A node that reaches nobody, since its link is full or it is cut off, does not take
-// that for an outage of the store in which entries lapse.
-func TestANodeThatIsAloneDoesNotDoubtTheStore(t *testing.T) {
+// A node that reaches nobody, because its link is full or it is partitioned, must not take
+// that for an outage of the store in which entries expire.
+func TestNodeThatIsAloneDoesNotSuspectTheStore(t *testing.T) {
 	refused := errors.Wrap(store.ErrUnfit, "peer")
 	cases := []struct {
-		name    string
-		source  asked
-		sources int
-		leads   bool
-		store   error
-		doubted bool
+		name      string
+		source    asked
+		sources   int
+		leads     bool
+		store     error
+		suspected bool
 	}{
 		{"the source is silent and so is the store", asked{hangs: true}, 1, false, errDead, false},
-		{"the same, asked by the follower that leads", asked{hangs: true}, 1, true, errDead, false},
+		{"the same for the leader", asked{hangs: true}, 1, true, errDead, false},
 		{"the source can't be reached", asked{err: errDead}, 1, false, errDead, false},
 		{"the source lost the store", asked{err: refused}, 1, false, errDead, true},
-		{"and the follower leads", asked{err: refused}, 1, true, errDead, true},
-		{"the source alone lost the store", asked{err: refused}, 1, false, nil, false},
-		{"and the follower leads, too", asked{err: refused}, 1, true, nil, false},
+		{"the source lost the store, for the leader", asked{err: refused}, 1, true, errDead, true},
+		{"only the source lost the store", asked{err: refused}, 1, false, nil, false},
+		{"only the source, for the leader", asked{err: refused}, 1, true, nil, false},
 		{"no source is named", asked{}, 0, false, errDead, true},
 	}
 	for _, c := range cases {
@@ -402,13 +402,13 @@
 						lost.Add(1)
 					}
 				})
-				doubted := false
+				suspected := false
 				for range 100 {
 					time.Sleep(100 * time.Millisecond)
-					doubted = doubted || health.Doubted()
+					suspected = suspected || health.Doubted()
 				}
-				assert.EqualValues(t, 1, lost.Load(), "it is told once")
-				assert.Equal(t, c.doubted, doubted)
+				assert.EqualValues(t, 1, lost.Load(), "reported once")
+				assert.Equal(t, c.suspected, suspected)
 				cancel()
 				synctest.Wait()
 			})
@@ -416,16 +416,16 @@
 	}
 }
 
-// A store that was away for this node too, and answers again, is left to the sources for
-// a moment: they find it back as well, and a list of theirs serves many nodes.
-func TestAStoreThatIsBackIsLeftToTheSourcesForAMoment(t *testing.T) {
+// A store that was unavailable to this node too, and answers again, is left to the sources
+// for a moment: they reach it as well, and one list of theirs serves many nodes.
+func TestRecoveredStoreIsLeftToSourcesFirst(t *testing.T) {
 	cases := []struct {
 		name   string
 		after  time.Duration // until the source has the store again
 		direct int           // calls to the store, at most
 	}{
-		{"the source has it soon", 250 * time.Millisecond, 0},
-		{"the source does not get it back", time.Hour, 5},
+		{"the source reaches it soon", 250 * time.Millisecond, 0},
+		{"the source does not reach it again", time.Hour, 5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -456,9 +456,9 @@
 	}
 }
 
-// What a node has from a watcher it passes on to its zone, and not to those that pass on
-// what they are told; with the store's loss it has nothing, also for a watch that waits.
-func TestNewsGoesThroughTwoHandsAtMost(t *testing.T) {
+// A node passes on to its zone what it has from a watcher, but not to nodes that pass on
+// what they receive. A pending watch also ends once the origin is no longer near enough.
+func TestUpdatesPassThroughTwoNodesAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cases := []struct {
 			from  store.Origin
--- a/fleet/relay/store/store.go
+++ b/fleet/relay/store/store.go
@@ -1,5 +1,6 @@
-// Package store is what the relay needs of a service that keeps objects with
-// revisions, conditional writes and watches. An adapter fills it.
+// Package store defines the interface to the object store, which offers revisions,
+// conditional writes and watches, and the followers, caches and fallbacks around it.
+// An adapter implements the interface.
 package store
 
 import (
@@ -10,19 +11,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Object is one kept value. Others may write such, too: where one can't be read, Fault
-// says so, and of the rest Kind alone is certain.
+// Object is one stored value. Other writers may write objects of the same kinds; for one
+// that can't be decoded, Fault is set and only Kind is reliable.
 type Object struct {
 	Kind     string
-	Name     string          // "" is one that can't be read even by name
-	Revision Revision        // of its last change; 0 is an object that is not there yet
-	Made     int64           // number of the revision at which it was made; 0 is not told
+	Name     string          // "" if not even the name can be decoded
+	Revision Revision        // of its last change; 0 if the object does not exist yet
+	Made     int64           // revision number at which it was created; 0 if unknown
 	Data     json.RawMessage // the value as JSON
-	Status   json.RawMessage // what the fleet wrote of it beside the value, as JSON; nil is nothing
-	Fault    string          // why it can't be read; "" is nothing
+	Status   json.RawMessage // status that the fleet wrote beside the value, as JSON; nil if none
+	Fault    string          // why it can't be decoded; "" if it can
 }
 
-// Readable is whether the object can be read, as far as the store goes.
+// Readable returns an error if the store could not decode the object.
 func (o Object) Readable() error {
 	if o.Fault == "" {
 		return nil
@@ -40,29 +41,29 @@
 type Store interface {
 	// List returns all objects of a kind and the store's revision.
 	List(ctx context.Context, kind string) ([]Object, Revision, error)
-	// Watch waits at most wait for changes after revision since; it returns
-	// them and the revision to go on from. ErrCompacted means: list again.
+	// Watch waits up to wait for changes after revision since. It returns them and the
+	// revision to continue from. After ErrCompacted the caller must list again.
 	Watch(ctx context.Context, kind string, since Revision, wait time.Duration) ([]Event, Revision, error)
-	// Get returns one object; ErrNotFound where there is none.
+	// Get returns one object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Put writes the object if its revision still holds (0: if there is none).
-	// ErrConflict and ErrRefused say that nothing was done; after any other
-	// error the write may have taken effect, or may yet. With ErrConflict comes
-	// the object as it is, where the store tells it.
+	// Put writes the object if its revision is still current (0: if it does not exist).
+	// ErrConflict and ErrRefused mean that nothing was written; after any other error
+	// the write may have taken effect or may still do so. With ErrConflict, Put returns
+	// the current object if the store reports it.
 	Put(ctx context.Context, o Object) (Object, error)
-	// PutStatus writes an object's status, and nothing else of it, if its revision
-	// still holds; errors are those of Put.
+	// PutStatus writes only an object's status, if its revision is still current.
+	// It returns the errors of Put.
 	PutStatus(ctx context.Context, o Object) (Object, error)
-	// Delete removes an object; ErrNotFound where there is none.
+	// Delete removes an object, or returns ErrNotFound.
 	Delete(ctx context.Context, kind, name string) error
-	// Ping is whether the store answers at all, at the least price.
+	// Ping checks at minimal cost whether the store answers.
 	Ping(ctx context.Context) error
 }
 
-// What a store may say.
+// Errors of a Store.
 var (
 	ErrNotFound  = errors.New("store: no such object")
 	ErrConflict  = errors.New("store: the revision does not hold")
-	ErrCompacted = errors.New("store: the history is gone")
+	ErrCompacted = errors.New("store: the history is compacted")
 	ErrRefused   = errors.New("store: refused, nothing was done")
 )
