--- a/fleet/relay/peer/delegates.go
+++ b/fleet/relay/peer/delegates.go
@@ -6,44 +6,45 @@
 	"github.com/samber/lo"
 )
 
-// Bounds, within a region, of who writes the ledger and watches the store for others.
+// Limits on the choice of the nodes that write the ledger and watch the store for others.
 const (
-	silentAfter = 4 * time.Second  // a node that should be heard and is not is replaced
-	silentFor   = 15 * time.Second // after which it may be chosen again, in case it is back
-	zoneMost    = 4                // delegates of a zone with those that stand in for ones that do not reach the store
-	zoneTried   = 16               // of a zone of which many fell silent: until two are heard, so many are named at most
+	silenceTimeout = 4 * time.Second  // after which a silent delegate of the region is replaced
+	replacedFor    = 15 * time.Second // after which it may be chosen again, in case it is available again
+	maxZoneWriters = 4                // delegates of a zone, including spares for ones that do not reach the store
+	maxZoneTried   = 16               // delegates of a zone of which many became silent, until two of them are heard
 )
 
-// delegates chooses the nodes that write the ledger, and remembers since when each is
-// to be heard: only of these does silence say anything, since most of a large fleet
-// tell this node nothing.
+// delegates chooses the nodes that write the ledger, and tracks since when each is expected
+// to send. Only the silence of expected nodes counts, since most nodes of a large fleet send
+// nothing to this one.
 type delegates struct {
-	self    Member
-	near    func(zone string) bool // whether a zone is of the node's region
-	since   map[string]time.Time
-	doubted map[string]bool // fell silent, and was not heard since: named beside others, not in their place
-	writes  bool            // this node was chosen last
-	members []Member        // as of the order
-	order   []Member        // of the members, in which they are chosen
+	self      Member
+	near      func(zone string) bool // reports whether a zone is in the node's region
+	since     map[string]time.Time   // by name: since when a delegate is expected to send
+	suspected map[string]bool        // became silent and sent nothing since: chosen in addition to others, not instead of them
+	writes    bool                   // this node was chosen last
+	members   []Member               // that order was made from
+	order     []Member               // the members in the order in which they are chosen
 }
 
 func newDelegates(self Member) *delegates {
-	return &delegates{self: self, near: func(string) bool { return true }, since: map[string]time.Time{}, doubted: map[string]bool{}}
+	return &delegates{self: self, near: func(string) bool { return true }, since: map[string]time.Time{}, suspected: map[string]bool{}}
 }
 
-// word is when a node was last heard, and what it said of itself.
-type word struct {
-	at        time.Time
-	out       bool // it does not reach the store
-	elsewhere bool // a writer of another zone does, as it was told
-	noWrites  bool // it failed to write the status of a rollout of late
-	blind     bool // it found the status of a rollout, and did not see it written
+// peerState is when a node was last heard from, and what it reported about itself.
+type peerState struct {
+	at          time.Time
+	storeLost   bool // it does not reach the store
+	elsewhere   bool // a writer of another zone reaches the store, as reported to it
+	writeFailed bool // it recently failed to write the status of a rollout
+	ageUnknown  bool // it found the status of a rollout without observing the write
 }
 
-// choose names the writers among the members. One that does not reach the store goes
-// on: it holds its zone's tokens, and in most outages nobody else reaches it either.
-// Where some other writer does, a zone without one gets others beside its own.
-func (d *delegates) choose(members []Member, heard func(name string) word, now time.Time) map[string]bool {
+// choose returns the writers among the members. A writer that does not reach the store
+// stays: it holds its zone's tokens, and in most outages no other node reaches the store
+// either. If a writer of another zone reaches it, a zone whose writers don't gets spares in
+// addition.
+func (d *delegates) choose(members []Member, state func(name string) peerState, now time.Time) map[string]bool {
 	order := d.ordered(members)
 	if len(members) <= allWrite {
 		writers := Writers(members, nil)
@@ -51,50 +52,50 @@
 		d.expect(writers, now)
 		return writers
 	}
-	sound, silent := lo.FilterReject(order, func(m Member, _ int) bool { return !d.silent(m, heard, now) })
-	if len(sound) == 0 {
-		sound = order
+	healthy, silent := lo.FilterReject(order, func(m Member, _ int) bool { return !d.silent(m, state, now) })
+	if len(healthy) == 0 {
+		healthy = order
 	}
-	writers := d.named(sound, silent, heard, now)
-	addSpares(writers, sound, heard)
+	writers := d.pick(healthy, silent, state, now)
+	addSpares(writers, healthy, state)
 	d.writes = writers[d.self.Name]
 	d.expect(writers, now)
 	return writers
 }
 
-// named picks the first two of each zone in their order. Where those that took the place
-// of silent ones fell silent, too, many were lost: then as many more are named as are
-// silent, until two of them are heard. So a zone of which one node is left finds it in
-// some three rounds, not in as many as it had pairs of nodes.
-func (d *delegates) named(sound, silent []Member, heard func(name string) word, now time.Time) map[string]bool {
-	quiet := lo.CountValuesBy(silent, func(m Member) string { return m.Zone })
-	doubted := lo.CountValuesBy(lo.Filter(sound, func(m Member, _ int) bool { return d.doubted[m.Name] }), func(m Member) string { return m.Zone })
+// pick picks the first two of each zone in order. If replacements of silent delegates become
+// silent too, many nodes were lost: then as many more are picked as are silent, until two
+// of them are heard. So a zone with one node left finds it in about three rounds instead of
+// one round for each pair of nodes it had.
+func (d *delegates) pick(healthy, silent []Member, state func(name string) peerState, now time.Time) map[string]bool {
+	silentIn := lo.CountValuesBy(silent, func(m Member) string { return m.Zone })
+	suspectedIn := lo.CountValuesBy(lo.Filter(healthy, func(m Member, _ int) bool { return d.suspected[m.Name] }), func(m Member) string { return m.Zone })
 	writers := map[string]bool{}
-	count, sure := map[string]int{}, map[string]int{}
-	for _, m := range sound {
-		many := quiet[m.Zone]+doubted[m.Zone] > zoneWriters
-		most := zoneMost
+	count, certain := map[string]int{}, map[string]int{}
+	for _, m := range healthy {
+		many := silentIn[m.Zone]+suspectedIn[m.Zone] > zoneWriters
+		limit := maxZoneWriters
 		if many {
-			most = min(max(zoneMost, quiet[m.Zone]+doubted[m.Zone]), zoneTried)
+			limit = min(max(maxZoneWriters, silentIn[m.Zone]+suspectedIn[m.Zone]), maxZoneTried)
 		}
-		if sure[m.Zone] >= zoneWriters || count[m.Zone] >= most {
+		if certain[m.Zone] >= zoneWriters || count[m.Zone] >= limit {
 			continue
 		}
 		writers[m.Name] = true
 		count[m.Zone]++
-		if d.alive(m, heard, now) || !many && !d.doubted[m.Name] {
-			sure[m.Zone]++
+		if d.alive(m, state, now) || !many && !d.suspected[m.Name] {
+			certain[m.Zone]++
 		}
 	}
 	return writers
 }
 
-// ordered lists the members in the order in which they are chosen. Lists of members
-// are never changed in place, so that one order serves until there is another list.
+// ordered lists the members in the order in which they are chosen. Lists of members are
+// never changed in place, so the order stays valid until there is a new list.
 func (d *delegates) ordered(members []Member) []Member {
 	if len(members) != len(d.members) || len(members) > 0 && &members[0] != &d.members[0] {
 		d.members, d.order = members, ranked(members)
-		d.doubted = lo.PickBy(d.doubted, func(name string, _ bool) bool {
+		d.suspected = lo.PickBy(d.suspected, func(name string, _ bool) bool {
 			_, listed := find(members, name)
 			return listed
 		})
@@ -102,89 +103,90 @@
 	return d.order
 }
 
-// audible is whether a writer tells this node of itself: writers tell their zone, and
+// sendsHere reports whether a writer sends to this node: writers send to their zone and to
 // each other.
-func (d *delegates) audible(m Member) bool { return d.writes || m.Zone == d.self.Zone }
+func (d *delegates) sendsHere(m Member) bool { return d.writes || m.Zone == d.self.Zone }
 
-// silent is whether a member that is to be heard is not.
-func (d *delegates) silent(m Member, heard func(name string) word, now time.Time) bool {
+// silent reports whether a member that is expected to send does not.
+func (d *delegates) silent(m Member, state func(name string) peerState, now time.Time) bool {
 	since, expected := d.since[m.Name]
-	if m.Name == d.self.Name || !expected || !d.audible(m) {
+	if m.Name == d.self.Name || !expected || !d.sendsHere(m) {
 		return false
 	}
-	at, most := heard(m.Name).at, d.mostQuiet(m)
+	at, limit := state(m.Name).at, d.maxSilence(m)
 	if at.After(since) {
 		since = at
 	}
 	switch quiet := now.Sub(since); {
-	case quiet <= most && since.Equal(at):
-		delete(d.doubted, m.Name)
+	case quiet <= limit && since.Equal(at):
+		delete(d.suspected, m.Name)
 		return false
-	case quiet <= most:
+	case quiet <= limit:
 		return false
-	case quiet > most+silentFor:
+	case quiet > limit+replacedFor:
 		delete(d.since, m.Name)
 		return false
 	}
-	d.doubted[m.Name] = true
+	d.suspected[m.Name] = true
 	return true
 }
 
-// alive is whether a writer was heard of late; of itself a node knows.
-func (d *delegates) alive(m Member, heard func(name string) word, now time.Time) bool {
-	return m.Name == d.self.Name || now.Sub(heard(m.Name).at) <= d.mostQuiet(m)
+// alive reports whether a writer sent something recently, or is this node.
+func (d *delegates) alive(m Member, state func(name string) peerState, now time.Time) bool {
+	return m.Name == d.self.Name || now.Sub(state(m.Name).at) <= d.maxSilence(m)
 }
 
-// member finds a member by its name; one that left is as one of the region.
+// member finds a member by name; one that left counts as one of the region.
 func (d *delegates) member(name string) Member {
 	m, _ := find(d.members, name)
 	return m
 }
 
-// mostQuiet is how long a writer may say nothing: those of other regions say less.
-func (d *delegates) mostQuiet(m Member) time.Duration {
+// maxSilence returns how long a writer may send nothing: those of other regions send less
+// often.
+func (d *delegates) maxSilence(m Member) time.Duration {
 	if d.near(m.Zone) {
-		return silentAfter
+		return silenceTimeout
 	}
-	return farEvery * silentAfter
+	return farEvery * silenceTimeout
 }
 
-// expect notes who is to be heard from now on. One that fell silent is remembered
-// though it is no longer chosen, until it may be chosen again.
+// expect records which writers are expected to send from now on. A silent one stays
+// recorded though it is no longer chosen, until it may be chosen again.
 func (d *delegates) expect(writers map[string]bool, now time.Time) {
 	for _, m := range d.order {
-		if _, expected := d.since[m.Name]; writers[m.Name] && !expected && d.audible(m) {
+		if _, expected := d.since[m.Name]; writers[m.Name] && !expected && d.sendsHere(m) {
 			d.since[m.Name] = now
 		}
 	}
 	for name, since := range d.since {
-		if !writers[name] && now.Sub(since) > d.mostQuiet(d.member(name))+silentFor {
+		if !writers[name] && now.Sub(since) > d.maxSilence(d.member(name))+replacedFor {
 			delete(d.since, name)
 		}
 	}
 }
 
-// addSpares adds, in zones where no writer reaches the store though one elsewhere
-// does, the next members in their order until one is not known to be out.
-func addSpares(writers map[string]bool, order []Member, heard func(name string) word) {
+// addSpares adds writers in zones where none reaches the store though one elsewhere does:
+// the next members in order, until one is not known to have lost the store.
+func addSpares(writers map[string]bool, order []Member, state func(name string) peerState) {
 	inZone := map[string]int{}
 	reached := map[string]bool{}
-	elsewhere := map[string]bool{} // by zone: its writers were told so
+	elsewhere := map[string]bool{} // by zone: as reported to its writers
 	for _, m := range order {
 		if !writers[m.Name] {
 			continue
 		}
-		w := heard(m.Name)
+		s := state(m.Name)
 		inZone[m.Zone]++
-		reached[m.Zone] = reached[m.Zone] || !w.out
-		elsewhere[m.Zone] = elsewhere[m.Zone] || w.elsewhere
+		reached[m.Zone] = reached[m.Zone] || !s.storeLost
+		elsewhere[m.Zone] = elsewhere[m.Zone] || s.elsewhere
 	}
 	for _, m := range order {
-		if writers[m.Name] || reached[m.Zone] || !elsewhere[m.Zone] || inZone[m.Zone] >= zoneMost {
+		if writers[m.Name] || reached[m.Zone] || !elsewhere[m.Zone] || inZone[m.Zone] >= maxZoneWriters {
 			continue
 		}
 		writers[m.Name] = true
 		inZone[m.Zone]++
-		reached[m.Zone] = !heard(m.Name).out
+		reached[m.Zone] = !state(m.Name).storeLost
 	}
 }
--- a/fleet/relay/peer/delegates_test.go
+++ b/fleet/relay/peer/delegates_test.go
@@ -9,47 +9,47 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// scene is what a node hears of a fleet of several zones with three wide links each.
-type scene struct {
+// view is a node's view of a fleet of several zones with three wide links each.
+type view struct {
 	members []Member
 	now     time.Time
-	heard   map[string]word
+	states  map[string]peerState
 }
 
-func newScene(n int) *scene {
-	s := &scene{members: members(n), now: time.Now(), heard: map[string]word{}}
-	for i := range s.members {
-		s.members[i].LinkMbps = 20
+func newView(n int) *view {
+	v := &view{members: members(n), now: time.Now(), states: map[string]peerState{}}
+	for i := range v.members {
+		v.members[i].LinkMbps = 20
 		if i < 12 {
-			s.members[i].LinkMbps = 200
+			v.members[i].LinkMbps = 200
 		}
 	}
-	return s
+	return v
 }
 
-func (s *scene) word(name string) word { return s.heard[name] }
+func (v *view) stateOf(name string) peerState { return v.states[name] }
 
-// near is a writer of the zone of n100, which tells it of itself.
-func (s *scene) near(writers map[string]bool) string {
-	m, _ := lo.Find(s.members, func(m Member) bool { return writers[m.Name] && m.Zone == s.members[100].Zone })
+// near returns a writer of the zone of n100, which sends to n100.
+func (v *view) near(writers map[string]bool) string {
+	m, _ := lo.Find(v.members, func(m Member) bool { return writers[m.Name] && m.Zone == v.members[100].Zone })
 	return m.Name
 }
 
-// pass lets time go by; those that speak are heard every second.
-func (s *scene) pass(d *delegates, length time.Duration, speak func() map[string]bool) map[string]bool {
-	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(time.Second) {
-		for name := range speak() {
-			s.heard[name] = word{at: s.now, out: s.heard[name].out}
+// pass lets time pass, during which the senders are heard every second.
+func (v *view) pass(d *delegates, length time.Duration, senders func() map[string]bool) map[string]bool {
+	for end := v.now.Add(length); v.now.Before(end); v.now = v.now.Add(time.Second) {
+		for name := range senders() {
+			v.states[name] = peerState{at: v.now, storeLost: v.states[name].storeLost}
 		}
-		d.choose(s.members, s.word, s.now)
+		d.choose(v.members, v.stateOf, v.now)
 	}
-	return d.choose(s.members, s.word, s.now)
+	return d.choose(v.members, v.stateOf, v.now)
 }
 
-// chosenBut are those who speak where all that are chosen do, but for one.
-func (s *scene) chosenBut(d *delegates, dead string) func() map[string]bool {
+// chosenExcept returns the chosen delegates except one.
+func (v *view) chosenExcept(d *delegates, dead string) func() map[string]bool {
 	return func() map[string]bool {
-		return lo.OmitByKeys(d.choose(s.members, s.word, s.now), []string{dead})
+		return lo.OmitByKeys(d.choose(v.members, v.stateOf, v.now), []string{dead})
 	}
 }
 
@@ -57,57 +57,57 @@
 	return lo.CountValuesBy(lo.Filter(members, func(m Member, _ int) bool { return chosen[m.Name] }), func(m Member) string { return m.Zone })
 }
 
-// Who writes holds the tokens of its zone: an outage that all feel changes nobody, or
-// callers would be refused for want of tokens that lie beside them.
+// An outage of the store on all nodes must not change the writers: they hold the tokens of
+// their zones, and callers would be refused for lack of tokens that the old writers hold.
 func TestAnOutageOfTheStoreChangesNoWriter(t *testing.T) {
-	s := newScene(295)
-	d := newDelegates(s.members[100])
-	before := maps.Clone(d.choose(s.members, s.word, s.now))
+	v := newView(295)
+	d := newDelegates(v.members[100])
+	before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
 	assert.Len(t, before, 8)
 	for name := range before {
-		s.heard[name] = word{at: s.now, out: true}
+		v.states[name] = peerState{at: v.now, storeLost: true}
 	}
-	assert.Equal(t, before, s.pass(d, 10*time.Second, func() map[string]bool { return before }))
+	assert.Equal(t, before, v.pass(d, 10*time.Second, func() map[string]bool { return before }))
 }
 
-// Most nodes of a large fleet tell this one something once in a minute: that says
-// nothing of them, and a writer's silence does.
-func TestOnlyWritersAreExpectedToBeHeard(t *testing.T) {
-	s := newScene(295)
-	d := newDelegates(s.members[100])
-	before := maps.Clone(d.choose(s.members, s.word, s.now))
-	for _, m := range s.members {
+// Most nodes of a large fleet send something to this one once a minute. That must not count
+// as silence; a writer's silence does.
+func TestOnlyWritersAreExpectedToSend(t *testing.T) {
+	v := newView(295)
+	d := newDelegates(v.members[100])
+	before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
+	for _, m := range v.members {
 		if !before[m.Name] && m.LinkMbps == 200 {
-			s.heard[m.Name] = word{at: s.now.Add(-time.Minute)} // heard once, long ago
+			v.states[m.Name] = peerState{at: v.now.Add(-time.Minute)} // heard from once, long ago
 		}
 	}
-	dead := s.near(before)
-	after := s.pass(d, 10*time.Second, s.chosenBut(d, dead))
+	dead := v.near(before)
+	after := v.pass(d, 10*time.Second, v.chosenExcept(d, dead))
 	assert.False(t, after[dead])
 	added := lo.Keys(lo.OmitByKeys(after, lo.Keys(before)))
 	assert.Len(t, added, 1)
-	one, _ := lo.Find(s.members, func(m Member) bool { return m.Name == added[0] })
-	assert.Equal(t, 200.0, one.LinkMbps, "the next in order, though it was not heard for a minute")
+	one, _ := lo.Find(v.members, func(m Member) bool { return m.Name == added[0] })
+	assert.Equal(t, 200.0, one.LinkMbps, "the next in order, though it sent nothing for a minute")
 }
 
-// A node that was replaced is chosen again once it is heard, or after a while.
+// A replaced delegate is chosen again once it is heard from.
 func TestASilentWriterIsChosenAgain(t *testing.T) {
-	s := newScene(295)
-	d := newDelegates(s.members[100])
-	before := maps.Clone(d.choose(s.members, s.word, s.now))
-	dead := s.near(before)
-	assert.False(t, s.pass(d, 8*time.Second, s.chosenBut(d, dead))[dead])
-	s.heard[dead] = word{at: s.now}
-	assert.True(t, d.choose(s.members, s.word, s.now)[dead])
+	v := newView(295)
+	d := newDelegates(v.members[100])
+	before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
+	dead := v.near(before)
+	assert.False(t, v.pass(d, 8*time.Second, v.chosenExcept(d, dead))[dead])
+	v.states[dead] = peerState{at: v.now}
+	assert.True(t, d.choose(v.members, v.stateOf, v.now)[dead])
 }
 
-// Where only some nodes lose the store, a zone whose writers did gets others beside
-// them, no more than a few; a node that is no writer knows of the rest of the fleet
-// what its zone's writers say.
-func TestAZoneWithoutTheStoreGetsOtherWriters(t *testing.T) {
+// If only some nodes lose the store, a zone whose writers lost it gets a few spare writers in
+// addition. A node that does not write knows of other zones only what its zone's writers
+// report.
+func TestZoneWithoutTheStoreGetsSpareWriters(t *testing.T) {
 	cases := []struct {
 		name      string
-		out       []string // zones
+		lost      []string // zones without the store
 		elsewhere bool
 		want      map[string]int
 	}{
@@ -117,45 +117,45 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(295)
-			d := newDelegates(s.members[100])
-			before := maps.Clone(d.choose(s.members, s.word, s.now))
-			for _, m := range s.members {
+			v := newView(295)
+			d := newDelegates(v.members[100])
+			before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
+			for _, m := range v.members {
 				if before[m.Name] {
-					s.heard[m.Name] = word{at: s.now, out: lo.Contains(c.out, m.Zone), elsewhere: c.elsewhere}
+					v.states[m.Name] = peerState{at: v.now, storeLost: lo.Contains(c.lost, m.Zone), elsewhere: c.elsewhere}
 				}
 			}
-			after := maps.Clone(d.choose(s.members, s.word, s.now))
+			after := maps.Clone(d.choose(v.members, v.stateOf, v.now))
 			for name := range before {
-				assert.True(t, after[name], "those that hold tokens go on")
+				assert.True(t, after[name], "writers that hold tokens stay")
 			}
-			assert.Equal(t, c.want, zonesOf(s.members, after))
-			for _, m := range s.members {
+			assert.Equal(t, c.want, zonesOf(v.members, after))
+			for _, m := range v.members {
 				if m.Zone == "z0" {
-					s.heard[m.Name] = word{at: s.now, out: true, elsewhere: c.elsewhere}
+					v.states[m.Name] = peerState{at: v.now, storeLost: true, elsewhere: c.elsewhere}
 				}
 			}
-			most := zonesOf(s.members, d.choose(s.members, s.word, s.now))["z0"]
-			assert.Equal(t, lo.Ternary(c.elsewhere, zoneMost, zoneWriters), most)
+			spares := zonesOf(v.members, d.choose(v.members, v.stateOf, v.now))["z0"]
+			assert.Equal(t, lo.Ternary(c.elsewhere, maxZoneWriters, zoneWriters), spares)
 		})
 	}
 }
 
-// A node that is no writer does not hear those of other zones, which says nothing of
-// them; a writer does.
+// A node that does not write receives nothing from writers of other zones, so their silence
+// must not count; on a writer it does.
 func TestWritersOfOtherZonesAreJudgedByWritersOnly(t *testing.T) {
 	for _, writes := range []bool{false, true} {
-		s := newScene(295)
-		self := s.members[100]
-		order := ranked(s.members)
+		v := newView(295)
+		self := v.members[100]
+		order := ranked(v.members)
 		if writes {
 			self = order[0]
 		}
 		d := newDelegates(self)
-		before := maps.Clone(d.choose(s.members, s.word, s.now))
+		before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
 		assert.Equal(t, writes, before[self.Name])
 		far, _ := lo.Find(order, func(m Member) bool { return before[m.Name] && m.Zone != self.Zone })
-		after := s.pass(d, 8*time.Second, s.chosenBut(d, far.Name))
+		after := v.pass(d, 8*time.Second, v.chosenExcept(d, far.Name))
 		assert.Equal(t, !writes, after[far.Name])
 	}
 }
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -17,9 +17,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Whatever a datagram says, the node goes on, and no tokens appear that were
-// not drawn: a grant counts only where it was asked for; and no endpoint is avoided.
-func FuzzHear(f *testing.F) {
+// Whatever a datagram contains, the node keeps running, no tokens appear that were not drawn
+// (a grant counts only if it was requested), and no endpoint is avoided.
+func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"node":"p","life":"1","number":1,"digests":{"e":{"n":1,"w":5}},"reports":{"t":{"f":5,"r":2,"a":9,"l":3}}}`))
 	f.Add([]byte(`{"node":"p","requests":[{"id":"a","tenant":"t","need":5,"want":50}]}`))
 	f.Add([]byte(`{"node":"p","grants":[{"id":"a","tenant":"t","tokens":5}]}`))
@@ -42,20 +42,20 @@
 		gossip, err := Listen("127.0.0.1:0", registry, choice.NewPicker("z", choice.DefaultTuning()), allowance, func() bool { return false })
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
-		book := doubt.NewBook("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
-		gossip.WithRollouts(&talk{}).WithDoubts(book)
-		ill := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
-		book.Engines([]engine.Engine{ill, {ID: "f", Service: "s", Zone: "z"}})
-		book.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
+		suspicions := doubt.NewBook("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+		gossip.WithRollouts(&fakeTalk{}).WithDoubts(suspicions)
+		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
+		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
+		suspicions.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
 		limits := limit.NewBook(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
-		limits.Engines([]engine.Engine{ill})
+		limits.Engines([]engine.Engine{suspect})
 		gossip.WithLimits(limits)
 		gossip.receive(m, "127.0.0.1:9")
-		if perSecond, named := limits.Of(ill.Life()); named {
+		if perSecond, named := limits.Of(suspect.Life()); named {
 			assert.GreaterOrEqual(t, perSecond, 0.0)
-			assert.Positive(t, limits.Bound(perSecond).Calls, "it is used now and then, whatever is told of it")
+			assert.Positive(t, limits.Bound(perSecond).Calls, "a limited endpoint is still used at times, whatever is reported of it")
 		}
-		assert.False(t, book.Avoids(ill.Life(), false, 0, time.Now()), "one datagram takes no endpoint out")
+		assert.False(t, suspicions.Avoids(suspect.Life(), false, 0, time.Now()), "one datagram removes no endpoint")
 		free := allowance.State(tenant).Free
 		assert.GreaterOrEqual(t, free, int64(0))
 		assert.LessOrEqual(t, free, int64(100))
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -25,163 +25,167 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Digests are told this often, to so many peers at a time.
+// Intervals and sizes of messages.
 const (
-	beat        = 200 * time.Millisecond
-	budgetEvery = 3 // beats between words on what the node could give
-	farEvery    = 3 // words on budgets between two that go to other regions, too
-	maxMessage  = 16 << 10
-	mostDigests = 64 // endpoints in a message that would exceed a datagram
+	beatInterval = 200 * time.Millisecond
+	budgetEvery  = 3 // beats per budget report
+	farEvery     = 3 // budget reports per one that goes to other regions too
+	maxMessage   = 16 << 10
+	maxDigests   = 64 // endpoints in a message that would exceed a datagram
 )
 
-// Gossip tells peers what this node has in flight, and hears what they have.
+// Gossip sends peers what this node has in flight, and receives what they have.
 type Gossip struct {
 	registry    *Registry
 	picker      *choice.Picker
 	socket      net.PacketConn
-	number      uint64
+	number      uint64 // of the current beat
 	transfers   *transfers
 	ledgers     *ledgers
 	address     string // of this node's socket
 	places      distance.Places
-	out         func() bool // whether this node does not reach the store
+	storeLost   func() bool // reports whether this node does not reach the store
 	writes      atomic.Bool
 	watches     atomic.Bool
 	writerCount atomic.Int64
-	turns       atomic.Pointer[turns]
-	elsewhere   atomic.Bool // a writer of another zone reaches the store, as this one heard
+	slots       atomic.Pointer[slots]
+	elsewhere   atomic.Bool // a writer of another zone reported that it reaches the store
 	sources     atomic.Pointer[[]store.Source]
 	client      *http.Client
-	rollouts    RolloutTalk  // nil: none is ever ordered here
-	busy        func() bool  // whether this node's link is busy
-	doubts      *doubt.Book  // nil: nothing is told of endpoints that fail
-	quarantine  Quarantine   // nil: nothing is told of requests under which endpoints end
-	limits      *limit.Book  // nil: nothing is told of limits that endpoints name
-	notices     *notice.Book // nil: nothing is told of what endpoints say in answers
-	eras        *store.Eras  // that this node knows of
+	rollouts    RolloutTalk  // nil: no orders on this node
+	busy        func() bool  // reports whether this node's link is busy
+	suspicions  *doubt.Book  // nil: no reports on endpoints that fail
+	quarantine  Quarantine   // nil: no reports on requests under which endpoints end
+	limits      *limit.Book  // nil: no reports on limits that endpoints name
+	notices     *notice.Book // nil: no reports on signals of endpoints in answers
+	eras        *store.Eras  // known to this node
 
-	choosing  sync.Mutex // who writes, and what follows from it
+	chooseMu  sync.Mutex // guards the choice of writers and what follows from it
 	delegates *delegates
-	chosen    map[string]bool                 // the writers, as of the last budgets or change of the list of nodes
-	reports   map[string]account.BudgetReport // of the same time
+	chosen    map[string]bool                 // the writers, as of the last budget report or change of the list of nodes
+	reports   map[string]account.BudgetReport // as of the same time
 
 	mu    sync.Mutex
-	heard map[string]heard // by the node's name
+	peers map[string]peerRecord // by node name
 }
 
-type heard struct {
-	life       string
-	number     uint64
-	at         time.Time
-	out        bool
-	elsewhere  bool
-	reconnects uint64
-	noWrites   bool // it failed to write the status of a rollout of late
-	blind      bool // it found the status of a rollout, and did not see it written
+// peerRecord is what was last received from a peer.
+type peerRecord struct {
+	incarnation string
+	number      uint64
+	at          time.Time
+	storeLost   bool
+	elsewhere   bool
+	reconnects  uint64
+	writeFailed bool // it recently failed to write the status of a rollout
+	ageUnknown  bool // it found the status of a rollout without observing the write, so it can't tell the age
 }
 
-// Listen opens the socket for datagrams.
-func Listen(address string, r *Registry, p *choice.Picker, allowance Allowance, out func() bool) (*Gossip, error) {
+// Listen opens the socket for datagrams. StoreLost reports whether this node does not reach
+// the store.
+func Listen(address string, r *Registry, p *choice.Picker, allowance Allowance, storeLost func() bool) (*Gossip, error) {
 	socket, err := net.ListenPacket("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for peers at %s", address)
 	}
-	g := &Gossip{registry: r, picker: p, socket: socket, heard: map[string]heard{}, transfers: newTransfers(allowance), ledgers: newLedgers(), address: address, out: out, delegates: newDelegates(r.self), busy: func() bool { return false }, places: distance.From(r.self.Zone, nil, distance.DefaultCosts()), eras: store.NewEras()}
+	g := &Gossip{registry: r, picker: p, socket: socket, peers: map[string]peerRecord{}, transfers: newTransfers(allowance), ledgers: newLedgers(), address: address, storeLost: storeLost, delegates: newDelegates(r.self), busy: func() bool { return false }, places: distance.From(r.self.Zone, nil, distance.DefaultCosts()), eras: store.NewEras()}
 	g.client = sourceClient(func() bool { return g.busy() })
 	r.OnChange(func([]Member) { g.choose() })
 	return g, nil
 }
 
-// WithLink lets answers of peers take longer while this node's link is busy; before Run.
-func (t *Gossip) WithLink(busy func() bool) *Gossip {
-	t.busy = busy
-	return t
+// WithLink extends the timeouts for peers' answers while this node's link is busy. It must
+// be called before Run.
+func (g *Gossip) WithLink(busy func() bool) *Gossip {
+	g.busy = busy
+	return g
 }
 
-// WithEras has the gossip tell and hear that the store came back from a copy, before Run.
-func (t *Gossip) WithEras(e *store.Eras) *Gossip {
-	t.eras = e
-	return t
+// WithEras exchanges the store's era with peers, so that all learn that it was restored from
+// a copy. It must be called before Run.
+func (g *Gossip) WithEras(e *store.Eras) *Gossip {
+	g.eras = e
+	return g
 }
 
-// WithPlaces has the gossip tell regions apart, before Run.
-func (t *Gossip) WithPlaces(p distance.Places) *Gossip {
-	t.places = p
-	t.delegates.near = p.Near
-	return t
+// WithPlaces sets the regions of the zones. It must be called before Run.
+func (g *Gossip) WithPlaces(p distance.Places) *Gossip {
+	g.places = p
+	g.delegates.near = p.Near
+	return g
 }
 
-// DropIdle closes the connections to other nodes that no call uses.
-func (t *Gossip) DropIdle() { t.client.CloseIdleConnections() }
+// DropIdle closes idle connections to other nodes.
+func (g *Gossip) DropIdle() { g.client.CloseIdleConnections() }
 
-// Close gives the socket up, where Run is not called.
-func (t *Gossip) Close() error { return t.socket.Close() }
+// Close closes the socket. It is for callers that don't call Run.
+func (g *Gossip) Close() error { return g.socket.Close() }
 
-// Run talks and listens until ctx ends.
-func (t *Gossip) Run(ctx context.Context) {
-	go t.listen()
-	ticker := time.NewTicker(beat)
+// Run sends and receives until ctx ends.
+func (g *Gossip) Run(ctx context.Context) {
+	go g.listen()
+	ticker := time.NewTicker(beatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			_ = t.socket.Close()
+			_ = g.socket.Close()
 			return
 		case <-ticker.C:
-			t.broadcast()
-		case <-t.urgentDoubts():
-			writers, _ := t.choice()
-			t.tellDoubts(writers)
-		case <-t.urgentQuarantine():
-			writers, _ := t.choice()
-			t.tellQuarantine(writers)
-		case <-t.urgentLimits():
-			writers, _ := t.choice()
-			t.tellLimits(writers)
-		case <-t.urgentNotices():
-			writers, _ := t.choice()
-			t.tellNotices(writers)
+			g.broadcast()
+		case <-g.urgentSuspicions():
+			writers, _ := g.currentChoice()
+			g.sendSuspicions(writers)
+		case <-g.urgentQuarantine():
+			writers, _ := g.currentChoice()
+			g.sendQuarantine(writers)
+		case <-g.urgentLimits():
+			writers, _ := g.currentChoice()
+			g.sendLimits(writers)
+		case <-g.urgentNotices():
+			writers, _ := g.currentChoice()
+			g.sendNotices(writers)
 		}
 	}
 }
 
-func (t *Gossip) broadcast() {
-	t.number++
-	for peer, requests := range t.transfers.overdue(clock.Now()) {
-		t.send(t.signed(message{Requests: requests}), peer)
+func (g *Gossip) broadcast() {
+	g.number++
+	for peer, requests := range g.transfers.overdue(clock.Now()) {
+		g.send(g.withSender(message{Requests: requests}), peer)
 	}
-	if t.number%budgetEvery == 1 {
-		t.choose()
+	if g.number%budgetEvery == 1 {
+		g.choose()
 	}
-	writers, reports := t.choice()
-	t.tellRollouts(writers)
-	t.tellDoubts(writers)
-	t.tellQuarantine(writers)
-	to, budgets := t.listeners(writers)
+	writers, reports := g.currentChoice()
+	g.sendRollouts(writers)
+	g.sendSuspicions(writers)
+	g.sendQuarantine(writers)
+	to, budgets := g.recipients(writers)
 	if len(to) == 0 {
 		return
 	}
 	now := clock.Now()
-	m := t.signed(message{
-		Number: t.number, Digests: t.picker.Digests(), Out: t.out(),
-		Reconnects: t.registry.health.Reconnects(), Elsewhere: t.elsewhere.Load(), Outage: t.transfers.allowance.Expected(now), Rollouts: t.badWord(), Doubts: t.doubtWords(now),
-		Era: t.eras.Newest(), Quarantine: t.quarantineDigest(now), Limits: t.limitWords(), Notices: t.noticeWords(),
+	m := g.withSender(message{
+		Number: g.number, Digests: g.picker.Digests(), StoreLost: g.storeLost(),
+		Reconnects: g.registry.health.Reconnects(), Elsewhere: g.elsewhere.Load(), Outage: g.transfers.allowance.Expected(now), Rollouts: g.badTargets(), Suspicions: g.suspicionReports(now),
+		Era: g.eras.Newest(), Quarantine: g.quarantineDigest(now), Limits: g.limitReports(), Notices: g.noticeReports(),
 	})
 	if budgets {
 		m.HasBudgets, m.BudgetReports = true, reports
 	}
-	self := t.registry.self
-	for at, members := range lo.GroupBy(to, func(m Member) place { return place{m.Zone == self.Zone, t.places.Region(m.Zone)} }) {
-		m.Reads = t.picker.News(at.region, now)
+	self := g.registry.self
+	for at, members := range lo.GroupBy(to, func(m Member) place { return place{m.Zone == self.Zone, g.places.Region(m.Zone)} }) {
+		m.Reads = g.picker.News(at.region, now)
 		if at.near {
-			m.Reads = t.picker.Reads(at.region, now)
+			m.Reads = g.picker.Reads(at.region, now)
 		}
-		t.send(m, addresses(members)...)
+		g.send(m, addresses(members)...)
 	}
 }
 
-// place is what decides on the reads that a peer is told: whether it lies in the node's
-// zone, and its region.
+// place determines which reads are sent to a peer: whether it is in the node's zone, and its
+// region.
 type place struct {
 	near   bool
 	region string
@@ -191,54 +195,56 @@
 	return lo.Map(members, func(m Member, _ int) string { return m.Address })
 }
 
-// listeners picks the peers of one beat, and whether they are told the budgets: all
-// of them in a small fleet. In a large one a node that draws for others tells a
-// part of its zone at a time, since a burst to all would fill its link and lose
-// grants, and now and then those that do so in other zones, more seldom in other regions;
-// others tell those of their zone, and a few at random, now and then. So what a node
-// hears grows with its zone, and only what these few hear grows with the fleet.
-func (t *Gossip) listeners(writers map[string]bool) ([]Member, bool) {
-	self := t.registry.self
-	peers := lo.Filter(t.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name })
-	due := t.number%budgetEvery == 1
+// recipients picks the peers for one beat, and reports whether they also get the budget
+// reports. In a small fleet these are all peers. In a large one a node that draws for others
+// sends to a share of its zone per beat, since a burst to all would fill its link and lose
+// grants, and less often to the writers of other zones, and still less to those of other
+// regions. A node that does not draw sends, at every budget report, to the writers of its
+// zone and to a few random peers there. So what a node receives grows with its zone, and
+// only what the writers receive grows with the fleet.
+func (g *Gossip) recipients(writers map[string]bool) ([]Member, bool) {
+	self := g.registry.self
+	peers := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name })
+	due := g.number%budgetEvery == 1
 	switch {
-	case len(writers) > len(peers): // everyone writes
+	case len(writers) > len(peers): // all nodes write
 		return peers, due
 	case !writers[self.Name] && !due:
 		return nil, false
 	}
 	near := lo.Filter(peers, func(m Member, _ int) bool { return m.Zone == self.Zone })
 	if writers[self.Name] {
-		to := part(near, int(t.number%roundBeats))
+		to := beatShare(near, int(g.number%roundBeats))
 		if due {
 			far := lo.Filter(peers, func(m Member, _ int) bool {
-				return m.Zone != self.Zone && writers[m.Name] && (t.number%(budgetEvery*farEvery) == 1 || t.places.Near(m.Zone))
+				return m.Zone != self.Zone && writers[m.Name] && (g.number%(budgetEvery*farEvery) == 1 || g.places.Near(m.Zone))
 			})
 			to = append(to, far...)
 		}
 		return to, true
 	}
-	sure, others := lo.FilterReject(near, func(m Member, _ int) bool { return writers[m.Name] })
+	always, others := lo.FilterReject(near, func(m Member, _ int) bool { return writers[m.Name] })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return append(sure, others[:min(len(others), randomOthers)]...), true
+	return append(always, others[:min(len(others), randomOthers)]...), true
 }
 
-// tellsOn is whether this node passes on what it hears: where some nodes draw for the
-// others, these do.
-func (t *Gossip) tellsOn() bool { return t.Writes() && t.WriterCount() < t.registry.Count() }
+// passesOn reports whether this node passes on what it receives, as writers do in a fleet
+// where not all nodes write.
+func (g *Gossip) passesOn() bool { return g.Writes() && g.WriterCount() < g.registry.Count() }
 
-// roundBeats is in how many beats a node that draws for others has told all.
+// roundBeats is the number of beats in which a node that draws for others sends to its whole
+// zone.
 const roundBeats = 5
 
-// part is every roundBeats-th member.
-func part(members []Member, which int) []Member {
+// beatShare returns every roundBeats-th member, starting at index which.
+func beatShare(members []Member, which int) []Member {
 	return lo.Filter(members, func(_ Member, i int) bool { return i%roundBeats == which })
 }
 
-func (t *Gossip) listen() {
+func (g *Gossip) listen() {
 	buffer := make([]byte, maxMessage)
 	for {
-		n, from, err := t.socket.ReadFrom(buffer)
+		n, from, err := g.socket.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -247,93 +253,94 @@
 		}
 		var m message
 		if json.Unmarshal(buffer[:n], &m) == nil && m.Node != "" {
-			t.receive(m, from.String())
+			g.receive(m, from.String())
 		}
 	}
 }
 
-func (t *Gossip) receive(m message, from string) {
+func (g *Gossip) receive(m message, from string) {
 	if m.Era > 0 {
-		t.eras.Saw(m.Era)
+		g.eras.Saw(m.Era)
 	}
 	switch {
 	case len(m.Requests) > 0:
-		grants := lo.Map(m.Requests, func(a transferRequest, _ int) grant { return *t.transfers.answer(a, clock.Now()) })
-		t.send(t.signed(message{Grants: grants}), from)
+		grants := lo.Map(m.Requests, func(req transferRequest, _ int) grant { return *g.transfers.answer(req, clock.Now()) })
+		g.send(g.withSender(message{Grants: grants}), from)
 	case len(m.Grants) > 0:
-		for _, g := range m.Grants {
-			t.transfers.arrived(g)
+		for _, granted := range m.Grants {
+			g.transfers.receive(granted)
 		}
 	case m.Rollouts != nil && m.Number == 0:
-		t.heardRollouts(m)
-	case len(m.Doubts) > 0 && m.Number == 0:
-		t.heardDoubts(m)
+		g.receiveRollouts(m)
+	case len(m.Suspicions) > 0 && m.Number == 0:
+		g.receiveSuspicions(m)
 	case m.Quarantine != nil && m.Number == 0:
-		t.heardQuarantine(m)
+		g.receiveQuarantine(m)
 	case len(m.Limits) > 0 && m.Number == 0:
-		t.heardLimits(m)
+		g.receiveLimits(m)
 	case len(m.Notices) > 0 && m.Number == 0:
-		t.heardNotices(m)
+		g.receiveNotices(m)
 	case m.Ledger > 0:
-		at := store.At(t.eraOf(m), m.Ledger)
-		t.ledgers.told(at, from)
-		t.ledgers.wrote(at, m.Node, t.classOf(m.Node), clock.Now())
-	case m.Number > 0: // else of a kind that a later build sends
-		t.receiveDigest(m, from)
+		at := store.At(g.eraOf(m), m.Ledger)
+		g.ledgers.recordAnnounced(at, from)
+		g.ledgers.recordWrite(at, m.Node, g.classOf(m.Node), clock.Now())
+	case m.Number > 0: // otherwise it is a kind of message that only a later build knows
+		g.receiveDigest(m, from)
 	}
 }
 
-// eraOf is the era of a revision that a peer tells. One of an earlier build tells none, and
-// means the era that this node knows as far as that never rose.
-func (t *Gossip) eraOf(m message) int64 {
-	if m.Era == 0 && !t.eras.Risen() {
-		return t.eras.Newest()
+// eraOf returns the era of the revision in a message. A peer of an earlier build sends none:
+// its revisions count as of the era known here, as long as that has not risen.
+func (g *Gossip) eraOf(m message) int64 {
+	if m.Era == 0 && !g.eras.Risen() {
+		return g.eras.Newest()
 	}
 	return m.Era
 }
 
-func (t *Gossip) receiveDigest(m message, from string) {
+func (g *Gossip) receiveDigest(m message, from string) {
 	now := clock.Now()
-	t.mu.Lock()
-	before := t.heard[m.Node]
-	old := before.life == m.Life && m.Number <= before.number
+	g.mu.Lock()
+	before := g.peers[m.Node]
+	old := before.incarnation == m.Incarnation && m.Number <= before.number
 	if !old {
-		t.heard[m.Node] = heard{life: m.Life, number: m.Number, at: now, out: m.Out, elsewhere: m.Elsewhere, reconnects: m.Reconnects, noWrites: before.noWrites, blind: before.blind}
+		g.peers[m.Node] = peerRecord{incarnation: m.Incarnation, number: m.Number, at: now, storeLost: m.StoreLost, elsewhere: m.Elsewhere, reconnects: m.Reconnects, writeFailed: before.writeFailed, ageUnknown: before.ageUnknown}
 	}
-	t.mu.Unlock()
+	g.mu.Unlock()
 	if old {
 		return
 	}
-	if before.life == m.Life && m.Reconnects > before.reconnects && len(t.Sources()) == 0 {
-		t.registry.health.Renew()
+	if before.incarnation == m.Incarnation && m.Reconnects > before.reconnects && len(g.Sources()) == 0 {
+		g.registry.health.Renew()
 	}
 	if m.Outage != nil {
-		t.transfers.allowance.Expect(*m.Outage, now)
+		g.transfers.allowance.Expect(*m.Outage, now)
 	}
 	if m.Rollouts != nil {
-		t.heardRollouts(m)
+		g.receiveRollouts(m)
 	}
-	t.heardDoubts(m)
-	t.heardQuarantine(m)
-	t.heardLimits(m)
-	t.heardNotices(m)
-	t.picker.Heard(m.Node, m.Digests, now)
-	t.picker.HeardReads(m.Reads, t.tellsOn(), now)
+	g.receiveSuspicions(m)
+	g.receiveQuarantine(m)
+	g.receiveLimits(m)
+	g.receiveNotices(m)
+	g.picker.Heard(m.Node, m.Digests, now)
+	g.picker.HeardReads(m.Reads, g.passesOn(), now)
 	if m.HasBudgets {
-		t.transfers.recordFrom(from, t.classOf(m.Node), m.BudgetReports, now)
+		g.transfers.recordFrom(from, g.classOf(m.Node), m.BudgetReports, now)
 	}
 }
 
-// classOf is how far a node lies; one that is not listed yet is taken for a near one.
-func (t *Gossip) classOf(node string) distance.Class {
-	m, listed := find(t.registry.Members(), node)
+// classOf returns the distance class of a node; one that is not listed yet counts as one of
+// the region.
+func (g *Gossip) classOf(node string) distance.Class {
+	m, listed := find(g.registry.Members(), node)
 	if !listed {
 		return distance.SameRegion
 	}
-	return t.places.Class(m.Zone)
+	return g.places.Class(m.Zone)
 }
 
-// find looks a member up by its name; members come in the order of their names.
+// find looks up a member by name; members must be sorted by name.
 func find(members []Member, name string) (Member, bool) {
 	at, ok := slices.BinarySearchFunc(members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 	if !ok {
--- a/fleet/relay/peer/gossip_test.go
+++ b/fleet/relay/peer/gossip_test.go
@@ -20,7 +20,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// gossipOf is the gossip of one member of a fleet, without a socket.
+// gossipOf returns the gossip of one member of a fleet, without a socket.
 func gossipOf(self string, all []Member) *Gossip {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	r := NewRegistry(nil, Member{Name: self}, store.NewHealth(), 0, quiet)
@@ -29,20 +29,20 @@
 	}
 	r.publish()
 	return &Gossip{
-		registry: r, heard: map[string]heard{}, delegates: newDelegates(Member{Name: self}),
-		places: distance.From("", nil, distance.DefaultCosts()), out: func() bool { return false }, eras: store.NewEras(),
+		registry: r, peers: map[string]peerRecord{}, delegates: newDelegates(Member{Name: self}),
+		places: distance.From("", nil, distance.DefaultCosts()), storeLost: func() bool { return false }, eras: store.NewEras(),
 	}
 }
 
-// In a round of beats a node that draws for others tells every peer of its zone once,
-// never many at a time, and those that draw in other zones; others tell those of their
-// zone now and then, with what they have, and a few more.
-func TestListenersOfARound(t *testing.T) {
+// In a round of beats a node that draws for others sends to every peer of its zone, never to
+// many at a time, and to the writers of other zones. Other nodes send at times to the writers
+// of their zone, with their budget reports, and to a few more peers.
+func TestRecipientsOfARound(t *testing.T) {
 	cases := []struct {
 		name   string
 		fleet  int
 		writes bool
-		most   int // peers in one beat
+		limit  int // maximum peers in one beat
 	}{
 		{"a small fleet", 8, true, 7},
 		{"a large fleet, one that draws for others", 73, true, 4 + 6},
@@ -58,17 +58,17 @@
 			assert.True(t, ok)
 			gossip := gossipOf(self.Name, all)
 			gossip.registry.self = self
-			told := map[string]int{}
+			sent := map[string]int{}
 			for range budgetEvery * roundBeats {
 				gossip.number++
-				to, budgets := gossip.listeners(writers)
-				assert.LessOrEqual(t, len(to), c.most)
+				to, budgets := gossip.recipients(writers)
+				assert.LessOrEqual(t, len(to), c.limit)
 				if c.fleet > allWrite && len(to) > 0 {
 					assert.True(t, budgets)
 				}
 				for _, m := range to {
 					assert.NotEqual(t, self.Name, m.Name)
-					told[m.Name]++
+					sent[m.Name]++
 				}
 			}
 			for _, m := range all {
@@ -76,18 +76,18 @@
 				switch {
 				case m.Name == self.Name:
 				case len(writers) == len(all), near && writers[m.Name], c.writes && writers[m.Name]:
-					assert.GreaterOrEqual(t, told[m.Name], 3, m)
+					assert.GreaterOrEqual(t, sent[m.Name], 3, m)
 				case near && c.writes:
-					assert.GreaterOrEqual(t, told[m.Name], 1, m)
+					assert.GreaterOrEqual(t, sent[m.Name], 1, m)
 				case !near:
-					assert.Zero(t, told[m.Name], "another zone's: %v", m)
+					assert.Zero(t, sent[m.Name], "in another zone: %v", m)
 				}
 			}
 		})
 	}
 }
 
-// A message that exceeds a datagram goes without what is only a help.
+// A message that exceeds a datagram is sent without optional parts.
 func TestMessagesFitADatagram(t *testing.T) {
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -111,23 +111,23 @@
 	assert.Empty(t, m.Reads)
 }
 
-// Two levels of knowledge: nodes tell their zone's writers what they are asked for, and
-// these tell each other sums. What all know of the whole is counted once.
-func TestWhatAFleetIsAskedForIsCountedOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // demand falls as time goes by: none does here
+// Nodes report their demand to their zone's writers, and these send each other sums. The total
+// known to all must count each node's demand once.
+func TestFleetDemandIsCountedOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { // demand decays with time, which stands still here
 		all := members(295)
 		for i := range all {
 			all[i].Address = fmt.Sprint("10.0.0.1:", 1000+i)
 		}
 		writers := Writers(all, func() []Member { return ranked(all) })
 		now := time.Now()
-		socket := &counted{} // what is asked for goes nowhere
+		socket := &countingSocket{} // requests are dropped
 		gossips := map[string]*Gossip{}
 		total := 0.0
 		for i, m := range all {
 			p := account.NewAllowance(m.Name, m.Name+"/1", account.DefaultTuning())
 			p.Budget(map[string]int64{tenant: 1 << 30})
-			for at := 20; at > 0; at-- { // ten seconds, each node at a rate of its own
+			for at := 20; at > 0; at-- { // ten seconds, each node at its own rate
 				p.Reserve(tenant, int64(100+i), now.Add(-time.Duration(at)*500*time.Millisecond))
 			}
 			g := gossipOf(m.Name, all)
@@ -135,7 +135,7 @@
 			gossips[m.Name] = g
 			total += p.BudgetReports(now)[tenant].Rate
 		}
-		for range 3 { // rounds: what a writer tells rests on what it heard before
+		for range 3 { // a writer's report depends on what it received in the previous round
 			reports := map[string]map[string]account.BudgetReport{}
 			for name, g := range gossips {
 				reports[name] = g.refreshBudgets(writers)
@@ -150,10 +150,11 @@
 			}
 		}
 		for name := range writers {
-			told := gossips[name].refreshBudgets(writers)[tenant]
-			assert.InEpsilon(t, total, told.All, 0.02, name)
+			report := gossips[name].refreshBudgets(writers)[tenant]
+			assert.InEpsilon(t, total, report.All, 0.02, name)
 		}
-		// A node that draws for nobody takes the whole from its writers, its own part in it.
+		// A node that draws for no other takes the total from its writers, which includes its
+		// own share.
 		self, _ := lo.Find(all, func(m Member) bool { return !writers[m.Name] })
 		g := gossips[self.Name]
 		for _, m := range all {
@@ -167,8 +168,8 @@
 	})
 }
 
-// What all are asked for falls again when they are asked for less: no node's word comes
-// back to it as news.
+// The total demand falls again when nodes report less: no node's own report may return to it
+// as the demand of others.
 func TestDemandThatIsOverIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := members(73)
@@ -185,24 +186,24 @@
 		}
 		now := time.Now()
 		pair[0].transfers.record("a third", map[string]account.BudgetReport{tenant: {Rate: 500}}, now)
-		told := func(g *Gossip) float64 { return g.refreshBudgets(writers)[tenant].All }
+		total := func(g *Gossip) float64 { return g.refreshBudgets(writers)[tenant].All }
 		for i := range 4 {
 			from, to := pair[i%2], pair[1-i%2]
 			to.transfers.record("the other", from.refreshBudgets(writers), now)
 		}
-		assert.Positive(t, told(pair[0]))
+		assert.Positive(t, total(pair[0]))
 		pair[0].transfers.record("a third", map[string]account.BudgetReport{tenant: {Rate: 1}}, now)
 		for i := range 6 {
 			from, to := pair[i%2], pair[1-i%2]
 			to.transfers.record("the other", from.refreshBudgets(writers), now)
 		}
-		assert.LessOrEqual(t, told(pair[0]), 1.0)
+		assert.LessOrEqual(t, total(pair[0]), 1.0)
 	})
 }
 
-// A node with calls at every endpoint of a large fleet is still heard: it tells of the
-// endpoints that have most in flight.
-func TestAMessageOfManyEndpointsIsCutToADatagram(t *testing.T) {
+// A node with calls at every endpoint of a large fleet still sends messages that fit a
+// datagram: they cover the endpoints with the most in flight.
+func TestMessageOfManyEndpointsFitsADatagram(t *testing.T) {
 	digests := map[string]choice.Digest{}
 	for i := range 1000 {
 		digests[fmt.Sprintf("i-%08x", i)] = choice.Digest{InFlight: i, Waiting: 123_456, Paused: 0.05, Streams: 12.34}
@@ -211,8 +212,8 @@
 	require.NoError(t, err)
 	var m message
 	require.NoError(t, json.Unmarshal(data, &m))
-	assert.Len(t, m.Digests, mostDigests)
+	assert.Len(t, m.Digests, maxDigests)
 	for id, d := range m.Digests {
-		assert.GreaterOrEqual(t, d.InFlight, 1000-mostDigests, id)
+		assert.GreaterOrEqual(t, d.InFlight, 1000-maxDigests, id)
 	}
 }
--- a/fleet/relay/peer/lives_test.go
+++ b/fleet/relay/peer/incarnations_test.go
@@ -14,29 +14,30 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Protects lives of endpoints between nodes: what is told names the life that it is about,
-// where births are told, within a datagram; where none is told messages are as they were.
-func TestMessagesNameTheLife(t *testing.T) {
+// Messages must name the incarnation of the endpoint that they are about if its time of birth
+// is known, or a report on an earlier one would apply to it. Without a birth messages must not
+// change.
+func TestMessagesNameTheIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name string
 		born int64
 		want string // of the digest and of the read
 	}{
-		{"told", 1764723600123, `"b":1764723600123`},
-		{"not told", 0, ``},
+		{"known birth", 1764723600123, `"b":1764723600123`},
+		{"unknown birth", 0, ``},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			teller := choice.NewPicker("z", choice.DefaultTuning())
+			sender := choice.NewPicker("z", choice.DefaultTuning())
 			e := engine.Engine{ID: "i-1", Born: c.born, Service: "s", Slots: 8}
-			p, ok := teller.Pick(choice.Request{
+			p, ok := sender.Pick(choice.Request{
 				Call: call.Call{ID: "c", PromptMax: 60, Parts: []call.Part{{ID: "x", Tokens: 50}, {ID: "y", Tokens: 10}}}, Engines: []engine.Engine{e},
 				Cap: 9, Now: now, Profile: choice.Profile{Service: "s", Tokens: true, Capacity: 5000},
 			})
 			require.True(t, ok)
 			p.First(time.Millisecond, now)
-			data, err := encode(message{Node: "n", Number: 1, Digests: teller.Digests(), Reads: teller.Reads("", now)})
+			data, err := encode(message{Node: "n", Number: 1, Digests: sender.Digests(), Reads: sender.Reads("", now)})
 			require.NoError(t, err)
 			var m message
 			require.NoError(t, json.Unmarshal(data, &m))
@@ -50,13 +51,13 @@
 	}
 }
 
-// Protects datagrams from growing beyond their bound where births are told: the reads
-// go first, and then the endpoints with the least in flight.
+// Times of birth must not make messages exceed a datagram: the reads are dropped first, and
+// then the endpoints with the least in flight.
 func TestBirthsKeepMessagesBounded(t *testing.T) {
 	cases := []struct {
 		endpoints      int
-		digests, reads int // that are told, of 128 reads
-	}{{80, 80, 128}, {1000, mostDigests, 0}}
+		digests, reads int // sent; of 128 reads
+	}{{80, 80, 128}, {1000, maxDigests, 0}}
 	for _, c := range cases {
 		m := message{Node: "n", Number: 1, Digests: map[string]choice.Digest{}}
 		for i := range c.endpoints {
--- a/fleet/relay/peer/ledger.go
+++ b/fleet/relay/peer/ledger.go
@@ -13,40 +13,40 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Nodes that write the ledger tell each other of each write by a datagram with its
-// revision, and whoever is about to write asks for a newer one where it lies. Without
-// that each write first conflicts, to learn of the others'.
+// Nodes that write the ledger announce each write to each other by a datagram with its
+// revision, and a node about to write fetches a newer ledger from its writer. Without that
+// each write would first conflict, to learn of the others' writes.
 
-// ledgerWait bounds asking a peer for the ledger, beyond the round trips of connecting and
-// asking: the store tells it as well.
-const ledgerWait = 60 * time.Millisecond
+// ledgerTimeout limits a request to a peer for the ledger, beyond the round trips of
+// connecting and asking. It is short since the store has the ledger as well.
+const ledgerTimeout = 60 * time.Millisecond
 
-// ledgers is the newest ledger that this node wrote, for its peers, and the newest
-// that a peer told of. It is safe for concurrent use.
+// ledgers holds the newest ledger that this node wrote, for its peers, and the revision of
+// the newest one that a peer announced. It is safe for concurrent use.
 type ledgers struct {
 	own *store.Cache
 
 	mu     sync.Mutex
-	newest store.Revision // of a ledger that a peer told of
-	from   string         // the peer's address; "" is none
+	newest store.Revision // newest announced
+	from   string         // address of the peer that announced it; "" if none
 	last   lastWrite
-	heard  chan struct{} // holds one where there is news for whoever waits for its turn
+	wrote  chan struct{} // holds a value after a write that a node waiting for its slot has not handled
 }
 
 func newLedgers() *ledgers {
-	return &ledgers{own: store.NewCache(), heard: make(chan struct{}, 1)}
+	return &ledgers{own: store.NewCache(), wrote: make(chan struct{}, 1)}
 }
 
 // lastWrite is the newest write that this node knows of.
 type lastWrite struct {
 	revision store.Revision
-	writer   string // the node's name
+	writer   string // node name
 	class    distance.Class
 	at       time.Time
 }
 
-// told notes that a peer wrote the ledger.
-func (l *ledgers) told(revision store.Revision, from string) {
+// recordAnnounced records that a peer announced a write of the ledger.
+func (l *ledgers) recordAnnounced(revision store.Revision, from string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if revision > l.newest {
@@ -54,27 +54,27 @@
 	}
 }
 
-// wrote notes who wrote the ledger last, for the turns of writers.
-func (l *ledgers) wrote(revision store.Revision, writer string, c distance.Class, now time.Time) {
+// recordWrite records who wrote the ledger last, for the writers' slots.
+func (l *ledgers) recordWrite(revision store.Revision, writer string, c distance.Class, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if revision > l.last.revision {
 		l.last = lastWrite{revision: revision, writer: writer, class: c, at: now}
 		select {
-		case l.heard <- struct{}{}:
-		default: // it has not looked since
+		case l.wrote <- struct{}{}:
+		default: // the previous write is not handled yet
 		}
 	}
 }
 
-// lastWritten is the newest write that this node knows of.
+// lastWritten returns the newest write that this node knows of.
 func (l *ledgers) lastWritten() lastWrite {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.last
 }
 
-// newer is where a newer ledger lies than that of a revision; "" is nowhere.
+// newer returns the address of a peer with a newer ledger than revision; "" if none.
 func (l *ledgers) newer(revision store.Revision) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,14 +84,14 @@
 	return l.from
 }
 
-// class is how far the peer lies that wrote last.
+// class returns the distance class of the last writer.
 func (l *ledgers) class() distance.Class {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.last.class
 }
 
-// forget drops a peer's word that it could not stand by.
+// forget drops the announcement of a peer that did not return the ledger.
 func (l *ledgers) forget(from string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,31 +100,31 @@
 	}
 }
 
-// Ledgers is the ledger as this node last wrote it, for peers that ask.
-func (t *Gossip) Ledgers() *store.Cache { return t.ledgers.own }
+// Ledgers returns the cache of the ledger as this node last wrote it, for peers.
+func (g *Gossip) Ledgers() *store.Cache { return g.ledgers.own }
 
 // Wrote implements account.Writers.
-func (t *Gossip) Wrote(o store.Object) {
-	t.ledgers.own.Apply(store.Snapshot{Objects: []store.Object{o}, Revision: o.Revision}, store.FromStore)
-	t.ledgers.wrote(o.Revision, t.registry.self.Name, distance.SameZone, clock.Now())
-	writers, _ := t.choice()
-	others := lo.FilterMap(t.registry.Members(), func(m Member, _ int) (string, bool) {
-		return m.Address, writers[m.Name] && m.Name != t.registry.self.Name
+func (g *Gossip) Wrote(o store.Object) {
+	g.ledgers.own.Apply(store.Snapshot{Objects: []store.Object{o}, Revision: o.Revision}, store.FromStore)
+	g.ledgers.recordWrite(o.Revision, g.registry.self.Name, distance.SameZone, clock.Now())
+	writers, _ := g.currentChoice()
+	others := lo.FilterMap(g.registry.Members(), func(m Member, _ int) (string, bool) {
+		return m.Address, writers[m.Name] && m.Name != g.registry.self.Name
 	})
-	t.send(t.signed(message{Ledger: o.Revision.Number(), Era: o.Revision.Era()}), others...)
+	g.send(g.withSender(message{Ledger: o.Revision.Number(), Era: o.Revision.Era()}), others...)
 }
 
 // Newer implements account.Writers.
-func (t *Gossip) Newer(ctx context.Context, revision store.Revision) (store.Object, bool) {
-	from := t.ledgers.newer(revision)
+func (g *Gossip) Newer(ctx context.Context, revision store.Revision) (store.Object, bool) {
+	from := g.ledgers.newer(revision)
 	if from == "" {
 		return store.Object{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, ledgerWait+2*t.places.OfClass(t.ledgers.class(), clock.Now()).RoundTrip)
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout+2*g.places.OfClass(g.ledgers.class(), clock.Now()).RoundTrip)
 	defer cancel()
-	objects, _, err := Remote{client: t.client, address: from, busy: t.busy, eras: t.eras, past: true}.List(ctx, account.Kind)
+	objects, _, err := Remote{client: g.client, address: from, busy: g.busy, eras: g.eras, anyEra: true}.List(ctx, account.Kind)
 	if err != nil || len(objects) != 1 {
-		t.ledgers.forget(from)
+		g.ledgers.forget(from)
 		return store.Object{}, false
 	}
 	return objects[0], true
--- a/fleet/relay/peer/ledger_test.go
+++ b/fleet/relay/peer/ledger_test.go
@@ -12,23 +12,23 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Who is about to write the ledger finds a newer one where a peer told that it lies; a
-// peer that does not stand by its word is not asked again.
-func TestANewerLedgerIsFoundAtThePeerThatToldOfIt(t *testing.T) {
+// A node about to write the ledger fetches a newer one from the peer that announced it. A peer
+// that does not return it is not asked again.
+func TestNewerLedgerIsFetchedFromItsAnnouncer(t *testing.T) {
 	own := store.NewCache()
 	server := httptest.NewServer(CacheHandler(map[string]*store.Cache{account.Kind: own}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	ledger := store.Object{Kind: account.Kind, Name: "ledger", Revision: 7, Data: []byte(`{}`)}
 	cases := []struct {
-		name  string
-		told  []store.Revision // revisions, in the order in which they are heard
-		holds bool             // the peer has it
-		since store.Revision
-		found bool
-		again bool // the peer is still believed
+		name      string
+		announced []store.Revision // in order of arrival
+		holds     bool             // the peer has the ledger
+		since     store.Revision
+		found     bool
+		again     bool // the peer would be asked again
 	}{
-		{"nobody told", nil, true, 3, false, false},
+		{"none announced", nil, true, 3, false, false},
 		{"a newer one", []store.Revision{7}, true, 3, true, true},
 		{"datagrams out of order", []store.Revision{7, 5}, true, 3, true, true},
 		{"not newer than this node's", []store.Revision{7}, true, 7, false, true},
@@ -41,8 +41,8 @@
 				own.Apply(store.Snapshot{Objects: []store.Object{ledger}, Revision: 7}, store.FromStore)
 			}
 			g := gossipOf("n", nil)
-			g.client, g.busy, g.ledgers = sourceClient(calm), calm, &ledgers{own: store.NewCache()}
-			for _, revision := range c.told {
+			g.client, g.busy, g.ledgers = sourceClient(notBusy), notBusy, &ledgers{own: store.NewCache()}
+			for _, revision := range c.announced {
 				g.receive(message{Node: "peer", Ledger: revision.Number()}, address)
 			}
 			o, found := g.Newer(t.Context(), c.since)
--- a/fleet/relay/peer/limits.go
+++ b/fleet/relay/peer/limits.go
@@ -9,60 +9,61 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 )
 
-// A node that learns from an answer of a limit, or of its end, tells the delegates of its zone
-// at once; a delegate that hears of it tells all nodes of its zone, and the delegates of
-// others. In a fleet where all write each node tells all others. Both are told again with
-// the digests.
+// A node that learns from an answer of a limit, or of its end, sends it at once to the
+// delegates of its zone. A delegate that receives it sends it to all nodes of its zone and to
+// the delegates of others. In a fleet where all nodes write, each sends to all others. All of
+// it is sent again with the digests.
 
-// WithLimits has the node tell and hear of limits that endpoints name, before Run.
-func (t *Gossip) WithLimits(b *limit.Book) *Gossip {
-	t.limits = b
-	return t
+// WithLimits exchanges the limits that endpoints name. It must be called before Run.
+func (g *Gossip) WithLimits(b *limit.Book) *Gossip {
+	g.limits = b
+	return g
 }
 
-// urgentLimits tells that words on limits are not to wait for the next beat.
-func (t *Gossip) urgentLimits() <-chan struct{} {
-	if t.limits == nil {
+// urgentLimits signals that reports on limits must not wait for the next beat.
+func (g *Gossip) urgentLimits() <-chan struct{} {
+	if g.limits == nil {
 		return nil
 	}
-	return t.limits.Urgent()
+	return g.limits.Urgent()
 }
 
-// tellLimits tells at once what can't wait for the digests.
-func (t *Gossip) tellLimits(delegates map[string]bool) {
-	words := t.limits.News(t.tellsOn(), clock.Now())
-	if len(words) == 0 {
+// sendLimits sends what can't wait for the digests.
+func (g *Gossip) sendLimits(delegates map[string]bool) {
+	reports := g.limits.News(g.passesOn(), clock.Now())
+	if len(reports) == 0 {
 		return
 	}
-	t.send(t.signed(message{Limits: words}), t.audience(delegates)...)
+	g.send(g.withSender(message{Limits: reports}), g.audience(delegates)...)
 }
 
-// audience is whom a node tells at once what it has learned: the delegates of its zone; a
-// delegate all nodes of its zone, and the delegates of others. Where all write, all others.
-func (t *Gossip) audience(delegates map[string]bool) []string {
-	to, far := t.delegateAddresses(delegates)
-	if t.Writes() {
+// audience returns the addresses to which this node sends updates at once: the delegates of
+// its zone, or, on a delegate, all nodes of its zone and the delegates of others. In a fleet
+// where all nodes write these are all others.
+func (g *Gossip) audience(delegates map[string]bool) []string {
+	to, far := g.delegateAddresses(delegates)
+	if g.Writes() {
 		to = append(to, far...)
 	}
-	if t.tellsOn() {
-		self := t.registry.self
-		zone := lo.Filter(t.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone })
+	if g.passesOn() {
+		self := g.registry.self
+		zone := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone })
 		to = lo.Uniq(slices.Concat(addresses(zone), to))
 	}
 	return to
 }
 
-// limitWords is what is told of limits along with everything else.
-func (t *Gossip) limitWords() []limit.Word {
-	if t.limits == nil {
+// limitReports returns the reports on limits for the digest.
+func (g *Gossip) limitReports() []limit.Word {
+	if g.limits == nil {
 		return nil
 	}
-	return t.limits.Words(t.tellsOn(), clock.Now())
+	return g.limits.Words(g.passesOn(), clock.Now())
 }
 
-// heardLimits takes in what another node tells.
-func (t *Gossip) heardLimits(m message) {
-	if t.limits != nil && len(m.Limits) > 0 {
-		t.limits.Heard(m.Node, m.Limits, clock.Now())
+// receiveLimits processes a peer's reports on limits.
+func (g *Gossip) receiveLimits(m message) {
+	if g.limits != nil && len(m.Limits) > 0 {
+		g.limits.Heard(m.Node, m.Limits, clock.Now())
 	}
 }
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -14,55 +14,56 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// message is what one node tells another.
+// message is a datagram from one node to another.
 type message struct {
 	Node          string                          `json:"node"`
-	Life          string                          `json:"life"`
-	Number        uint64                          `json:"number"` // rises; an older one is dropped
+	Incarnation   string                          `json:"life"`
+	Number        uint64                          `json:"number"` // increases with each beat; an older one is dropped
 	Digests       map[string]choice.Digest        `json:"digests,omitempty"`
-	Reads         []choice.Read                   `json:"reads,omitempty"`   // prompts that were read lately
-	HasBudgets    bool                            `json:"budgets,omitempty"` // the reports are told
+	Reads         []choice.Read                   `json:"reads,omitempty"`   // prompts read recently
+	HasBudgets    bool                            `json:"budgets,omitempty"` // the message has budget reports
 	BudgetReports map[string]account.BudgetReport `json:"reports,omitempty"`
-	Out           bool                            `json:"out,omitempty"`        // the node does not reach the store
-	Reconnects    uint64                          `json:"reconnects,omitempty"` // how often the node found the store back
+	StoreLost     bool                            `json:"out,omitempty"`        // the node does not reach the store
+	Reconnects    uint64                          `json:"reconnects,omitempty"` // how often the node reached the store again
 	Elsewhere     bool                            `json:"elsewhere,omitempty"`  // a writer of another zone reaches the store
-	Outage        *account.Outage                 `json:"outage,omitempty"`     // of the store, that is expected again
+	Outage        *account.Outage                 `json:"outage,omitempty"`     // of the store, expected again
 	Requests      []transferRequest               `json:"requests,omitempty"`
 	Grants        []grant                         `json:"grants,omitempty"`
-	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // orders that are open
-	Doubts        []doubt.Word                    `json:"doubts,omitempty"`     // endpoints at which calls failed of late
+	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // open orders
+	Suspicions    []doubt.Word                    `json:"doubts,omitempty"`     // endpoints at which calls failed recently
 	Quarantine    *quarantine.Words               `json:"quarantine,omitempty"` // requests under which endpoints end
-	Limits        []limit.Word                    `json:"limits,omitempty"`     // that endpoints name
-	Notices       []notice.Word                   `json:"notices,omitempty"`    // what endpoints say in their answers
-	Ledger        int64                           `json:"ledger,omitempty"`     // number of the revision of one that the node has written
-	Era           int64                           `json:"era,omitempty"`        // of the store, the newest that the node knows of; beside Ledger, of that
+	Limits        []limit.Word                    `json:"limits,omitempty"`     // limits that endpoints name
+	Notices       []notice.Word                   `json:"notices,omitempty"`    // signals of endpoints in their answers
+	Ledger        int64                           `json:"ledger,omitempty"`     // revision number of a ledger that the node wrote
+	Era           int64                           `json:"era,omitempty"`        // newest era that the node knows of; with Ledger, the era of its revision
 }
 
-// signed fills in who sends a message.
-func (t *Gossip) signed(m message) message {
-	m.Node, m.Life = t.registry.self.Name, t.registry.self.Life
+// withSender fills in the sender of a message.
+func (g *Gossip) withSender(m message) message {
+	m.Node, m.Incarnation = g.registry.self.Name, g.registry.self.Life
 	return m
 }
 
-// send tells some peers the same.
-func (t *Gossip) send(m message, addresses ...string) {
+// send sends one message to some peers.
+func (g *Gossip) send(m message, addresses ...string) {
 	data, err := encode(m)
 	if err != nil {
-		t.registry.log.WithField("peers", len(addresses)).WithError(err).Warn("peers not told")
+		g.registry.log.WithField("peers", len(addresses)).WithError(err).Warn("could not encode a message to peers")
 		return
 	}
 	for _, address := range addresses {
 		to, err := net.ResolveUDPAddr("udp4", address)
 		if err != nil {
-			t.registry.log.WithField("peer", address).WithError(err).Warn("peer not told")
+			g.registry.log.WithField("peer", address).WithError(err).Warn("could not resolve a peer's address")
 			continue
 		}
-		_, _ = t.socket.WriteTo(data, to) // datagrams may be lost in any case
+		_, _ = g.socket.WriteTo(data, to) // a datagram may be lost anyway
 	}
 }
 
-// encode makes a datagram of a message. One that would exceed it goes without the
-// reads, which are a help only, and then with the endpoints that have most in flight.
+// encode encodes a message as a datagram. A message that would exceed it is sent without
+// the reads, which are optional hints, and if that is not enough with only the digests of
+// the endpoints that have the most in flight.
 func encode(m message) ([]byte, error) {
 	data, err := json.Marshal(m)
 	if err == nil && len(data) > maxMessage {
@@ -70,7 +71,7 @@
 		data, err = json.Marshal(m)
 	}
 	if err == nil && len(data) > maxMessage {
-		m.Digests = choice.Busiest(m.Digests, mostDigests)
+		m.Digests = choice.Busiest(m.Digests, maxDigests)
 		data, err = json.Marshal(m)
 	}
 	if err == nil && len(data) > maxMessage {
--- a/fleet/relay/peer/notices.go
+++ b/fleet/relay/peer/notices.go
@@ -5,39 +5,41 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// What endpoints say in answers is told as limits are: at once, and again with the digests.
+// Signals of endpoints in their answers are sent as limits are: at once, and again with the
+// digests.
 
-// WithNotices has the node tell and hear of what endpoints say in answers, before Run.
-func (t *Gossip) WithNotices(b *notice.Book) *Gossip {
-	t.notices = b
-	return t
+// WithNotices exchanges signals of endpoints in answers. It must be called before Run.
+func (g *Gossip) WithNotices(b *notice.Book) *Gossip {
+	g.notices = b
+	return g
 }
 
-func (t *Gossip) urgentNotices() <-chan struct{} {
-	if t.notices == nil {
+// urgentNotices signals that reports on signals must not wait for the next beat.
+func (g *Gossip) urgentNotices() <-chan struct{} {
+	if g.notices == nil {
 		return nil
 	}
-	return t.notices.Urgent()
+	return g.notices.Urgent()
 }
 
-// tellNotices tells at once what can't wait for the digests.
-func (t *Gossip) tellNotices(delegates map[string]bool) {
-	if words := t.notices.News(t.tellsOn(), clock.Now()); len(words) > 0 {
-		t.send(t.signed(message{Notices: words}), t.audience(delegates)...)
+// sendNotices sends what can't wait for the digests.
+func (g *Gossip) sendNotices(delegates map[string]bool) {
+	if reports := g.notices.News(g.passesOn(), clock.Now()); len(reports) > 0 {
+		g.send(g.withSender(message{Notices: reports}), g.audience(delegates)...)
 	}
 }
 
-// noticeWords is what is told along with everything else.
-func (t *Gossip) noticeWords() []notice.Word {
-	if t.notices == nil {
+// noticeReports returns the reports on signals for the digest.
+func (g *Gossip) noticeReports() []notice.Word {
+	if g.notices == nil {
 		return nil
 	}
-	return t.notices.Words(t.tellsOn(), clock.Now())
+	return g.notices.Words(g.passesOn(), clock.Now())
 }
 
-// heardNotices takes in what another node tells.
-func (t *Gossip) heardNotices(m message) {
-	if t.notices != nil && len(m.Notices) > 0 {
-		t.notices.Heard(m.Node, m.Notices, clock.Now())
+// receiveNotices processes a peer's reports on signals.
+func (g *Gossip) receiveNotices(m message) {
+	if g.notices != nil && len(m.Notices) > 0 {
+		g.notices.Heard(m.Node, m.Notices, clock.Now())
 	}
 }
--- a/fleet/relay/peer/notices_test.go
+++ b/fleet/relay/peer/notices_test.go
@@ -12,28 +12,28 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// One node's answer says that an endpoint leaves: all nodes know at once, by a number of datagrams that
-// grows with the nodes.
-func TestAllNodesLearnOfALeavingAtAnySize(t *testing.T) {
-	cases := []struct{ size, most int }{{10, 10}, {60, 200}, {300, 700}, {1000, 2_500}}
+// After one node's answer signals that an endpoint leaves, all nodes know it at once, with a
+// number of datagrams that grows with the number of nodes.
+func TestAllNodesLearnOfALeavingEndpointAtAnySize(t *testing.T) {
+	cases := []struct{ size, maxDatagrams int }{{10, 10}, {60, 200}, {300, 700}, {1000, 2_500}}
 	e := engine.Engine{ID: "i-0123456789", Born: 1_764_722_185_123, Service: "s"}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gossips, _, total := limitFleet(c.size, []engine.Engine{e})
 				gossips[c.size-1].notices.Saw(e, call.Leaving{}, clock.Now())
-				for range 3 { // the teller, those who pass it on, and those who hear it of them
+				for range 3 { // the first sender, the nodes that pass it on, and those that receive it from them
 					for _, g := range gossips {
-						writers, _ := g.choice()
-						g.tellNotices(writers)
+						writers, _ := g.currentChoice()
+						g.sendNotices(writers)
 					}
 				}
 				for i, g := range gossips {
 					_, leaves := g.notices.Leaves(e.Life(), clock.Now())
 					assert.True(t, leaves, "node %d", i)
 				}
-				t.Logf("%d nodes: %d datagrams, %d bytes of words", c.size, total.datagrams, total.bytes)
-				assert.LessOrEqual(t, total.datagrams, c.most)
+				t.Logf("%d nodes: %d datagrams, %d bytes of reports", c.size, total.datagrams, total.bytes)
+				assert.LessOrEqual(t, total.datagrams, c.maxDatagrams)
 			})
 		})
 	}
--- a/fleet/relay/peer/quarantine.go
+++ b/fleet/relay/peer/quarantine.go
@@ -12,12 +12,12 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// A node tells those who draw for others, of all zones, which of its calls ended with an
-// endpoint: they judge, since what ran beside a request elsewhere may clear it. In a fleet
-// where all write all judge. Whoever finds that a request is to be held back tells its zone
-// at once, and those who judge elsewhere; it is told again with the digests.
+// A node reports to the delegates of all zones which of its calls ended with an endpoint.
+// They are the judges, since calls on other nodes may clear a request. In a fleet where all
+// nodes write, all are judges. A judge that quarantines a request announces it at once to its
+// zone and to the judges elsewhere; it is sent again with the digests.
 
-// Quarantine is what a node knows of requests under which endpoints end.
+// Quarantine tracks requests under which endpoints end.
 type Quarantine interface {
 	Urgent() <-chan struct{}
 	News(now time.Time) (judges, all quarantine.Words)
@@ -25,68 +25,67 @@
 	Heard(from string, w quarantine.Words, now time.Time)
 }
 
-// WithQuarantine has the node tell and hear of requests that are held back, before Run.
-func (t *Gossip) WithQuarantine(q Quarantine) *Gossip {
-	t.quarantine = q
-	return t
+// WithQuarantine exchanges reports on quarantined requests. It must be called before Run.
+func (g *Gossip) WithQuarantine(q Quarantine) *Gossip {
+	g.quarantine = q
+	return g
 }
 
-// urgentQuarantine tells that words on requests are not to wait for the next beat.
-func (t *Gossip) urgentQuarantine() <-chan struct{} {
-	if t.quarantine == nil {
+// urgentQuarantine signals that reports on requests must not wait for the next beat.
+func (g *Gossip) urgentQuarantine() <-chan struct{} {
+	if g.quarantine == nil {
 		return nil
 	}
-	return t.quarantine.Urgent()
+	return g.quarantine.Urgent()
 }
 
-// tellQuarantine tells what can't wait for the digests.
-func (t *Gossip) tellQuarantine(delegates map[string]bool) {
-	if t.quarantine == nil {
+// sendQuarantine sends what can't wait for the digests.
+func (g *Gossip) sendQuarantine(delegates map[string]bool) {
+	if g.quarantine == nil {
 		return
 	}
-	judges, all := t.quarantine.News(clock.Now())
+	judges, all := g.quarantine.News(clock.Now())
 	if judges.None() && all.None() {
-		return // as mostly, at each beat
+		return // the usual case at a beat
 	}
-	near, far := t.delegateAddresses(delegates)
+	near, far := g.delegateAddresses(delegates)
 	if !judges.None() {
-		t.send(t.signed(message{Quarantine: &judges}), append(near, far...)...)
+		g.send(g.withSender(message{Quarantine: &judges}), append(near, far...)...)
 	}
 	if !all.None() {
-		self := t.registry.self
-		zone := lo.Filter(t.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone })
-		t.send(t.signed(message{Quarantine: &all}), lo.Uniq(slices.Concat(addresses(zone), near, far))...)
+		self := g.registry.self
+		zone := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone })
+		g.send(g.withSender(message{Quarantine: &all}), lo.Uniq(slices.Concat(addresses(zone), near, far))...)
 	}
 }
 
-// quarantineDigest is what is told of requests that are held back along with everything
-// else; nil is nothing.
-func (t *Gossip) quarantineDigest(now time.Time) *quarantine.Words {
-	if t.quarantine == nil {
+// quarantineDigest returns what the digest says about quarantined requests; nil if nothing.
+func (g *Gossip) quarantineDigest(now time.Time) *quarantine.Words {
+	if g.quarantine == nil {
 		return nil
 	}
-	if w := t.quarantine.Digest(now); !w.None() {
+	if w := g.quarantine.Digest(now); !w.None() {
 		return &w
 	}
 	return nil
 }
 
-// heardQuarantine takes in what another node tells.
-func (t *Gossip) heardQuarantine(m message) {
-	if t.quarantine != nil && m.Quarantine != nil {
-		t.quarantine.Heard(m.Node, *m.Quarantine, clock.Now())
+// receiveQuarantine processes a peer's reports on requests.
+func (g *Gossip) receiveQuarantine(m message) {
+	if g.quarantine != nil && m.Quarantine != nil {
+		g.quarantine.Heard(m.Node, *m.Quarantine, clock.Now())
 	}
 }
 
-// TurnFor is this node's place, from 0, in an order of those who judge that differs for each
-// key: one of them does what is to be done once, and the next ones where it did not.
-// A node that does not judge comes after all that do.
-func (t *Gossip) TurnFor(key string) int {
-	writers, _ := t.choice()
+// TurnFor returns this node's position, from 0, in an order of the judges that differs for
+// each key: the first one does what must be done once, and the next ones if it did not.
+// A node that is not a judge comes after all judges.
+func (g *Gossip) TurnFor(key string) int {
+	writers, _ := g.currentChoice()
 	names := lo.Keys(writers)
 	rank := func(name string) uint64 { return xxhash.Sum64String(key + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
-	at := slices.Index(names, t.registry.self.Name)
+	at := slices.Index(names, g.registry.self.Name)
 	if at < 0 {
 		return len(names)
 	}
--- a/fleet/relay/peer/quarantine_test.go
+++ b/fleet/relay/peer/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
 )
 
-// recorder is a node's book, as the gossip knows it and as its own observer.
+// recorder is a node's tracker of requests and its own observer.
 type recorder struct {
 	*quarantine.Book
 	judged int
@@ -28,44 +28,45 @@
 func (r *recorder) Judged(quarantine.Held)                            { r.judged++ }
 func (r *recorder) Heard(_ string, w quarantine.Words, now time.Time) { r.Book.Heard(w, now) }
 
-// counter is a node's socket: it counts what is told of requests, and hands it on.
-type counter struct {
+// quarantinePort is a node's socket that counts reports on requests, and delivers them.
+type quarantinePort struct {
 	net.PacketConn
 	at      map[string]*Gossip
 	address string
-	sums    *sums
+	traffic *traffic
 }
 
-type sums struct{ datagrams, bytes int }
+// traffic counts datagrams and the bytes of the reports in them.
+type traffic struct{ datagrams, bytes int }
 
-func (c counter) WriteTo(data []byte, to net.Addr) (int, error) {
+func (p quarantinePort) WriteTo(data []byte, to net.Addr) (int, error) {
 	if !bytes.Contains(data, []byte(`"quarantine"`)) {
-		return len(data), nil // of no concern here
+		return len(data), nil // not under test
 	}
 	m := decoded(data)
-	words, _ := json.Marshal(m.Quarantine)
-	c.sums.bytes += len(words)
+	reports, _ := json.Marshal(m.Quarantine)
+	p.traffic.bytes += len(reports)
 	if m.Number == 0 {
-		c.sums.datagrams++
+		p.traffic.datagrams++
 	}
-	if g, ok := c.at[to.String()]; ok {
-		g.receive(m, c.address)
+	if g, ok := p.at[to.String()]; ok {
+		g.receive(m, p.address)
 	}
 	return len(data), nil
 }
 
-// quarantineFleet is a fleet of so many nodes in three zones.
-func quarantineFleet(size int) ([]*Gossip, []*recorder, *sums) {
+// quarantineFleet returns a fleet of size nodes in three zones.
+func quarantineFleet(size int) ([]*Gossip, []*recorder, *traffic) {
 	all := members(size)
 	for i := range all {
 		all[i].Zone, all[i].Address = fmt.Sprint("z", i%3), fmt.Sprint("10.0.0.1:", 1000+i)
 	}
-	at, total := map[string]*Gossip{}, &sums{}
+	at, total := map[string]*Gossip{}, &traffic{}
 	var gossips []*Gossip
-	var books []*recorder
+	var trackers []*recorder
 	for _, m := range all {
-		g, _ := slopeGossipOf(all, nil, m)
-		g.socket = counter{at: at, address: m.Address, sums: total}
+		g, _ := trafficGossipOf(all, nil, m)
+		g.socket = quarantinePort{at: at, address: m.Address, traffic: total}
 		r := &recorder{}
 		r.Book = quarantine.NewBook(quarantine.DefaultRule(), r, func() quarantine.Role {
 			switch {
@@ -82,34 +83,34 @@
 		g.WithQuarantine(r)
 		g.choose()
 		at[m.Address] = g
-		gossips, books = append(gossips, g), append(books, r)
+		gossips, trackers = append(gossips, g), append(trackers, r)
 	}
-	return gossips, books, total
+	return gossips, trackers, total
 }
 
-// Three endpoints end under one request, each seen by four nodes, with eight calls of each:
-// within two beats after the third all nodes hold it back and nothing else, at any size of
-// the fleet. What is told of an end grows with those who judge, and with the nodes twice,
-// where one end more would be enough and where a request is held back: each node hears it of
-// those who judge in its zone. Told by each of these to all, and three times, it was 10,980
-// datagrams at 300 nodes and 36,180 at 1,000.
-func TestAllNodesHoldARequestBackAtAnySize(t *testing.T) {
+// Three endpoints end under one request, each observed by four nodes with eight calls each.
+// Soon after the third end all nodes quarantine that request and no other one, at any fleet
+// size. The number of datagrams per end grows with the judges; only twice does it grow with
+// the nodes, when one more end would suffice and when the request is quarantined, since each
+// node receives it from the judges of its zone. When each judge sent it to all nodes, three
+// times, it took 10,980 datagrams at 300 nodes and 36,180 at 1,000.
+func TestAllNodesQuarantineARequestAtAnySize(t *testing.T) {
 	const witnesses, calls = 4, 8
-	cases := []struct{ size, ends, all int }{ // datagrams at most: until the third end, and in all
+	cases := []struct{ size, ends, all int }{ // maximum datagrams: until the third end, and in total
 		{10, 400, 500}, {60, 400, 600}, {300, 900, 1_700}, {1000, 2_500, 5_000},
 	}
-	deadly := quarantine.PrintOf("customer", "POST", "host", "/", []byte("deadly"))
+	harmful := quarantine.PrintOf("customer", "POST", "host", "/", []byte("deadly"))
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				gossips, books, total := quarantineFleet(c.size)
-				talk := func(beats int) {
+				gossips, trackers, total := quarantineFleet(c.size)
+				exchange := func(beats int) {
 					for range beats {
 						for _, g := range gossips {
-							writers, _ := g.choice()
-							g.tellQuarantine(writers)
+							writers, _ := g.currentChoice()
+							g.sendQuarantine(writers)
 						}
-						time.Sleep(beat)
+						time.Sleep(beatInterval)
 					}
 				}
 				for end := range 3 {
@@ -118,28 +119,28 @@
 					}
 					e := engine.Engine{ID: fmt.Sprintf("i-%010x", end), Born: 1_764_722_185_123}
 					for w := range witnesses {
-						book := books[(end*31+w*7)%c.size]
+						tracker := trackers[(end*31+w*7)%c.size]
 						for call := range calls {
 							body := fmt.Sprint("beside", end, w, call)
 							if w+call == 0 {
 								body = "deadly"
 							}
-							book.Cut(e, quarantine.Suspect{Print: quarantine.PrintOf("customer", "POST", "host", "/", []byte(body)), Customer: "customer", Route: "route"}, clock.Now())
+							tracker.Cut(e, quarantine.Suspect{Print: quarantine.PrintOf("customer", "POST", "host", "/", []byte(body)), Customer: "customer", Route: "route"}, clock.Now())
 						}
-						book.Ended(e.Life(), clock.Now())
+						tracker.Ended(e.Life(), clock.Now())
 					}
-					talk(3)
+					exchange(3)
 				}
-				for i, b := range books {
-					assert.True(t, b.Holds(deadly, clock.Now()), "node %d", i)
+				for i, b := range trackers {
+					assert.True(t, b.Holds(harmful, clock.Now()), "node %d", i)
 					assert.Len(t, b.List(clock.Now()), 1)
 				}
-				talk(3)
-				t.Logf("%d nodes: %d datagrams, %d bytes of words in all; %d nodes judged", c.size, total.datagrams, total.bytes, lo.CountBy(books, func(r *recorder) bool { return r.judged > 0 }))
+				exchange(3)
+				t.Logf("%d nodes: %d datagrams, %d bytes of reports in total; %d nodes judged", c.size, total.datagrams, total.bytes, lo.CountBy(trackers, func(r *recorder) bool { return r.judged > 0 }))
 				assert.LessOrEqual(t, total.datagrams, c.all)
 				from := total.datagrams
-				talk(10)
-				assert.Equal(t, from, total.datagrams, "nothing more is told but with the digests")
+				exchange(10)
+				assert.Equal(t, from, total.datagrams, "nothing more is sent except with the digests")
 			})
 		})
 	}
--- a/fleet/relay/peer/regions_test.go
+++ b/fleet/relay/peer/regions_test.go
@@ -18,23 +18,24 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Peers of the region are asked for tokens before richer ones of other regions, also where
-// a peer names these.
+// Peers of the region are asked for tokens before richer ones of other regions, also if
+// another peer names these.
 func TestTokensComeFromTheRegionFirst(t *testing.T) {
 	now := time.Now()
 	l := newTransfers(allowanceWith("b", 0))
-	tell := func(peer string, c distance.Class, free int64) {
+	report := func(peer string, c distance.Class, free int64) {
 		l.recordFrom(peer, c, map[string]account.BudgetReport{tenant: {Free: free}}, now)
 	}
-	tell("far and rich", distance.OtherRegion, 500)
-	tell("zone", distance.SameZone, 5)
-	tell("region", distance.SameRegion, 50)
-	tell("far", distance.OtherRegion, 60)
+	report("far and rich", distance.OtherRegion, 500)
+	report("zone", distance.SameZone, 5)
+	report("region", distance.SameRegion, 50)
+	report("far", distance.OtherRegion, 60)
 	assert.Equal(t, []string{"region", "zone", "far and rich", "far"}, l.sources(tenant, now))
 	assert.Equal(t, []string{"unknown", "zone", "far and rich"}, l.nearFirst([]string{"far and rich", "unknown", "zone"}))
 }
 
-// regional is a fleet of so many regions with two zones each.
+// regional returns a fleet of size nodes in some regions with two zones each, and the region
+// of each zone.
 func regional(size, regions int) ([]Member, map[string]string) {
 	all := members(size)
 	of := map[string]string{}
@@ -47,8 +48,8 @@
 	return all, of
 }
 
-// A node asks its zone's delegates, then those of its region's other zones, and those of
-// other regions last; ones that do not reach the store are left out there.
+// A node asks its zone's delegates first, then those of its region's other zones, then those
+// of other regions. Outside its zone it skips ones that do not reach the store.
 func TestSourcesOfTheRegionComeFirst(t *testing.T) {
 	all, regions := regional(60, 3)
 	writers := Writers(all, func() []Member { return all })
@@ -57,7 +58,7 @@
 	g := gossipOf(self.Name, all)
 	g.registry.self = self
 	g.places = distance.From(self.Zone, regions, distance.DefaultCosts())
-	assert.Empty(t, g.watchers(writers), "it need not know")
+	assert.Empty(t, g.watchers(writers), "only delegates know the watchers")
 	var near, others []Member
 	for _, m := range all {
 		switch {
@@ -71,24 +72,24 @@
 	}
 	byName := lo.KeyBy(all, func(m Member) string { return m.Name })
 	classes := func() []distance.Class {
-		var seen []distance.Class
+		var got []distance.Class
 		for _, s := range *g.sourcesOf(writers, watchers, near, others) {
-			seen = append(seen, g.places.Class(byName[s.Name].Zone))
+			got = append(got, g.places.Class(byName[s.Name].Zone))
 		}
-		return seen
+		return got
 	}
 	z, r, o := distance.SameZone, distance.SameRegion, distance.OtherRegion
 	assert.Equal(t, []distance.Class{z, z, r, r, o, o}, classes())
 	for _, m := range others {
 		if g.places.Class(m.Zone) == r {
-			g.heard[m.Name] = heard{out: true}
+			g.peers[m.Name] = peerRecord{storeLost: true}
 		}
 	}
 	assert.Equal(t, []distance.Class{z, z, o, o}, classes())
 }
 
-// Two delegates of each region watch the store, of two zones; those that are known to be
-// out only where all of the region are. In a small fleet all watch.
+// Two delegates of each region, from two zones, watch the store. Delegates known to be lost
+// watch only if all of the region are. In a small fleet all nodes watch.
 func TestTwoDelegatesOfARegionWatch(t *testing.T) {
 	all, regions := regional(60, 3)
 	order := ranked(all)
@@ -100,7 +101,7 @@
 	}
 	cases := []struct {
 		name string
-		out  func(Member) bool
+		lost func(Member) bool
 		want func(t *testing.T, watchers map[string]bool)
 	}{
 		{"all reach the store", func(Member) bool { return false }, func(t *testing.T, watchers map[string]bool) {
@@ -110,19 +111,19 @@
 				assert.NotEqual(t, zone[two[0]], zone[two[1]])
 			}
 		}},
-		{"a zone is out", func(m Member) bool { return m.Zone == "z0" }, func(t *testing.T, watchers map[string]bool) {
+		{"a zone is lost", func(m Member) bool { return m.Zone == "z0" }, func(t *testing.T, watchers map[string]bool) {
 			for _, name := range of(watchers, "r0") {
 				assert.Equal(t, "z1", zone[name])
 			}
 			assert.Len(t, of(watchers, "r0"), regionWatchers)
 		}},
-		{"a region is out", func(m Member) bool { return regions[m.Zone] == "r0" }, func(t *testing.T, watchers map[string]bool) {
-			assert.Len(t, of(watchers, "r0"), regionWatchers, "its first ones go on")
+		{"a region is lost", func(m Member) bool { return regions[m.Zone] == "r0" }, func(t *testing.T, watchers map[string]bool) {
+			assert.Len(t, of(watchers, "r0"), regionWatchers, "its first ones stay")
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			watchers := watchersOf(writers, all, order, places, c.out)
+			watchers := watchersOf(writers, all, order, places, c.lost)
 			assert.Len(t, watchers, 3*regionWatchers)
 			for name := range watchers {
 				assert.True(t, writers[name])
@@ -130,32 +131,32 @@
 			c.want(t, watchers)
 		})
 	}
-	few := all[:allWrite]
-	writers = Writers(few, func() []Member { return few })
-	assert.Equal(t, writers, watchersOf(writers, few, few, places, func(Member) bool { return false }))
+	small := all[:allWrite]
+	writers = Writers(small, func() []Member { return small })
+	assert.Equal(t, writers, watchersOf(writers, small, small, places, func(Member) bool { return false }))
 }
 
-// heardSocket is a socket that keeps what is sent to each address.
-type heardSocket struct {
+// recordingSocket records the messages sent to each address.
+type recordingSocket struct {
 	net.PacketConn
 	sent map[string][]message
 }
 
-func (h *heardSocket) WriteTo(data []byte, to net.Addr) (int, error) {
+func (s *recordingSocket) WriteTo(data []byte, to net.Addr) (int, error) {
 	var m message
 	if err := json.Unmarshal(data, &m); err != nil {
 		return 0, err
 	}
-	h.sent[to.String()] = append(h.sent[to.String()], m)
+	s.sent[to.String()] = append(s.sent[to.String()], m)
 	return len(data), nil
 }
 
-// A node tells of what calls with homes read only those peers that lie there.
+// A node sends what calls with homes read only to peers in those home regions.
 func TestReadsOfCallsWithHomesStayThere(t *testing.T) {
-	all, regions := regional(12, 3) // all are told by all
+	all, regions := regional(12, 3) // all nodes send to all
 	self := all[0]
-	g, _ := slopeGossipOf(all, regions, self)
-	socket := &heardSocket{sent: map[string][]message{}}
+	g, _ := trafficGossipOf(all, regions, self)
+	socket := &recordingSocket{sent: map[string][]message{}}
 	g.socket = socket
 	now := time.Now()
 	engines := engine.NewDirectory(1, []engine.Engine{{ID: "e0", Service: "homes", Zone: "z0"}}).Of("homes")
@@ -169,14 +170,14 @@
 	for _, m := range all[1:] {
 		messages := socket.sent[m.Address]
 		assert.NotEmpty(t, messages)
-		told, other := 0, 0
+		bound, other := 0, 0
 		for _, one := range messages {
 			for _, r := range one.Reads {
-				told += lo.Ternary(slices.Contains(r.Parts, "secret"), 1, 0)
+				bound += lo.Ternary(slices.Contains(r.Parts, "secret"), 1, 0)
 				other += lo.Ternary(slices.Contains(r.Parts, "0123456789abcdef"), 1, 0)
 			}
 		}
-		assert.Equal(t, regions[m.Zone] != "r2", told > 0, m)
+		assert.Equal(t, regions[m.Zone] != "r2", bound > 0, m)
 		assert.Positive(t, other, m)
 	}
 }
--- a/fleet/relay/peer/registry.go
+++ b/fleet/relay/peer/registry.go
@@ -1,5 +1,6 @@
-// Package peer lets relaying nodes find each other through the store and tell
-// each other, by small datagrams, what they have sent to which endpoint.
+// Package peer lets the nodes of a fleet discover each other through the store and exchange
+// state: what each has in flight at which endpoint, budget reports, token transfers, and
+// reports on endpoints, by small datagrams; and the store's objects by HTTP.
 package peer
 
 import (
@@ -18,136 +19,141 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Kind is the store's kind in which nodes register.
+// Kind is the kind of object under which nodes register in the store.
 const Kind = "lynxshed-nodes"
 
-// Member is one node as it registers.
+// Member is the registration of a node.
 type Member struct {
 	Name     string  `json:"name"`
-	Life     string  `json:"life"` // differs for each start
+	Life     string  `json:"life"` // incarnation of the node; differs for each start
 	Zone     string  `json:"zone"`
-	Address  string  `json:"address"`            // for datagrams and for lists and watches, IP:PORT
-	LinkMbps float64 `json:"linkMbps,omitempty"` // of its VM; 0 is not known
-	Build    string  `json:"build,omitempty"`    // of its program; "": it does not say
+	Address  string  `json:"address"`            // for datagrams, lists and watches, IP:PORT
+	LinkMbps float64 `json:"linkMbps,omitempty"` // link speed of its VM; 0 if unknown
+	Build    string  `json:"build,omitempty"`    // build of its program; "" if not reported
 }
 
-// Registry is the nodes that the store lists.
+// Registry tracks the nodes that the store lists.
 type Registry struct {
 	store   store.Store
 	self    Member
 	log     log.Interface
 	health  *store.Health
 	history time.Duration
-	starts  time.Duration // that the fleet takes to register as a whole; 0: it is there already
+	startup time.Duration // that a fleet starting as a whole takes to register; 0: it is running already
 	members atomic.Pointer[[]Member]
 	faults  *store.Faults
 	left    atomic.Bool
-	spoiled chan struct{}    // holds one where this node's own entry can't be read
-	changed []func([]Member) // told of each change of the members
-	own     atomic.Int64     // store.Revision of this node's entry, as listed last; 0 is none
-	listed  chan struct{}    // closed once the nodes of the fleet were listed
-	once    sync.Once
-	byName  map[string]Member // of the follower's goroutine only, as the others
-	at      store.Revision    // of the last list
-	over    map[string]bool   // lives that left, as they said themselves
+
+	rewriteDue  chan struct{}    // holds a value while this node's own entry must be written again
+	onChange    []func([]Member) // called for each change of the members
+	ownRevision atomic.Int64     // store.Revision of this node's entry as last listed; 0 if none
+	listed      chan struct{}    // closed once the nodes of the fleet were listed
+	listedOnce  sync.Once
+
+	// Used only by the follower's goroutine.
+	byName map[string]Member
+	at     store.Revision  // of the last list
+	ended  map[string]bool // incarnations that left by removing their entry
 }
 
-// NewRegistry returns a registry that knows no other node yet; health is shared
-// with the node's other followers, and history is how long the store keeps it.
+// NewRegistry returns a registry that knows no other node yet. Health is shared with the
+// node's other followers, and history is how long the store keeps its history.
 func NewRegistry(s store.Store, self Member, health *store.Health, history time.Duration, l log.Interface) *Registry {
-	r := &Registry{store: s, self: self, log: l, health: health, history: history, byName: map[string]Member{}, over: map[string]bool{}, listed: make(chan struct{}), faults: store.NewFaults(l, nil), spoiled: make(chan struct{}, 1)}
+	r := &Registry{store: s, self: self, log: l, health: health, history: history, byName: map[string]Member{}, ended: map[string]bool{}, listed: make(chan struct{}), faults: store.NewFaults(l, nil), rewriteDue: make(chan struct{}, 1)}
 	r.publish()
 	return r
 }
 
-// Starting has the registry of a fleet that starts as a whole register first and list the
-// nodes after some time, when the others have: else each node lists some of them and
-// watches for the rest, two calls a node.
-func (r *Registry) Starting(takes time.Duration) *Registry {
-	r.starts = takes
+// Starting makes the registry of a fleet that starts as a whole register first and list the
+// nodes only after startup, when the others have registered. Otherwise each node lists some
+// of them and watches for the rest, which costs two calls per node.
+func (r *Registry) Starting(startup time.Duration) *Registry {
+	r.startup = startup
 	return r
 }
 
-// WithFaults has entries that can't be read told of together with the node's others.
+// WithFaults logs entries that can't be decoded through f, which the node shares.
 func (r *Registry) WithFaults(f *store.Faults) *Registry {
 	r.faults = f
 	return r
 }
 
-// OnChange has a function told of each change of the members, before Run.
-func (r *Registry) OnChange(tell func([]Member)) { r.changed = append(r.changed, tell) }
+// OnChange registers a function that is called for each change of the members. It must be
+// called before Run.
+func (r *Registry) OnChange(notify func([]Member)) { r.onChange = append(r.onChange, notify) }
 
-// Members lists the nodes, this one included, by name.
+// Members lists the nodes, including this one, sorted by name.
 func (r *Registry) Members() []Member { return *r.members.Load() }
 
-// Count is how many nodes there are, this one included.
+// Count returns the number of nodes, including this one.
 func (r *Registry) Count() int { return len(r.Members()) }
 
-// unlistedFleet stands for the number of nodes while none were listed.
-const unlistedFleet = 1000
+// assumedNodes is the assumed number of nodes before the first list.
+const assumedNodes = 1000
 
-// Sharers is by how many nodes a bound of the whole fleet is to be shared out: a node that
-// has just started, and knows of no other, is not taken for the only one.
+// Sharers returns the number of nodes among which a fleet-wide bound is divided. A node that
+// has just started and knows no other one must not take itself for the only one.
 func (r *Registry) Sharers() int {
 	select {
 	case <-r.listed:
 		return r.Count()
 	default:
-		return max(unlistedFleet, r.Count())
+		return max(assumedNodes, r.Count())
 	}
 }
 
-// Run registers this node and follows the others until ctx ends; seen takes each
-// change too.
-func (r *Registry) Run(ctx context.Context, seen func(store.Change)) {
+// Run registers this node and follows the others until ctx ends. It also passes each change
+// to observe.
+func (r *Registry) Run(ctx context.Context, observe func(store.Change)) {
 	go r.register(ctx)
-	clock.Pause(ctx, r.starts)
+	clock.Pause(ctx, r.startup)
 	store.Follow(ctx, r.store, store.Watching{Kind: Kind, Rest: r.rest, History: r.history, Health: r.health, Log: r.log}, func(c store.Change) {
-		seen(c)
+		observe(c)
 		r.apply(c)
 	})
 }
 
-// How long the list of nodes may lag behind. In a small fleet every node's part of the
-// budgets rests on it; in a large one the few that write the ledger hear each other.
+// Maximum lag of the list of nodes. In a small fleet each node's share of the budgets depends
+// on the list; in a large one the few nodes that write the ledger hear from each other.
 const (
-	smallRest = 300 * time.Millisecond
-	largeRest = time.Second
+	smallFleetRest = 300 * time.Millisecond
+	largeFleetRest = time.Second
 )
 
 func (r *Registry) rest() time.Duration {
 	if r.Count() > allWrite {
-		return largeRest
+		return largeFleetRest
 	}
-	return smallRest
+	return smallFleetRest
 }
 
-// registerPause is the time between tries to register. The first one waits for the
-// list of the nodes, which tells what an earlier life of this one left there, unless
+// registerBackoff is the time between attempts to register. The first attempt waits for the
+// list of the nodes, which shows the entry of an earlier incarnation of this node, unless
 // the whole fleet starts.
-const registerPause = 500 * time.Millisecond
+const registerBackoff = 500 * time.Millisecond
 
-// spoiledPause is the time before an own entry is written anew that another writer spoiled.
-const spoiledPause = 2 * time.Second
+// rewriteDelay is the time before this node's own entry, overwritten by another writer, is
+// written again.
+const rewriteDelay = 2 * time.Second
 
 func (r *Registry) register(ctx context.Context) {
-	if r.starts == 0 {
+	if r.startup == 0 {
 		r.AwaitListed(ctx)
 	}
 	for ctx.Err() == nil && !r.left.Load() {
 		select {
-		case <-r.spoiled: // what is written now replaces it
+		case <-r.rewriteDue: // the write below replaces the entry
 		default:
 		}
 		if err := r.write(ctx); err != nil {
-			clock.Pause(ctx, registerPause)
+			clock.Pause(ctx, registerBackoff)
 			continue
 		}
 		r.log.WithField("life", r.self.Life).Info("registered")
 		select {
 		case <-ctx.Done():
-		case <-r.spoiled:
-			clock.Pause(ctx, store.Jittered(spoiledPause))
+		case <-r.rewriteDue:
+			clock.Pause(ctx, store.Jittered(rewriteDelay))
 		}
 	}
 }
@@ -159,7 +165,7 @@
 	if err != nil {
 		return errors.Wrap(err, "register")
 	}
-	o := store.Object{Kind: Kind, Name: r.self.Name, Revision: store.Revision(r.own.Load()), Data: data}
+	o := store.Object{Kind: Kind, Name: r.self.Name, Revision: store.Revision(r.ownRevision.Load()), Data: data}
 	_, err = r.store.Put(ctx, o)
 	if !errors.Is(err, store.ErrConflict) {
 		return err
@@ -168,15 +174,15 @@
 	if err != nil {
 		return err
 	}
-	if before.Revision.Number() == 0 { // it can't be read so far that it could be replaced
-		return errors.CombineErrors(r.remove(ctx), errors.New("an entry of this node that can't be read was taken away"))
+	if before.Revision.Number() == 0 { // not even its revision can be decoded, so it can't be replaced
+		return errors.CombineErrors(r.remove(ctx), errors.New("removed an entry of this node that can't be decoded"))
 	}
 	o.Revision = before.Revision
 	_, err = r.store.Put(ctx, o)
 	return err
 }
 
-// Leave takes this node off the list.
+// Leave removes this node's registration.
 func (r *Registry) Leave(ctx context.Context) error {
 	r.left.Store(true)
 	return r.remove(ctx)
@@ -200,7 +206,7 @@
 			r.put(o)
 		}
 		if fromCopy {
-			r.restore()
+			r.restoreOwn()
 		}
 	case store.Update:
 		for _, e := range c.Events {
@@ -214,50 +220,50 @@
 		return
 	}
 	r.publish()
-	r.once.Do(func() { close(r.listed) })
+	r.listedOnce.Do(func() { close(r.listed) })
 }
 
-// mostOver bounds the lives that are remembered after they left.
-const mostOver = 512
+// maxEnded limits the number of incarnations that are remembered after they left.
+const maxEnded = 512
 
-// restore has this node's own entry written again where a copy of the store lacks it, or
-// holds that of an earlier life.
-func (r *Registry) restore() {
+// restoreOwn requests a rewrite of this node's own entry if a copy of the store lacks it or
+// holds that of an earlier incarnation.
+func (r *Registry) restoreOwn() {
 	own, listed := r.byName[r.self.Name]
 	if listed && own.Life == r.self.Life {
 		return
 	}
 	if !listed {
-		r.own.Store(0)
+		r.ownRevision.Store(0)
 	}
-	r.log.WithField("life", r.self.Life).WithField("listed", own.Life).WithField("revision", r.at.Number()).WithField("era", r.at.Era()).Warn("a copy of the store lacks this node's entry: written again")
+	r.log.WithField("life", r.self.Life).WithField("listed", own.Life).WithField("revision", r.at.Number()).WithField("era", r.at.Era()).Warn("restored store lacks this node's entry: writing it again")
 	r.rewrite()
 }
 
 func (r *Registry) gone(name string) {
 	if m, known := r.byName[name]; known {
-		if len(r.over) >= mostOver {
-			clear(r.over)
+		if len(r.ended) >= maxEnded {
+			clear(r.ended)
 		}
-		r.over[m.Life] = true
+		r.ended[m.Life] = true
 	}
 	delete(r.byName, name)
 	r.faults.Gone(store.Object{Kind: Kind, Name: name})
 	if name == r.self.Name {
-		r.own.Store(0)
+		r.ownRevision.Store(0)
 	}
 }
 
-// put takes an entry in force. Where it can't be read its node is not known, whatever it
-// said before.
+// put applies an entry. If it can't be decoded, its node is no longer known, whatever the
+// entry was before.
 func (r *Registry) put(o store.Object) {
 	own := o.Name == r.self.Name
 	if own {
-		r.own.Store(int64(o.Revision))
+		r.ownRevision.Store(int64(o.Revision))
 	}
 	m, err := memberOf(o)
-	if err == nil && r.over[m.Life] && !own {
-		r.log.WithField("node", m.Name).WithField("life", m.Life).WithField("revision", o.Revision.Number()).WithField("era", o.Revision.Era()).Info("entry of a life that left, back with a copy of the store: ignored")
+	if err == nil && r.ended[m.Life] && !own {
+		r.log.WithField("node", m.Name).WithField("life", m.Life).WithField("revision", o.Revision.Number()).WithField("era", o.Revision.Era()).Info("ignoring the entry of an incarnation that left, listed again by a restored store")
 		return
 	}
 	if err == nil {
@@ -272,11 +278,11 @@
 	}
 }
 
-// rewrite has this node's own entry written anew.
+// rewrite requests that this node's own entry is written again.
 func (r *Registry) rewrite() {
 	select {
-	case r.spoiled <- struct{}{}:
-	default: // it will be
+	case r.rewriteDue <- struct{}{}:
+	default: // already requested
 	}
 }
 
@@ -304,17 +310,17 @@
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	r.members.Store(&members)
-	for _, tell := range r.changed {
-		tell(members)
+	for _, notify := range r.onChange {
+		notify(members)
 	}
 }
 
-// listedWait bounds how long a node that starts waits for the first list of the nodes.
-const listedWait = time.Second
+// listTimeout limits how long a starting node waits for the first list of the nodes.
+const listTimeout = time.Second
 
-// AwaitListed returns once the nodes of the fleet were listed and taken note of, or soon.
+// AwaitListed returns once the nodes of the fleet were listed, or after listTimeout.
 func (r *Registry) AwaitListed(ctx context.Context) {
-	timer := time.NewTimer(listedWait)
+	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
 	case <-r.listed:
--- a/fleet/relay/peer/registry_test.go
+++ b/fleet/relay/peer/registry_test.go
@@ -16,24 +16,24 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// listing is a store that lists some nodes and notes what else is asked of it.
+// listing is a store that lists some nodes and records the calls.
 type listing struct {
 	store.Store
 	mu      sync.Mutex
 	objects []store.Object
-	fails   int // lists that fail at first
+	fails   int // number of lists that fail at first
 	calls   []string
 	written []store.Object
 }
 
-func (s *listing) note(call string) {
+func (s *listing) record(call string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, call)
 }
 
 func (s *listing) List(context.Context, string) ([]store.Object, store.Revision, error) {
-	s.note("list")
+	s.record("list")
 	if s.fails > 0 {
 		s.fails--
 		return nil, 0, store.ErrRefused
@@ -51,12 +51,12 @@
 }
 
 func (s *listing) Get(context.Context, string, string) (store.Object, error) {
-	s.note("get")
+	s.record("get")
 	return store.Object{Revision: 5}, nil
 }
 
 func (s *listing) Put(_ context.Context, o store.Object) (store.Object, error) {
-	s.note("put")
+	s.record("put")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.written = append(s.written, o)
@@ -69,12 +69,12 @@
 }
 
 func (s *listing) Delete(context.Context, string, string) error {
-	s.note("delete")
+	s.record("delete")
 	return store.ErrNotFound
 }
 
-// A node registers with one write after the first list, also where an earlier life of
-// it is listed; where nothing is listed for long it does without.
+// A node registers with one write after the first list, also if an earlier incarnation of it
+// is listed. If the list takes too long, it registers without.
 func TestANodeRegistersWithOneWrite(t *testing.T) {
 	entry := store.Object{Kind: Kind, Name: "a", Revision: 5, Data: []byte(`{"name":"a","life":"before","address":"x"}`)}
 	cases := []struct {
@@ -84,8 +84,8 @@
 		calls    []string
 		revision store.Revision // of the write that took effect
 	}{
-		{"nothing was there", nil, 0, []string{"list", "put"}, 0},
-		{"an earlier life", []store.Object{entry}, 0, []string{"list", "put"}, 5},
+		{"no entry", nil, 0, []string{"list", "put"}, 0},
+		{"an earlier incarnation", []store.Object{entry}, 0, []string{"list", "put"}, 5},
 		{"not listed in time", []store.Object{entry}, 9, []string{"put", "get", "put"}, 5},
 	}
 	for _, c := range cases {
@@ -98,7 +98,7 @@
 				quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 				r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
 				go r.Run(ctx, func(store.Change) {})
-				time.Sleep(listedWait + 100*time.Millisecond)
+				time.Sleep(listTimeout + 100*time.Millisecond)
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				for _, call := range c.calls {
@@ -111,9 +111,9 @@
 	}
 }
 
-// A node whose entry can't be read is not known, whatever it said before; the others are,
-// and a later good entry is taken.
-func TestANodeWhoseEntryIsSpoiledIsNotKnown(t *testing.T) {
+// A node whose entry can't be decoded is not known, whatever the entry was before. The others
+// are, and a later valid entry is applied.
+func TestNodeWithABadEntryIsNotKnown(t *testing.T) {
 	object := func(name, data, fault string) store.Object {
 		return store.Object{Kind: Kind, Name: name, Revision: 3, Data: []byte(data), Fault: fault}
 	}
@@ -124,14 +124,14 @@
 		name string
 		bad  store.Object
 	}{
-		{"can't be read", object("b", "", "no JSON")},
+		{"not decodable", object("b", "", "no JSON")},
 		{"null", object("b", "null", "")},
 		{"missing", object("b", "", "")},
 		{"a list", object("b", "[]", "")},
 		{"no name", object("b", `{"life":"l"}`, "")},
 		{"another's name", object("b", `{"name":"c","life":"l"}`, "")},
 		{"a name that is a number", object("b", `{"name":7}`, "")},
-		{"a link of a text", object("b", `{"name":"b","linkMbps":"all"}`, "")},
+		{"a link that is a text", object("b", `{"name":"b","linkMbps":"all"}`, "")},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -150,21 +150,21 @@
 	}
 }
 
-// A node that has just started shares what the whole fleet may do with many, until it has
-// listed the others.
-func TestANodeThatKnowsNoOtherIsNotTheOnlyOne(t *testing.T) {
+// A node that has just started must not take a whole fleet-wide bound for itself: it assumes
+// many nodes until it has listed the others.
+func TestSharersBeforeTheFirstList(t *testing.T) {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	r := NewRegistry(&listing{}, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
-	assert.Equal(t, unlistedFleet, r.Sharers())
+	assert.Equal(t, assumedNodes, r.Sharers())
 	r.apply(store.Lost{})
-	assert.Equal(t, unlistedFleet, r.Sharers())
+	assert.Equal(t, assumedNodes, r.Sharers())
 	r.apply(store.Snapshot{})
-	assert.Equal(t, 1, r.Sharers(), "it is, as listed")
+	assert.Equal(t, 1, r.Sharers(), "the only node listed")
 }
 
-// A node whose own entry another writer spoiled writes it anew, so that the others know it
-// again: one write, and none after it has left.
-func TestANodeWritesItsSpoiledEntryAnew(t *testing.T) {
+// A node whose own entry another writer made undecodable writes it again, so that the others
+// know it: with one write, and with none after it has left.
+func TestNodeRewritesItsBadEntry(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -174,7 +174,7 @@
 			quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 			r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
 			go r.Run(ctx, func(store.Change) {})
-			time.Sleep(listedWait + 100*time.Millisecond)
+			time.Sleep(listTimeout + 100*time.Millisecond)
 			synctest.Wait()
 			require.Len(t, s.written, 1)
 			if leaves {
@@ -182,7 +182,7 @@
 			}
 			r.put(store.Object{Kind: Kind, Name: "a", Revision: 9, Fault: "no JSON"})
 			r.put(store.Object{Kind: Kind, Name: "a", Revision: 9, Fault: "no JSON"})
-			time.Sleep(10 * spoiledPause)
+			time.Sleep(10 * rewriteDelay)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			require.Len(t, s.written, lo.Ternary(leaves, 1, 2))
@@ -193,24 +193,24 @@
 	}
 }
 
-// The list of a large fleet may lag behind for longer: every change of it wakes all
-// who watch the store.
-func TestTheListOfALargeFleetRestsLonger(t *testing.T) {
-	assert.Equal(t, smallRest, gossipOf("n1", members(allWrite)).registry.rest())
-	assert.Equal(t, largeRest, gossipOf("n1", members(allWrite+1)).registry.rest())
+// The list of a large fleet may lag longer, since each change wakes all nodes that watch the
+// store.
+func TestLargeFleetRestsLonger(t *testing.T) {
+	assert.Equal(t, smallFleetRest, gossipOf("n1", members(allWrite)).registry.rest())
+	assert.Equal(t, largeFleetRest, gossipOf("n1", members(allWrite+1)).registry.rest())
 }
 
-// In a fleet that starts as a whole a node registers at once, lists the others when these
-// have registered, and finds them all in one call.
+// In a fleet that starts as a whole, a node registers at once, lists the others after they
+// have registered, and finds all of them in one call.
 func TestAFleetThatStartsRegistersFirst(t *testing.T) {
-	const takes = 1500 * time.Millisecond
+	const startup = 1500 * time.Millisecond
 	cases := []struct {
 		name    string
-		earlier bool // a life of it is registered already
+		earlier bool // an earlier incarnation is registered
 		want    []string
 	}{
-		{"the first life", false, []string{"put", "list"}},
-		{"an earlier one is listed", true, []string{"put", "get", "put", "list"}},
+		{"the first incarnation", false, []string{"put", "list"}},
+		{"an earlier incarnation is listed", true, []string{"put", "get", "put", "list"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -220,10 +220,10 @@
 					s.objects = []store.Object{{Kind: Kind, Name: "a", Revision: 5, Data: []byte(`{"name":"a","life":"before"}`)}}
 				}
 				quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-				r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet).Starting(takes)
+				r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet).Starting(startup)
 				ctx, cancel := context.WithCancel(t.Context())
 				go r.Run(ctx, func(store.Change) {})
-				time.Sleep(takes - time.Millisecond)
+				time.Sleep(startup - time.Millisecond)
 				s.mu.Lock()
 				assert.Equal(t, c.want[:len(c.want)-1], s.calls)
 				s.mu.Unlock()
--- a/fleet/relay/peer/restored_test.go
+++ b/fleet/relay/peer/restored_test.go
@@ -15,14 +15,14 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-func entryOf(name, life string, at store.Revision) store.Object {
-	data, _ := json.Marshal(Member{Name: name, Life: life, Zone: "z", Address: "127.0.0.1:1"})
+func entryOf(name, incarnation string, at store.Revision) store.Object {
+	data, _ := json.Marshal(Member{Name: name, Life: incarnation, Zone: "z", Address: "127.0.0.1:1"})
 	return store.Object{Kind: Kind, Name: name, Revision: at, Data: data}
 }
 
-// Guards against a node that the others do not know, and against ones that left and count
-// again, where the store came back from a copy.
-func TestTheListOfNodesAfterACopyOfTheStore(t *testing.T) {
+// After the store was restored from a copy, no running node may stay unknown to the others,
+// and no node that left may count again.
+func TestNodesAfterARestoredStore(t *testing.T) {
 	old, again := store.At(1, 9), store.At(2, 5)
 	cases := []struct {
 		name    string
@@ -30,11 +30,11 @@
 		members []string
 		writes  int
 	}{
-		{"it holds all", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again)}, []string{"a", "b"}, 0},
+		{"it has all", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again)}, []string{"a", "b"}, 0},
 		{"it lacks this node", []store.Object{entryOf("b", "b/1", again)}, []string{"a", "b"}, 1},
-		{"it holds an earlier life of this node", []store.Object{entryOf("a", "a/0", again), entryOf("b", "b/1", again)}, []string{"a", "b"}, 1},
-		{"it holds one that left", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again), entryOf("c", "c/1", again)}, []string{"a", "b"}, 0},
-		{"it holds a later life of one that left", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again), entryOf("c", "c/2", again)}, []string{"a", "b", "c"}, 0},
+		{"it has an earlier incarnation of this node", []store.Object{entryOf("a", "a/0", again), entryOf("b", "b/1", again)}, []string{"a", "b"}, 1},
+		{"it has a node that left", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again), entryOf("c", "c/1", again)}, []string{"a", "b"}, 0},
+		{"it has a later incarnation of a node that left", []store.Object{entryOf("a", "a/1", again), entryOf("b", "b/1", again), entryOf("c", "c/2", again)}, []string{"a", "b", "c"}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -10,78 +10,78 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// While a service moves to another version, each node tells the delegates of its zone at
-// every beat what it has seen of both, and each delegate tells those of other zones what
-// its zone has seen. All of it counts from the order on, so that a datagram that is lost
-// costs nothing. A target that was found bad is told to all nodes at once, and again with
-// whatever else is told, until the order has ended. Without an order nothing is told.
+// While a service moves to another version, each node sends the evidence it has of both
+// versions to the delegates of its zone at every beat, and each delegate sends the evidence
+// of its zone to the delegates of other zones. Evidence is cumulative since the order, so a
+// lost datagram costs nothing. A target found bad is announced to all nodes at once, and
+// again with every digest until the order has ended. Without an order nothing is sent.
 
-// RolloutWord is what one node tells of the orders that are open.
+// RolloutWord is a node's report on the open orders.
 type RolloutWord struct {
 	Seen []RolloutSeen  `json:"seen,omitempty"`
-	Bad  []rollout.Warn `json:"bad,omitempty"`  // targets that somebody found bad
-	Out  bool           `json:"out,omitempty"`  // the teller failed to write a status of late
-	Late bool           `json:"late,omitempty"` // the teller found a status, and does not know how old it is
+	Bad  []rollout.Warn `json:"bad,omitempty"`  // targets that some node found bad
+	Out  bool           `json:"out,omitempty"`  // the sender recently failed to write a status
+	Late bool           `json:"late,omitempty"` // the sender found a status whose age it does not know
 }
 
-// RolloutSeen is what was seen of one order.
+// RolloutSeen is the evidence on one order.
 type RolloutSeen struct {
-	Zone     string           `json:"zone,omitempty"` // whose nodes saw it together; "" is the teller alone
+	Zone     string           `json:"zone,omitempty"` // zone whose nodes observed it together; "" if the sender alone did
 	Target   string           `json:"t"`
 	Evidence rollout.Evidence `json:"e"`
 	Old      int              `json:"old,omitempty"`     // calls in flight at old endpoints
-	LastsMs  int64            `json:"lastsMs,omitempty"` // that the longest of the calls of late were expected to take
-	At       int64            `json:"at,omitempty"`      // number of the revision of the order's object that the teller knows
-	Era      int64            `json:"era,omitempty"`     // and its era
-	UsedMs   int64            `json:"usedMs,omitempty"`  // of the order's duration, by the teller's clock
-	AtLeast  bool             `json:"least,omitempty"`   // so much or more: the teller found the status, too
+	LastsMs  int64            `json:"lastsMs,omitempty"` // expected duration of the longest of the recent calls
+	At       int64            `json:"at,omitempty"`      // revision number of the order's object that the sender knows
+	Era      int64            `json:"era,omitempty"`     // era of that revision
+	UsedMs   int64            `json:"usedMs,omitempty"`  // time used of the order's duration, by the sender's clock
+	AtLeast  bool             `json:"least,omitempty"`   // UsedMs is a lower bound, since the sender found the status
 }
 
-// RolloutTalk is what a node has to say of rollouts, and who takes in what others say.
-// It is safe for concurrent use.
+// RolloutTalk provides a node's reports on rollouts and receives those of others. It must be
+// safe for concurrent use.
 type RolloutTalk interface {
-	Own(now time.Time) []RolloutSeen  // for the delegates of the zone
-	Zone(now time.Time) []RolloutSeen // for the delegates of other zones
-	Bad() []rollout.Warn
-	Out(now time.Time) bool // whether the node failed to write of late
-	Blind() bool            // whether it does not know how old the status of an open order is
+	Own(now time.Time) []RolloutSeen  // evidence for the delegates of the zone
+	Zone(now time.Time) []RolloutSeen // evidence for the delegates of other zones
+	Bad() []rollout.Warn              // targets found bad
+	Out(now time.Time) bool           // reports whether the node recently failed to write a status
+	Blind() bool                      // reports whether the age of the status of an open order is unknown
 	Heard(from Teller, w RolloutWord, now time.Time)
 }
 
-// Teller is a node, one life of it.
+// Teller is one incarnation of a node that sends a report.
 type Teller struct{ Name, Life string }
 
-// WithRollouts has the node tell and hear of rollouts.
-func (t *Gossip) WithRollouts(talk RolloutTalk) *Gossip {
-	t.rollouts = talk
-	return t
+// WithRollouts exchanges reports on rollouts.
+func (g *Gossip) WithRollouts(talk RolloutTalk) *Gossip {
+	g.rollouts = talk
+	return g
 }
 
-// tellRollouts tells the delegates what was seen of open orders.
-func (t *Gossip) tellRollouts(delegates map[string]bool) {
-	if t.rollouts == nil {
+// sendRollouts sends the evidence on open orders to the delegates.
+func (g *Gossip) sendRollouts(delegates map[string]bool) {
+	if g.rollouts == nil {
 		return
 	}
-	self, now := t.registry.self, clock.Now()
-	own := t.rollouts.Own(now)
+	self, now := g.registry.self, clock.Now()
+	own := g.rollouts.Own(now)
 	if len(own) == 0 {
 		return
 	}
-	near, far := t.delegateAddresses(delegates)
-	w := RolloutWord{Seen: own, Bad: t.rollouts.Bad(), Out: t.rollouts.Out(now), Late: t.rollouts.Blind()}
-	t.send(t.signed(message{Rollouts: &w}), near...)
+	near, far := g.delegateAddresses(delegates)
+	w := RolloutWord{Seen: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), Late: g.rollouts.Blind()}
+	g.send(g.withSender(message{Rollouts: &w}), near...)
 	if delegates[self.Name] && len(far) > 0 {
-		w.Seen = t.rollouts.Zone(now)
-		t.send(t.signed(message{Rollouts: &w}), far...)
+		w.Seen = g.rollouts.Zone(now)
+		g.send(g.withSender(message{Rollouts: &w}), far...)
 	}
 }
 
-// delegateAddresses are where the other delegates of the own zone are told, and those of
-// other zones. A node of a zone without a delegate tells those of one other zone, so that
-// what it saw counts once.
-func (t *Gossip) delegateAddresses(delegates map[string]bool) (near, far []string) {
-	self := t.registry.self
-	for _, m := range t.registry.Members() {
+// delegateAddresses returns the addresses of the other delegates of this node's zone, and of
+// those of other zones. For a node of a zone without a delegate, near is the delegates of
+// one other zone, so that its evidence counts once.
+func (g *Gossip) delegateAddresses(delegates map[string]bool) (near, far []string) {
+	self := g.registry.self
+	for _, m := range g.registry.Members() {
 		switch {
 		case m.Name == self.Name || !delegates[m.Name]:
 		case m.Zone == self.Zone:
@@ -93,83 +93,84 @@
 	if len(near) > 0 || delegates[self.Name] {
 		return near, far
 	}
-	return t.adopting(delegates), nil
+	return g.fallbackDelegates(delegates), nil
 }
 
-// adopting are the addresses of the delegates of the zone that comes first.
-func (t *Gossip) adopting(delegates map[string]bool) []string {
-	chosen := lo.Filter(t.registry.Members(), func(m Member, _ int) bool { return delegates[m.Name] })
-	zone := slices.Min(append(lo.Map(chosen, func(m Member, _ int) string { return m.Zone }), zoneLast))
+// fallbackDelegates returns the addresses of the delegates of the first zone by name.
+func (g *Gossip) fallbackDelegates(delegates map[string]bool) []string {
+	chosen := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return delegates[m.Name] })
+	zone := slices.Min(append(lo.Map(chosen, func(m Member, _ int) string { return m.Zone }), afterAllZones))
 	in := lo.Filter(chosen, func(m Member, _ int) bool { return m.Zone == zone })
 	return addresses(in)
 }
 
-// zoneLast comes after the name of any zone.
-const zoneLast = "\xff"
+// afterAllZones sorts after the name of any zone.
+const afterAllZones = "\xff"
 
-// TellBad tells all nodes at once that the target of an order was found bad.
-func (t *Gossip) TellBad(w rollout.Warn) {
-	others := lo.Filter(t.registry.Members(), func(m Member, _ int) bool { return m.Name != t.registry.self.Name })
-	t.send(t.signed(message{Rollouts: &RolloutWord{Bad: []rollout.Warn{w}}}), addresses(others)...)
+// TellBad announces to all nodes at once that the target of an order was found bad.
+func (g *Gossip) TellBad(w rollout.Warn) {
+	others := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != g.registry.self.Name })
+	g.send(g.withSender(message{Rollouts: &RolloutWord{Bad: []rollout.Warn{w}}}), addresses(others)...)
 }
 
-// badWord is what is told of targets found bad along with everything else; nil is nothing.
-func (t *Gossip) badWord() *RolloutWord {
-	if t.rollouts == nil {
+// badTargets returns the report on bad targets for the digest; nil if there are none.
+func (g *Gossip) badTargets() *RolloutWord {
+	if g.rollouts == nil {
 		return nil
 	}
-	bad := t.rollouts.Bad()
+	bad := g.rollouts.Bad()
 	if len(bad) == 0 {
 		return nil
 	}
 	return &RolloutWord{Bad: bad}
 }
 
-// heardRollouts takes in what another node tells of rollouts.
-func (t *Gossip) heardRollouts(m message) {
-	if t.rollouts != nil {
-		t.mu.Lock()
-		if h, ok := t.heard[m.Node]; ok && m.Number == 0 {
-			h.noWrites, h.blind = m.Rollouts.Out, m.Rollouts.Late
-			t.heard[m.Node] = h
+// receiveRollouts processes a peer's report on rollouts.
+func (g *Gossip) receiveRollouts(m message) {
+	if g.rollouts != nil {
+		g.mu.Lock()
+		if p, ok := g.peers[m.Node]; ok && m.Number == 0 {
+			p.writeFailed, p.ageUnknown = m.Rollouts.Out, m.Rollouts.Late
+			g.peers[m.Node] = p
 		}
-		t.mu.Unlock()
-		t.rollouts.Heard(Teller{Name: m.Node, Life: m.Life}, *m.Rollouts, clock.Now())
+		g.mu.Unlock()
+		g.rollouts.Heard(Teller{Name: m.Node, Life: m.Incarnation}, *m.Rollouts, clock.Now())
 	}
 }
 
-// FirstDelegate is whether this node comes first, in the order that all nodes share,
-// among the delegates that are heard and reach the store. One that found a status, and
-// did not see it written, comes after those that did: they know how old it is.
-func (t *Gossip) FirstDelegate() bool {
-	t.choosing.Lock()
-	chosen, order := t.chosen, t.delegates.order
-	t.choosing.Unlock()
-	fit := lo.Filter(order, func(m Member, _ int) bool { return chosen[m.Name] && t.mayWrite(m) })
-	first, ok := lo.Find(fit, func(m Member) bool { return !t.isBlind(m) })
+// FirstDelegate reports whether this node comes first, in the order that all nodes share,
+// among the delegates that are heard and reach the store. A delegate that does not know the
+// age of a status comes after those that observed it being written, and so know its age.
+func (g *Gossip) FirstDelegate() bool {
+	g.chooseMu.Lock()
+	chosen, order := g.chosen, g.delegates.order
+	g.chooseMu.Unlock()
+	fit := lo.Filter(order, func(m Member, _ int) bool { return chosen[m.Name] && g.mayWrite(m) })
+	first, ok := lo.Find(fit, func(m Member) bool { return !g.isAgeUnknown(m) })
 	if !ok && len(fit) > 0 {
 		first, ok = fit[0], true
 	}
-	return ok && first.Name == t.registry.self.Name
+	return ok && first.Name == g.registry.self.Name
 }
 
-// mayWrite is whether a delegate is heard, and reaches the store as far as it says.
-func (t *Gossip) mayWrite(m Member) bool {
-	if m.Name == t.registry.self.Name {
-		return !t.out() && !t.rollouts.Out(clock.Now())
+// mayWrite reports whether a delegate is heard and, by its own report, reaches the store.
+func (g *Gossip) mayWrite(m Member) bool {
+	if m.Name == g.registry.self.Name {
+		return !g.storeLost() && !g.rollouts.Out(clock.Now())
 	}
-	w := t.word(m.Name)
-	return !w.out && !w.noWrites && !w.at.IsZero() && clock.Since(w.at) < firstSilent
+	s := g.stateOf(m.Name)
+	return !s.storeLost && !s.writeFailed && !s.at.IsZero() && clock.Since(s.at) < firstSilenceTimeout
 }
 
-func (t *Gossip) isBlind(m Member) bool {
-	if m.Name == t.registry.self.Name {
-		return t.rollouts.Blind()
+// isAgeUnknown reports whether a delegate does not know the age of the status of an order.
+func (g *Gossip) isAgeUnknown(m Member) bool {
+	if m.Name == g.registry.self.Name {
+		return g.rollouts.Blind()
 	}
-	return t.word(m.Name).blind
+	return g.stateOf(m.Name).ageUnknown
 }
 
-// firstSilent is after how long a delegate that is not heard does not count as the first
-// any more: delegates tell each other at every third beat, and a version found bad has
-// to be dropped within seconds.
-const firstSilent = 1500 * time.Millisecond
+// firstSilenceTimeout is the time after which a silent delegate no longer counts as the
+// first: delegates send to each other at every third beat, and a version found bad must be
+// dropped within seconds.
+const firstSilenceTimeout = 1500 * time.Millisecond
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -15,36 +15,36 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// talk says what a test gives it, and keeps what it hears.
-type talk struct {
+// fakeTalk is a RolloutTalk that provides fixed reports and records received ones.
+type fakeTalk struct {
 	seen []RolloutSeen
 	bad  []rollout.Warn
 	out  bool
 	late bool
 
-	mu    sync.Mutex
-	heard []RolloutWord
+	mu       sync.Mutex
+	received []RolloutWord
 }
 
-func (k *talk) Own(time.Time) []RolloutSeen { return k.seen }
+func (k *fakeTalk) Own(time.Time) []RolloutSeen { return k.seen }
 
-func (k *talk) Zone(time.Time) []RolloutSeen {
+func (k *fakeTalk) Zone(time.Time) []RolloutSeen {
 	return lo.Map(k.seen, func(s RolloutSeen, _ int) RolloutSeen { s.Zone = "z"; return s })
 }
 
-func (k *talk) Bad() []rollout.Warn { return k.bad }
-func (k *talk) Out(time.Time) bool  { return k.out }
-func (k *talk) Blind() bool         { return k.late }
+func (k *fakeTalk) Bad() []rollout.Warn { return k.bad }
+func (k *fakeTalk) Out(time.Time) bool  { return k.out }
+func (k *fakeTalk) Blind() bool         { return k.late }
 
-func (k *talk) Heard(_ Teller, w RolloutWord, _ time.Time) {
+func (k *fakeTalk) Heard(_ Teller, w RolloutWord, _ time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.heard = append(k.heard, w)
+	k.received = append(k.received, w)
 }
 
-// Each node tells the delegates of its zone, delegates tell those of other zones, too,
-// and what a zone without delegates sees is told to one zone only.
-func TestWhoIsToldOfRollouts(t *testing.T) {
+// Each node sends to the delegates of its zone, and delegates also send to those of other
+// zones. The evidence of a zone without delegates goes to one zone only.
+func TestRecipientsOfRolloutReports(t *testing.T) {
 	all := []Member{{Name: "a1", Zone: "a"}, {Name: "a2", Zone: "a"}, {Name: "a3", Zone: "a"}, {Name: "b1", Zone: "b"}, {Name: "b2", Zone: "b"}, {Name: "c1", Zone: "c"}, {Name: "c2", Zone: "c"}}
 	for i := range all {
 		all[i].Address = all[i].Name
@@ -72,45 +72,45 @@
 	}
 }
 
-// The first in the common order that is heard and reaches the store writes.
+// The first delegate in the common order that is heard and reaches the store writes.
 func TestTheFirstDelegateIsOneThatReachesTheStore(t *testing.T) {
 	order := []Member{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	now := time.Now()
 	cases := []struct {
 		name   string
 		chosen []string
-		heard  map[string]heard
-		out    bool // this node, c
+		peers  map[string]peerRecord
+		lost   bool // this node, c, does not reach the store
 		failed bool // it failed to write
-		late   bool // it found the status
+		late   bool // it does not know the age of the status
 		want   bool
 	}{
-		{"another comes first", []string{"a", "c"}, map[string]heard{"a": {at: now}}, false, false, false, false},
-		{"the ones before are no delegates", []string{"c", "d"}, map[string]heard{"a": {at: now}}, false, false, false, true},
-		{"the one before does not reach the store", []string{"a", "c"}, map[string]heard{"a": {at: now, out: true}}, false, false, false, true},
-		{"the one before failed to write", []string{"a", "c"}, map[string]heard{"a": {at: now, noWrites: true}}, false, false, false, true},
-		{"the one before is silent", []string{"a", "c"}, map[string]heard{"a": {at: now.Add(-2 * firstSilent)}}, false, false, false, true},
-		{"the one before was never heard", []string{"a", "c"}, nil, false, false, false, true},
-		{"one of those before is fit", []string{"a", "b", "c"}, map[string]heard{"a": {at: now, out: true}, "b": {at: now}}, false, false, false, false},
-		{"no delegate", []string{"a"}, nil, false, false, false, false},
-		{"it does not reach the store itself", []string{"c"}, nil, true, false, false, false},
-		{"it failed to write itself", []string{"c", "d"}, nil, false, true, false, false},
-		{"the one before found the status", []string{"a", "c"}, map[string]heard{"a": {at: now, blind: true}}, false, false, false, true},
-		{"all found it, and another comes first", []string{"a", "c"}, map[string]heard{"a": {at: now, blind: true}}, false, false, true, false},
-		{"it found the status, and one that comes later saw it written", []string{"c", "d"}, map[string]heard{"d": {at: now}}, false, false, true, false},
-		{"it found the status, and is alone", []string{"c", "d"}, nil, false, false, true, true},
+		{"another comes first", []string{"a", "c"}, map[string]peerRecord{"a": {at: now}}, false, false, false, false},
+		{"the previous ones are not delegates", []string{"c", "d"}, map[string]peerRecord{"a": {at: now}}, false, false, false, true},
+		{"the previous one does not reach the store", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, storeLost: true}}, false, false, false, true},
+		{"the previous one failed to write", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, writeFailed: true}}, false, false, false, true},
+		{"the previous one is silent", []string{"a", "c"}, map[string]peerRecord{"a": {at: now.Add(-2 * firstSilenceTimeout)}}, false, false, false, true},
+		{"the previous one was never heard from", []string{"a", "c"}, nil, false, false, false, true},
+		{"one of the previous ones may write", []string{"a", "b", "c"}, map[string]peerRecord{"a": {at: now, storeLost: true}, "b": {at: now}}, false, false, false, false},
+		{"not a delegate", []string{"a"}, nil, false, false, false, false},
+		{"this node does not reach the store", []string{"c"}, nil, true, false, false, false},
+		{"this node failed to write", []string{"c", "d"}, nil, false, true, false, false},
+		{"the previous one does not know the age", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, ageUnknown: true}}, false, false, false, true},
+		{"no one knows the age, another comes first", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, ageUnknown: true}}, false, false, true, false},
+		{"only a later one knows the age", []string{"c", "d"}, map[string]peerRecord{"d": {at: now}}, false, false, true, false},
+		{"this node does not know the age and is alone", []string{"c", "d"}, nil, false, false, true, true},
 	}
 	for _, c := range cases {
 		g := gossipOf("c", order)
 		g.delegates = &delegates{order: order}
 		g.chosen = lo.SliceToMap(c.chosen, func(name string) (string, bool) { return name, true })
-		g.heard, g.out, g.rollouts = c.heard, func() bool { return c.out }, &talk{out: c.failed, late: c.late}
+		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeTalk{out: c.failed, late: c.late}
 		assert.Equal(t, c.want, g.FirstDelegate(), c.name)
 	}
 }
 
-// wired is a gossip that speaks to one other member, whose socket a test reads.
-func wired(t *testing.T, k *talk) (*Gossip, net.PacketConn) {
+// gossipWithPeer returns a gossip with one peer, and the peer's socket.
+func gossipWithPeer(t *testing.T, k *fakeTalk) (*Gossip, net.PacketConn) {
 	t.Helper()
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -123,8 +123,8 @@
 	return g, other
 }
 
-// received is the next message that comes; false where none does.
-func received(t *testing.T, socket net.PacketConn) (message, int, bool) {
+// nextMessage returns the next message on a socket and its size; false if none arrives.
+func nextMessage(t *testing.T, socket net.PacketConn) (message, int, bool) {
 	t.Helper()
 	buffer := make([]byte, maxMessage)
 	require.NoError(t, socket.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
@@ -137,22 +137,22 @@
 	return m, n, true
 }
 
-func TestNothingIsToldWithoutAnOrder(t *testing.T) {
-	g, other := wired(t, &talk{})
-	g.tellRollouts(map[string]bool{"a": true, "b": true})
-	_, _, any := received(t, other)
+func TestNothingIsSentWithoutAnOrder(t *testing.T) {
+	g, other := gossipWithPeer(t, &fakeTalk{})
+	g.sendRollouts(map[string]bool{"a": true, "b": true})
+	_, _, any := nextMessage(t, other)
 	assert.False(t, any)
-	assert.Nil(t, g.badWord())
+	assert.Nil(t, g.badTargets())
 	g.rollouts = nil
-	g.tellRollouts(map[string]bool{"a": true, "b": true})
-	_, _, any = received(t, other)
+	g.sendRollouts(map[string]bool{"a": true, "b": true})
+	_, _, any = nextMessage(t, other)
 	assert.False(t, any)
-	assert.Nil(t, g.badWord())
+	assert.Nil(t, g.badTargets())
 }
 
-// What is seen of an order of five routes over a thousand answers each is told in less
+// The evidence on an order with five routes and over a thousand answers each fits into less
 // than two kilobytes.
-func TestEvidenceIsTold(t *testing.T) {
+func TestEvidenceIsSent(t *testing.T) {
 	seen := RolloutSeen{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
 	for i := range 5 {
 		r := rollout.RouteEvidence{Route: fmt.Sprint("a-long-name-of-a-route-", i)}
@@ -161,29 +161,30 @@
 		}
 		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
 	}
-	k := &talk{seen: []RolloutSeen{seen}, bad: []rollout.Warn{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
-	g, other := wired(t, k)
-	g.tellRollouts(map[string]bool{"b": true})
-	m, size, ok := received(t, other)
+	k := &fakeTalk{seen: []RolloutSeen{seen}, bad: []rollout.Warn{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	g, other := gossipWithPeer(t, k)
+	g.sendRollouts(map[string]bool{"b": true})
+	m, size, ok := nextMessage(t, other)
 	require.True(t, ok)
 	assert.Less(t, size, 2<<10)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Seen: k.seen, Bad: k.bad, Out: true}}, k.heard)
-	g.tellRollouts(map[string]bool{"a": true})
-	_, _, ok = received(t, other)
-	assert.False(t, ok, "no other delegate there")
+	assert.Equal(t, []RolloutWord{{Seen: k.seen, Bad: k.bad, Out: true}}, k.received)
+	g.sendRollouts(map[string]bool{"a": true})
+	_, _, ok = nextMessage(t, other)
+	assert.False(t, ok, "no other delegate")
 }
 
-// A version found bad is told to all at once, and with every digest until its order ends.
-func TestAVersionFoundBadIsToldToAll(t *testing.T) {
+// A version found bad is announced to all nodes at once, and with every digest until its order
+// ends.
+func TestBadVersionIsAnnouncedToAll(t *testing.T) {
 	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "w"}
-	k := &talk{}
-	g, other := wired(t, k)
+	k := &fakeTalk{}
+	g, other := gossipWithPeer(t, k)
 	g.TellBad(w)
-	m, _, ok := received(t, other)
+	m, _, ok := nextMessage(t, other)
 	require.True(t, ok)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Bad: []rollout.Warn{w}}}, k.heard)
+	assert.Equal(t, []RolloutWord{{Bad: []rollout.Warn{w}}}, k.received)
 	k.bad = []rollout.Warn{w}
-	assert.Equal(t, &RolloutWord{Bad: []rollout.Warn{w}}, g.badWord())
+	assert.Equal(t, &RolloutWord{Bad: []rollout.Warn{w}}, g.badTargets())
 }
--- a/fleet/relay/peer/source.go
+++ b/fleet/relay/peer/source.go
@@ -19,16 +19,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Nodes that watch the store pass on what they see of it to those that do not,
-// by HTTP with JSON on the address of their datagrams.
+// Nodes that watch the store pass its objects on to those that do not, as JSON over HTTP at
+// the address of their datagrams.
 
-// objectsPath is where a node answers for the store; the kind follows.
+// objectsPath is the path at which a node answers for the store; the kind follows.
 const objectsPath = "/objects/"
 
-// answer is the form of a list or a run of events.
+// objectsAnswer is the JSON form of a list or of the events of a watch.
 type objectsAnswer struct {
 	Revision int64        `json:"revision"`
-	Era      int64        `json:"era,omitempty"` // of every revision in the answer; 0: of an earlier build, or of a store that tells none
+	Era      int64        `json:"era,omitempty"` // of every revision in the answer; 0 from an earlier build, or if the store reports none
 	Objects  []objectForm `json:"objects,omitempty"`
 	Events   []changeForm `json:"events,omitempty"`
 }
@@ -39,7 +39,7 @@
 	Made     int64           `json:"made,omitempty"`
 	Data     json.RawMessage `json:"data,omitempty"`
 	Status   json.RawMessage `json:"status,omitempty"`
-	Fault    string          `json:"fault,omitempty"` // why it can't be read, so that whoever asks drops it, too
+	Fault    string          `json:"fault,omitempty"` // why it can't be decoded, so that the receiver drops it too
 }
 
 type changeForm struct {
@@ -55,10 +55,10 @@
 	return store.Object{Kind: kind, Name: f.Name, Revision: store.At(era, f.Revision), Made: f.Made, Data: f.Data, Status: f.Status, Fault: f.Fault}
 }
 
-// mostWait bounds how long a peer's watch waits.
-const mostWait = 5 * time.Second
+// maxWatchWait limits how long a peer's watch waits.
+const maxWatchWait = 5 * time.Second
 
-// CacheHandler answers peers' lists and watches from this node's caches, by kind.
+// CacheHandler answers peers' lists and watches from this node's caches, keyed by kind.
 func CacheHandler(caches map[string]*store.Cache) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+objectsPath+"{kind}", func(w http.ResponseWriter, r *http.Request) {
@@ -86,9 +86,9 @@
 	}
 }
 
-// packFrom is the size from which an answer is compressed: a large configuration
-// shrinks to a tenth, and goes to many peers over narrow links.
-const packFrom = 8 << 10 // bytes
+// minCompressed is the size from which an answer is compressed: a large configuration
+// shrinks to a tenth, and is sent to many peers over narrow links.
+const minCompressed = 8 << 10 // bytes
 
 func writeAnswer(w http.ResponseWriter, r *http.Request, answer objectsAnswer) {
 	w.Header().Set("Content-Type", "application/json")
@@ -97,29 +97,29 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if len(data) < packFrom || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		_, _ = w.Write(data) // a peer that left reads no answer
+	if len(data) < minCompressed || !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
+		_, _ = w.Write(data) // fails only if the peer left
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
-	packed, err := gzip.NewWriterLevel(w, gzip.BestSpeed)
+	compressed, err := gzip.NewWriterLevel(w, gzip.BestSpeed)
 	if err != nil {
 		return
 	}
-	_, _ = packed.Write(data)
-	_ = packed.Close()
+	_, _ = compressed.Write(data)
+	_ = compressed.Close()
 }
 
-// askCache lists, or watches where the query names a revision.
+// askCache lists, or watches if the query names a revision.
 func askCache(r *http.Request, cache *store.Cache) (objectsAnswer, error) {
 	var answer objectsAnswer
 	query := r.URL.Query()
-	least := store.FromWatcher
+	minOrigin := store.FromWatcher
 	if query.Has(firsthand) {
-		least = store.FromStore
+		minOrigin = store.FromStore
 	}
 	if !query.Has("since") {
-		objects, at, err := cache.ListFrom(least)
+		objects, at, err := cache.ListFrom(minOrigin)
 		answer.Revision, answer.Era = at.Number(), at.Era()
 		for _, o := range objects {
 			answer.Objects = append(answer.Objects, formOf(o))
@@ -138,8 +138,8 @@
 	if err != nil {
 		return answer, errors.Wrap(err, "waitMs")
 	}
-	wait := min(max(time.Duration(ms)*time.Millisecond, 0), mostWait)
-	events, at, err := cache.WatchFrom(r.Context(), least, store.At(era, since), wait)
+	wait := min(max(time.Duration(ms)*time.Millisecond, 0), maxWatchWait)
+	events, at, err := cache.WatchFrom(r.Context(), minOrigin, store.At(era, since), wait)
 	answer.Revision, answer.Era = at.Number(), at.Era()
 	for _, e := range events {
 		answer.Events = append(answer.Events, changeForm{Object: formOf(e.Object), Gone: e.Gone})
@@ -147,8 +147,8 @@
 	return answer, err
 }
 
-// sinceEra is the era of the revision that a watch names. An earlier build names none, and
-// means the one that it was answered from here.
+// sinceEra returns the era of the revision that a watch names. A peer of an earlier build
+// names none, and means the era in which this node answered it.
 func sinceEra(query url.Values, cache *store.Cache) (int64, error) {
 	if !query.Has(eraQuery) {
 		return cache.Revision().Era(), nil
@@ -157,43 +157,43 @@
 	return era, errors.Wrap(err, eraQuery)
 }
 
-// eraQuery is the query by which a watch names the era of its revision.
+// eraQuery is the query parameter with the era of a watch's revision.
 const eraQuery = "era"
 
-// firsthand is the query by which a node that passes on what it is told asks for what the
-// peer has from the store itself only.
+// firsthand is the query parameter by which a node that passes on its answers asks only for
+// what the peer has from the store itself.
 const firsthand = "firsthand"
 
-// Remote asks one peer in the store's place.
+// Remote is a store.Reader that asks one peer instead of the store.
 type Remote struct {
 	client    *http.Client
 	address   string
-	firsthand bool        // for what the peer has from the store itself
-	busy      func() bool // whether this node's link is busy
-	eras      *store.Eras // that this node knows of
-	past      bool        // answers of an era that is over count, too
+	firsthand bool        // asks only for what the peer has from the store itself
+	busy      func() bool // reports whether this node's link is busy
+	eras      *store.Eras // known to this node
+	anyEra    bool        // answers of an earlier era count too
 }
 
 var _ store.Reader = Remote{}
 
-// sourceClient is the client to peers' caches; each call bounds itself.
+// sourceClient returns the HTTP client for peers' caches. Calls set their own timeouts.
 func sourceClient(busy func() bool) *http.Client {
-	dialer := net.Dialer{Timeout: sourceDial, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
-	patient := dialer
-	patient.Timeout = busySlack
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	busyDialer := dialer
+	busyDialer.Timeout = busySlack
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		if busy() {
-			return patient.DialContext(ctx, network, address)
+			return busyDialer.DialContext(ctx, network, address)
 		}
 		return dialer.DialContext(ctx, network, address)
 	}
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: 20 * time.Second}}
 }
 
-// errSilent ends a call whose answer did not begin in time.
-var errSilent = errors.New("the peer was silent")
+// errSilent cancels a call whose answer does not begin in time.
+var errSilent = errors.New("the peer did not begin to answer in time")
 
-// slack is how long an answer may take to begin, beyond what a watch waits.
+// slack returns how long an answer may take to begin, beyond the wait of a watch.
 func (r Remote) slack() time.Duration {
 	if r.busy() {
 		return busySlack
@@ -202,12 +202,12 @@
 }
 
 const (
-	sourceDial = 300 * time.Millisecond
-	// busySlack is for a connect, and until an answer begins, while the own link is
-	// busy: what waits there for 0.4 s is no sign of the source, and all sources would
-	// count as silent at once.
-	busySlack  = 900 * time.Millisecond
-	mostAnswer = 8 << 20 // bytes of a peer's answer
+	dialTimeout = 300 * time.Millisecond
+	// busySlack is the timeout for connecting, and until an answer begins, while this node's
+	// link is busy: a delay of 0.4 s there says nothing about the source, and otherwise all
+	// sources would count as silent at once.
+	busySlack = 900 * time.Millisecond
+	maxAnswer = 8 << 20 // bytes of a peer's answer
 )
 
 // List implements store.Reader.
@@ -240,8 +240,8 @@
 	var answer objectsAnswer
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silent := clock.WaitFor(wait+r.slack(), func() { cancel(errSilent) })
-	defer silent.Stop()
+	timer := clock.WaitFor(wait+r.slack(), func() { cancel(errSilent) })
+	defer timer.Stop()
 	if r.firsthand {
 		query.Set(firsthand, "")
 	}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return answer, errors.Wrapf(cmp.Or(context.Cause(ctx), err), "ask peer %s", r.address)
 	}
-	silent.Stop()
+	timer.Stop()
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -265,18 +265,18 @@
 	default:
 		return answer, errors.Newf("peer %s: status %d", r.address, resp.StatusCode)
 	}
-	if err = json.NewDecoder(io.LimitReader(resp.Body, mostAnswer)).Decode(&answer); err != nil {
+	if err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&answer); err != nil {
 		return answer, errors.Wrapf(err, "answer of peer %s", r.address)
 	}
 	return r.inEra(answer)
 }
 
-// inEra is an answer with its era. A peer of an earlier build tells none: its answer counts
-// as one of the era that is known, unless the store came back from a copy since this node
-// began, as the peer may not know of that.
+// inEra checks an answer's era and fills it in. A peer of an earlier build sends none: its
+// answer counts as of the known era, unless the store was restored from a copy since this
+// node started, which the peer may not know.
 func (r Remote) inEra(answer objectsAnswer) (objectsAnswer, error) {
 	switch newest := r.eras.Newest(); {
-	case answer.Era == 0 && r.eras.Risen(), answer.Era != 0 && answer.Era < newest && !r.past:
+	case answer.Era == 0 && r.eras.Risen(), answer.Era != 0 && answer.Era < newest && !r.anyEra:
 		return answer, errors.Wrapf(store.ErrUnfit, "peer %s answers from era %d, %d is known", r.address, answer.Era, newest)
 	case answer.Era == 0:
 		answer.Era = newest
--- a/fleet/relay/peer/source_test.go
+++ b/fleet/relay/peer/source_test.go
@@ -17,17 +17,17 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-func calm() bool { return false }
+func notBusy() bool { return false }
 
-// What a busy link of this node's own holds up is waited for: its sources are not silent.
-func TestABusyLinkIsNoSilence(t *testing.T) {
+// A delay caused by this node's own busy link must not make its sources count as silent.
+func TestBusyLinkExtendsTimeouts(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(store.AnswerBegins + 200*time.Millisecond)
 			_, _ = w.Write([]byte(`{"revision":7}`))
 		}))
-		is := func() bool { return busy }
-		_, at, err := Remote{client: sourceClient(is), address: strings.TrimPrefix(server.URL, "http://"), busy: is, eras: store.NewEras()}.Watch(t.Context(), "k", 1, 10*time.Millisecond)
+		isBusy := func() bool { return busy }
+		_, at, err := Remote{client: sourceClient(isBusy), address: strings.TrimPrefix(server.URL, "http://"), busy: isBusy, eras: store.NewEras()}.Watch(t.Context(), "k", 1, 10*time.Millisecond)
 		assert.Equal(t, busy, err == nil, "%v", err)
 		assert.Equal(t, busy, at == 7)
 		server.Close()
@@ -39,7 +39,7 @@
 	t.Helper()
 	server := httptest.NewServer(CacheHandler(map[string]*store.Cache{"k": cache}))
 	t.Cleanup(server.Close)
-	return Remote{client: sourceClient(calm), address: strings.TrimPrefix(server.URL, "http://"), busy: calm, eras: store.NewEras()}
+	return Remote{client: sourceClient(notBusy), address: strings.TrimPrefix(server.URL, "http://"), busy: notBusy, eras: store.NewEras()}
 }
 
 func TestAPeerAnswersForTheStore(t *testing.T) {
@@ -73,10 +73,10 @@
 	assert.ErrorIs(t, err, store.ErrUnfit)
 }
 
-// An entry that can't be read is passed on as one, with what is known of it: whoever asks a
-// delegate ends as one that asks the store, in a list and in a watch from before it, and a
-// later good one is passed on, too.
-func TestAPeerPassesOnWhatCantBeRead(t *testing.T) {
+// A bad entry is passed on as such, with what is known of it, so that a node that asks a
+// delegate gets the same as one that asks the store, from a list and from a watch. A later
+// valid entry is passed on too.
+func TestPeerPassesOnBadEntries(t *testing.T) {
 	good := func(name string, revision store.Revision) store.Object {
 		return store.Object{Kind: "k", Name: name, Revision: revision, Data: json.RawMessage(`{"a":1}`)}
 	}
@@ -106,18 +106,18 @@
 	assert.Equal(t, []store.Event{{Object: good("x", 8)}}, events)
 }
 
-// A source that takes a call and says nothing is felt soon; one whose answer has
-// begun may take its time, and large answers are compressed.
-func TestASilentSourceIsToldFromASlowOne(t *testing.T) {
+// A source that accepts a call and does not answer is detected soon; an answer that has
+// begun may take longer. Large answers are compressed.
+func TestSilentSourceDiffersFromSlowOne(t *testing.T) {
 	big := strings.Repeat(`{"route":"a"},`, 5000)
 	cases := []struct {
 		name  string
 		begin time.Duration // until the answer begins
-		rest  time.Duration // and from then until it ends
+		rest  time.Duration // from then until it ends
 		fails bool
 	}{
 		{"at once", 0, 0, false},
-		{"slow, once it has begun", 0, 700 * time.Millisecond, false},
+		{"slow after it has begun", 0, 700 * time.Millisecond, false},
 		{"silent", 5 * time.Second, 0, true},
 	}
 	for _, c := range cases {
@@ -135,17 +135,17 @@
 			}))
 			defer server.Close()
 			began := time.Now()
-			_, _, err := Remote{client: sourceClient(calm), address: strings.TrimPrefix(server.URL, "http://"), busy: calm, eras: store.NewEras()}.Watch(t.Context(), "k", 1, 10*time.Millisecond)
+			_, _, err := Remote{client: sourceClient(notBusy), address: strings.TrimPrefix(server.URL, "http://"), busy: notBusy, eras: store.NewEras()}.Watch(t.Context(), "k", 1, 10*time.Millisecond)
 			assert.Equal(t, c.fails, err != nil)
 			assert.Less(t, time.Since(began), 3*time.Second)
 		})
 	}
 	cache := store.NewCache()
 	cache.Apply(store.Snapshot{Objects: []store.Object{{Name: "n", Revision: 1, Data: json.RawMessage("[" + strings.TrimSuffix(big, ",") + "]")}}, Revision: 1}, store.FromStore)
-	asked := httptest.NewRequest(http.MethodGet, objectsPath+"k", nil)
-	asked.Header.Set("Accept-Encoding", "gzip")
+	req := httptest.NewRequest(http.MethodGet, objectsPath+"k", nil)
+	req.Header.Set("Accept-Encoding", "gzip")
 	answer := httptest.NewRecorder()
-	CacheHandler(map[string]*store.Cache{"k": cache}).ServeHTTP(answer, asked)
+	CacheHandler(map[string]*store.Cache{"k": cache}).ServeHTTP(answer, req)
 	assert.Equal(t, "gzip", answer.Header().Get("Content-Encoding"))
 	assert.Less(t, answer.Body.Len(), len(big)/10)
 	objects, _, err := remoteTo(t, cache).List(t.Context(), "k")
@@ -154,7 +154,7 @@
 	assert.Greater(t, len(objects[0].Data), 50_000)
 }
 
-func TestAPeersOddQuestionsAreRefused(t *testing.T) {
+func TestInvalidPeerRequestsAreRefused(t *testing.T) {
 	cache := store.NewCache()
 	cache.Apply(store.Snapshot{Revision: 1}, store.FromStore)
 	handler := CacheHandler(map[string]*store.Cache{"k": cache})
@@ -165,8 +165,8 @@
 	}
 }
 
-// In a large fleet a node asks its zone's delegates, then some of other zones; delegates
-// ask those among them that watch the store, for what these have from it; these ask nobody.
+// In a large fleet a node asks its zone's delegates, then some of other zones. Delegates ask
+// those that watch the store, for what they have from it. These have no sources.
 func TestNodesAskTheDelegatesOfTheirZone(t *testing.T) {
 	all := members(73)
 	writers := Writers(all, func() []Member { return all })
@@ -205,7 +205,7 @@
 			}
 			continue
 		}
-		assert.Len(t, sources, zoneWriters+farSources)
+		assert.Len(t, sources, zoneWriters+maxFarSources)
 		for i, s := range sources {
 			assert.True(t, writers[s.Name])
 			assert.False(t, s.Watches)
@@ -214,7 +214,7 @@
 	}
 }
 
-// Those with the widest links watch for others.
+// The nodes with the widest links watch for others.
 func TestWideLinksWatchForOthers(t *testing.T) {
 	all := members(73)
 	for i := range all {
--- a/fleet/relay/peer/transfer_test.go
+++ b/fleet/relay/peer/transfer_test.go
@@ -13,7 +13,7 @@
 
 const tenant = "t"
 
-// allowanceWith returns an allowance that holds so many tokens of a budget of 1000.
+// allowanceWith returns an allowance that holds some tokens of a budget of 1000.
 func allowanceWith(node string, held int64) *account.Allowance {
 	p := account.NewAllowance(node, node+"/1", account.DefaultTuning())
 	p.Budget(map[string]int64{tenant: 1000})
@@ -21,7 +21,7 @@
 	return p
 }
 
-func TestAGrantIsCountedOutAndInOnce(t *testing.T) {
+func TestGrantIsDeductedAndCreditedOnce(t *testing.T) {
 	now := time.Now()
 	giver, taker := allowanceWith("a", 100), allowanceWith("b", 0)
 	from, to := newTransfers(giver), newTransfers(taker)
@@ -30,20 +30,20 @@
 	first := from.answer(request, now)
 	again := from.answer(request, now)
 	assert.Equal(t, grant{ID: "id", Tenant: tenant, Tokens: 30}, *first)
-	assert.Equal(t, first, again, "an transferRequest that comes again gets the same grant")
+	assert.Equal(t, first, again, "a repeated request gets the same grant")
 	assert.Equal(t, int64(70), giver.State(tenant).Free)
-	to.arrived(*first)
-	to.arrived(*again)
+	to.receive(*first)
+	to.receive(*again)
 	assert.Equal(t, int64(30), taker.State(tenant).Free)
 }
 
-func TestGiftThatNobodyAskedForIsDropped(t *testing.T) {
+func TestUnrequestedGrantIsDropped(t *testing.T) {
 	taker := allowanceWith("b", 0)
-	newTransfers(taker).arrived(grant{ID: "of an earlier life", Tenant: tenant, Tokens: 30})
+	newTransfers(taker).receive(grant{ID: "of an earlier incarnation", Tenant: tenant, Tokens: 30})
 	assert.Equal(t, int64(0), taker.State(tenant).Free)
 }
 
-func TestGrantsAreBoundedByWhatIsFree(t *testing.T) {
+func TestGrantsAreBoundedByFreeTokens(t *testing.T) {
 	cases := []struct {
 		name       string
 		need, want int64
@@ -51,8 +51,8 @@
 	}{
 		{"what is needed", 40, 40, 40},
 		{"more, up to a half", 10, 500, 50},
-		{"all, where need is more", 300, 900, 100},
-		{"nothing for a need below nothing", -5, -5, 0},
+		{"all, if the need is greater", 300, 900, 100},
+		{"nothing for a negative need", -5, -5, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestSourcesAreTheRichestThatWereHeardOfLately(t *testing.T) {
+func TestSourcesAreTheRichestRecentPeers(t *testing.T) {
 	now := time.Now()
 	l := newTransfers(allowanceWith("b", 0))
 	l.record("poor", map[string]account.BudgetReport{tenant: {Free: 5}}, now)
@@ -74,58 +74,60 @@
 	assert.Equal(t, []string{"rich", "poor"}, l.sources(tenant, now))
 }
 
-// What was asked for and not found is not asked for again at once, nor is more; less is.
-func TestWhatWasNotFoundIsNotAskedForAtOnce(t *testing.T) {
+// An amount that was not found is not requested again at once, nor is a larger one. A smaller
+// one is.
+func TestUnmetAmountIsNotRequestedAtOnce(t *testing.T) {
 	now := time.Now()
 	l := newTransfers(allowanceWith("b", 0))
-	l.notFound(tenant, 100, now)
+	l.recordUnmet(tenant, 100, now)
 	cases := []struct {
 		name   string
 		tenant string
 		tokens int64
 		after  time.Duration
-		vain   bool
+		unmet  bool
 	}{
 		{"the same", tenant, 100, 0, true},
 		{"more", tenant, 200, 0, true},
 		{"less", tenant, 99, 0, false},
-		{"another's", "another", 100, 0, false},
-		{"later", tenant, 100, vainAge, false},
+		{"another tenant", "another", 100, 0, false},
+		{"later", tenant, 100, unmetAge, false},
 	}
 	for _, c := range cases {
-		assert.Equal(t, c.vain, l.inVain(c.tenant, c.tokens, now.Add(c.after)), c.name)
+		assert.Equal(t, c.unmet, l.recentlyUnmet(c.tenant, c.tokens, now.Add(c.after)), c.name)
 	}
 }
 
-// A grant whose datagram is lost was counted out: it is asked for again, with the
-// same id, until it has come or too long has passed.
+// A grant whose datagram is lost was already deducted. It is requested again with the same id,
+// until it arrives or the retries are used up.
 func TestALostGrantIsRequestedAgain(t *testing.T) {
 	now := time.Now()
 	giver, taker := allowanceWith("a", 100), allowanceWith("b", 0)
 	from, to := newTransfers(giver), newTransfers(taker)
 	request := transferRequest{ID: "id", Tenant: tenant, Need: 30, Want: 30}
 	to.open(request, "a", now)
-	from.answer(request, now) // and the answer is lost
+	from.answer(request, now) // the answer is lost
 	assert.Empty(t, to.overdue(now))
-	now = now.Add(grantPause)
+	now = now.Add(retryInterval)
 	again := to.overdue(now)
 	assert.Equal(t, map[string][]transferRequest{"a": {request}}, again)
-	to.arrived(*from.answer(again["a"][0], now))
+	to.receive(*from.answer(again["a"][0], now))
 	assert.Equal(t, int64(70), giver.State(tenant).Free)
 	assert.Equal(t, int64(30), taker.State(tenant).Free)
-	assert.Empty(t, to.overdue(now.Add(grantPause)), "it has come")
+	assert.Empty(t, to.overdue(now.Add(retryInterval)), "it has arrived")
 
 	to.open(transferRequest{ID: "never", Tenant: tenant, Need: 1}, "gone", now)
 	times := 0
 	for range 100 {
-		now = now.Add(grantPause)
+		now = now.Add(retryInterval)
 		times += len(to.overdue(now)["gone"])
 	}
-	assert.Equal(t, grantRepeats, times)
+	assert.Equal(t, maxRepeats, times)
 }
 
-// talking is the gossip of a member with a socket on loopback, which listens until the test ends.
-func talking(t *testing.T, self Member, all []Member, held int64) *Gossip {
+// listeningGossip returns the gossip of a member with a socket on loopback, which receives
+// until the test ends.
+func listeningGossip(t *testing.T, self Member, all []Member, held int64) *Gossip {
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = socket.Close() })
@@ -137,11 +139,12 @@
 	return g
 }
 
-// A node whose zone has no tokens of a customer left hears of none elsewhere: its zone's
-// writers hear from those of other zones, and name them.
+// A node whose zone has no tokens of a customer left receives no reports of other zones. It
+// finds their tokens through its zone's writers, which receive these reports and name the
+// peers.
 func TestTokensOfAnotherZoneAreFoundThroughAWriter(t *testing.T) {
-	rich := talking(t, Member{Name: "rich", Zone: "b"}, nil, 100)
-	writer := talking(t, Member{Name: "writer", Zone: "a"}, nil, 0)
+	rich := listeningGossip(t, Member{Name: "rich", Zone: "b"}, nil, 100)
+	writer := listeningGossip(t, Member{Name: "writer", Zone: "a"}, nil, 0)
 	writer.transfers.record(rich.address, map[string]account.BudgetReport{tenant: {Free: 100}}, time.Now())
 	members := []Member{{Name: "node", Zone: "a"}, {Name: "writer", Zone: "a", Address: writer.address}, {Name: "rich", Zone: "b", Address: rich.address}}
 	cases := []struct {
@@ -154,7 +157,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			node := talking(t, members[0], members, 0)
+			node := listeningGossip(t, members[0], members, 0)
 			node.chosen = c.writers
 			assert.Equal(t, c.found, node.Acquire(t.Context(), tenant, 30))
 		})
--- a/fleet/relay/peer/watchers.go
+++ b/fleet/relay/peer/watchers.go
@@ -2,16 +2,16 @@
 
 import "github.com/lynxshed/lynxshed/fleet/relay/distance"
 
-// regionWatchers is how many delegates of a region watch the store for it: each event
-// ends the watch of each of them, and each watch is a call. The region's other delegates
-// ask them, and pass on what they say to their zones.
+// regionWatchers is the number of delegates of a region that watch the store. It is small
+// because each event ends the watch of each of them, and each watch is a call. The region's
+// other delegates ask them and pass the answers on to their zones.
 const regionWatchers = 2
 
-// watchersOf names the delegates that watch the store, among the writers in the order in
-// which they are chosen: in each region the first two that are not out, since they do not
-// reach the store or are not heard, of two zones where the region has such. Where all of
-// a region are out the first ones go on. In a fleet where all write, and so hold what they need, all watch.
-func watchersOf(writers map[string]bool, members []Member, order []Member, places distance.Places, out func(Member) bool) map[string]bool {
+// watchersOf returns the delegates that watch the store: in each region the first two writers
+// in order that are not lost, from two zones if possible. Lost means that they do not reach
+// the store or are silent. If all of a region are lost, the first ones stay. In a fleet where
+// all nodes write, and so hold what they need, all of them watch.
+func watchersOf(writers map[string]bool, members []Member, order []Member, places distance.Places, lost func(Member) bool) map[string]bool {
 	if len(writers) >= len(members) {
 		return writers
 	}
@@ -26,15 +26,15 @@
 			}
 		}
 	}
-	take(func(m Member, chosen []Member) bool { return !out(m) && !ofZone(chosen, m.Zone) })
-	take(func(m Member, _ []Member) bool { return !out(m) })
-	take(func(m Member, chosen []Member) bool { return !ofZone(chosen, m.Zone) })
+	take(func(m Member, chosen []Member) bool { return !lost(m) && !inZone(chosen, m.Zone) })
+	take(func(m Member, _ []Member) bool { return !lost(m) })
+	take(func(m Member, chosen []Member) bool { return !inZone(chosen, m.Zone) })
 	take(func(Member, []Member) bool { return true })
 	return watchers
 }
 
-// ofZone is whether one of some members lies in a zone.
-func ofZone(members []Member, zone string) bool {
+// inZone reports whether one of the members is in a zone.
+func inZone(members []Member, zone string) bool {
 	for _, m := range members {
 		if m.Zone == zone {
 			return true
--- a/fleet/relay/peer/writers.go
+++ b/fleet/relay/peer/writers.go
@@ -11,19 +11,19 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/account"
 )
 
-// Small fleets write the ledger from every node; larger ones from some, of every
-// zone, and the others acquire from these. Writers differ for nodes whose lists
-// differ, which costs collisions and nothing else.
+// In a small fleet every node writes the ledger. In a larger one some nodes of every zone do,
+// and the others acquire tokens from these. Nodes with different lists of members choose
+// different writers, which only causes write conflicts.
 const (
-	allWrite     = 12 // nodes up to which every one writes
-	zoneWriters  = 2  // in each zone beyond that
-	randomOthers = 2  // peers of its zone that a node which does not write tells, beside the writers
-	refillBelow  = 0.6
+	allWrite     = 12  // maximum number of nodes that all write
+	zoneWriters  = 2   // writers per zone in a larger fleet
+	randomOthers = 2   // peers of its zone to which a node that does not write sends, besides the writers
+	refillBelow  = 0.6 // fraction of the target holdings below which a node asks for more
 )
 
-// Writers names the members that write the ledger and watch the store for others:
-// those with the widest links, since many ask them; fit lists, in a large fleet, those
-// that may, in the order in which they are chosen.
+// Writers returns the members that write the ledger and watch the store for others: those
+// with the widest links, since many nodes ask them. In a large fleet, fit lists the eligible
+// members in the order in which they are chosen.
 func Writers(members []Member, fit func() []Member) map[string]bool {
 	writers := make(map[string]bool, len(members))
 	if len(members) <= allWrite {
@@ -42,7 +42,8 @@
 	return writers
 }
 
-// ranked lists members in the order in which they are chosen.
+// ranked sorts members into the order in which they are chosen: by link speed, widest first,
+// and then by a hash of the name.
 func ranked(members []Member) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -51,44 +52,44 @@
 	return sorted
 }
 
-// How long a turn of a writer of the ledger is: a write, word of it to the others, and
-// their asking for it. All have to agree on it, so that it rests on the settings and the
-// list of nodes, not on what was measured.
+// Length of a ledger writer's slot: one write, its announcement to the others, and their
+// requests for it. All writers must agree on it, so it depends on the settings and the list
+// of nodes, not on measurements.
 const (
-	nearTurn = 35 * time.Millisecond  // all writers in one region
-	farTurn  = 100 * time.Millisecond // over several: five ways of 12 ms more
+	nearSlot = 35 * time.Millisecond  // all writers in one region
+	farSlot  = 100 * time.Millisecond // several regions: five more one-way trips of 12 ms
 )
 
-// turns is the order in which the writers of the ledger write.
-type turns struct {
+// slots is the order in which the writers of the ledger write.
+type slots struct {
 	names  []string
-	length time.Duration
+	length time.Duration // of one slot
 }
 
-// turnsOf orders the writers by name, as all see them.
-func (t *Gossip) turnsOf(writers map[string]bool) *turns {
-	order := &turns{}
+// slotsOf orders the writers by name, the same on all nodes.
+func (g *Gossip) slotsOf(writers map[string]bool) *slots {
+	order := &slots{}
 	regions := map[string]bool{}
-	for _, m := range t.registry.Members() {
+	for _, m := range g.registry.Members() {
 		if writers[m.Name] {
 			order.names = append(order.names, m.Name)
-			regions[t.places.Region(m.Zone)] = true
+			regions[g.places.Region(m.Zone)] = true
 		}
 	}
-	order.length = lo.Ternary(len(regions) > 1, farTurn, nearTurn)
+	order.length = lo.Ternary(len(regions) > 1, farSlot, nearSlot)
 	return order
 }
 
-// Heard tells that another turn has begun.
-func (t *Gossip) Heard() <-chan struct{} { return t.ledgers.heard }
+// Heard returns a channel that receives a value when a writer's slot has ended with a write.
+func (g *Gossip) Heard() <-chan struct{} { return g.ledgers.wrote }
 
-// Turn is when this node writes the ledger.
-func (t *Gossip) Turn() account.Turn {
-	order, last := t.turns.Load(), t.ledgers.lastWritten()
-	if order == nil || !t.Writes() {
+// Turn returns this node's slot for writing the ledger.
+func (g *Gossip) Turn() account.Turn {
+	order, last := g.slots.Load(), g.ledgers.lastWritten()
+	if order == nil || !g.Writes() {
 		return account.Turn{}
 	}
-	own, writes := slices.BinarySearch(order.names, t.registry.self.Name)
+	own, writes := slices.BinarySearch(order.names, g.registry.self.Name)
 	before, known := slices.BinarySearch(order.names, last.writer)
 	if !writes || !known {
 		return account.Turn{}
--- a/fleet/relay/peer/writers_test.go
+++ b/fleet/relay/peer/writers_test.go
@@ -23,10 +23,10 @@
 		want  int
 	}{
 		{"a small fleet", members(8), 8, 8},
-		{"a small fleet, some unfit", members(3), 8, 8},
+		{"a small fleet, some not eligible", members(3), 8, 8},
 		{"a large fleet", members(73), 73, 8},
-		{"a large fleet, few fit", members(10), 73, 8},
-		{"one zone alone", members(73)[:1], 73, 1},
+		{"a large fleet, few eligible", members(10), 73, 8},
+		{"one node eligible", members(73)[:1], 73, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 					assert.LessOrEqual(t, n, zoneWriters, zone)
 				}
 			}
-			assert.Equal(t, writers, Writers(members(c.fleet), fit), "the same for all that see the same")
+			assert.Equal(t, writers, Writers(members(c.fleet), fit), "the same on all nodes with the same list")
 		})
 	}
 }
--- a/fleet/relay/store/sourced_test.go
+++ b/fleet/relay/store/sourced_test.go
@@ -191,7 +191,7 @@
 		rounds  int
 		want    []string
 		direct  bool
-		max     time.Duration // for all rounds
+		maxTime time.Duration // for all rounds
 	}{
 		{"none named", asked{}, asked{}, false, 0, 1, []string{"store"}, true, 8 * time.Second},
 		{"the first", asked{}, asked{}, false, 2, 2, []string{"a", "a"}, false, 2 * time.Second},
@@ -219,7 +219,7 @@
 				}
 				assert.Equal(t, c.want, calls)
 				assert.Equal(t, c.direct, s.Origin("kind") == store.FromStore)
-				assert.LessOrEqual(t, time.Since(began), c.max)
+				assert.LessOrEqual(t, time.Since(began), c.maxTime)
 			})
 		})
 	}
