--- a/fleet/relay/peer/quarantine_test.go
+++ b/fleet/relay/peer/quarantine_test.go
@@ -89,8 +89,8 @@
 }
 
 // Three endpoints end under one request, each observed by four nodes with eight calls each.
-// Soon after the third end all nodes quarantine that request and no other one, at any fleet
-// size. The number of datagrams per end grows with the judges; only twice does it grow with
+// Within two beats after the third end all nodes quarantine that request and no other one, at
+// any fleet size. The number of datagrams per end grows with the judges; only twice does it grow with
 // the nodes, when one more end would suffice and when the request is quarantined, since each
 // node receives it from the judges of its zone. When each judge sent it to all nodes, three
 // times, it took 10,980 datagrams at 300 nodes and 36,180 at 1,000.
--- a/fleet/relay/peer/suspicions_test.go
+++ b/fleet/relay/peer/suspicions_test.go
@@ -76,7 +76,7 @@
 
 // After calls of two nodes of a zone fail at an endpoint, all nodes of the zone avoid it
 // within two beats, both in a fleet where all nodes send to each other and in one with
-// delegates. Failures of one node alone, however many, make no other node avoid it.
+// delegates. Failures of one node alone, however many, make no node avoid it.
 func TestFailuresAreSentToTheZone(t *testing.T) {
 	cases := []struct {
 		size, failing int
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -257,8 +257,8 @@
 		f.apply(Lost{Err: err})
 	}
 	f.lost = true
-	f.recordLost(errors.Is(err, ErrAlone) || errors.Is(err, errBehind))
-	if errors.Is(err, ErrSourcesOut) || errors.Is(err, errBehind) {
+	f.recordLost(errors.Is(err, ErrIsolated) || errors.Is(err, errBehind))
+	if errors.Is(err, ErrSourcesLost) || errors.Is(err, errBehind) {
 		clock.Pause(ctx, Jittered(peerBackoff))
 		return
 	}
@@ -280,14 +280,14 @@
 
 // recordLost records that the follower got no answer. An answer older than one already
 // delivered comes from a source that is behind, and says nothing about the store. If the
-// node is alone (its link is full, it is partitioned, or only its sources lost the store),
+// node is isolated (its link is full, it is partitioned, or only its sources lost the store),
 // nothing suggests that entries expired because of an outage: what its sources list when
 // they answer again is what the store lists.
-func (f *follower) recordLost(alone bool) {
+func (f *follower) recordLost(isolated bool) {
 	switch {
 	case f.Leads:
-		f.Health.leaderLost(alone)
-	case !alone:
+		f.Health.leaderLost(isolated)
+	case !isolated:
 		f.Health.Lost(f.Kind)
 	}
 }
--- a/fleet/relay/store/health.go
+++ b/fleet/relay/store/health.go
@@ -124,12 +124,12 @@
 // leaderPart is the name of the leading follower among the parts of a node.
 const leaderPart = "leader"
 
-// leaderLost records that the leader got no answer. If the node is alone, that says nothing
-// about the store.
-func (h *Health) leaderLost(alone bool) {
+// leaderLost records that the leader got no answer. If the node is isolated, that says
+// nothing about the store.
+func (h *Health) leaderLost(isolated bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !alone {
+	if !isolated {
 		h.unavailable[leaderPart] = true
 	}
 	if h.lost == nil {
--- a/fleet/relay/store/patient_test.go
+++ b/fleet/relay/store/patient_test.go
@@ -60,8 +60,8 @@
 					err := call()
 					assert.Equal(t, c.asks, lo.Contains(calls, "store"))
 					if !c.asks {
-						assert.True(t, errors.Is(err, store.ErrSourcesOut))
-						assert.True(t, errors.Is(err, store.ErrAlone))
+						assert.True(t, errors.Is(err, store.ErrSourcesLost))
+						assert.True(t, errors.Is(err, store.ErrIsolated))
 					}
 				}
 				calls = nil
--- a/fleet/relay/store/revision.go
+++ b/fleet/relay/store/revision.go
@@ -13,13 +13,13 @@
 
 // Limits of the parts of a revision.
 const (
-	MostNumber = 1<<numberBits - 1
-	MostEra    = 1<<(63-numberBits) - 1
+	MaxNumber = 1<<numberBits - 1
+	MostEra   = 1<<(63-numberBits) - 1
 )
 
 // At returns the revision for a number in an era, both clamped to their limits.
 func At(era, number int64) Revision {
-	era, number = min(max(era, 0), MostEra), min(max(number, 0), MostNumber)
+	era, number = min(max(era, 0), MostEra), min(max(number, 0), MaxNumber)
 	return Revision(era<<numberBits | number)
 }
 
@@ -27,7 +27,7 @@
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
 // Number returns the store's own number for the revision.
-func (r Revision) Number() int64 { return int64(r) & MostNumber }
+func (r Revision) Number() int64 { return int64(r) & MaxNumber }
 
 // IsOfEraBefore reports whether the store was restored from a copy between r and now.
 // It is false if r is 0.
--- a/fleet/relay/store/sourced.go
+++ b/fleet/relay/store/sourced.go
@@ -57,15 +57,15 @@
 	reachedFor  = 5 * time.Second // how long the store counts as reached after a ping, unless a call fails
 )
 
-// ErrSourcesOut means that all nodes that watch the store for this node have lost it, and
+// ErrSourcesLost means that all nodes that watch the store for this node have lost it, and
 // that this node did not reach it either when it last tried.
-var ErrSourcesOut = errors.New("store: the nodes that watch it for this node have lost it")
+var ErrSourcesLost = errors.New("store: the nodes that watch it for this node have lost it")
 
-// ErrAlone marks failures that point to nodes, their links or a partition rather than to
+// ErrIsolated marks failures that point to nodes, their links or a partition rather than to
 // the store. They occur on a node that reaches neither the store nor its sources, none of
 // which reported that it lost the store, and on a node whose sources lost the store while
 // it has not failed to reach it itself.
-var ErrAlone = errors.New("store: neither it nor the nodes that watch it for this node were reached")
+var ErrIsolated = errors.New("store: neither it nor the nodes that watch it for this node were reached")
 
 // Sourced is a Store whose lists and watches are answered by other nodes, if any are
 // named, and by the store itself if none are or all fail. It is safe for concurrent use.
@@ -240,14 +240,14 @@
 }
 
 // sourcesLostError returns the error of a node whose sources lost the store, marked with
-// ErrAlone unless this node's own ping failed too.
+// ErrIsolated unless this node's own ping failed too.
 func (s *Sourced) sourcesLostError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable {
-		return ErrSourcesOut
+		return ErrSourcesLost
 	}
-	return errors.Mark(ErrSourcesOut, ErrAlone)
+	return errors.Mark(ErrSourcesLost, ErrIsolated)
 }
 
 // retrySources shortens the backoff of sources that lost the store; the lock is held.
@@ -295,7 +295,7 @@
 		return answer{objects: objects, at: at, err: err}
 	})
 	if done {
-		return a.objects, a.at, s.markAlone(kind, a.err)
+		return a.objects, a.at, s.markIsolated(kind, a.err)
 	}
 	if s.delaysStore(kind) {
 		return nil, 0, s.delayedError(kind)
@@ -305,7 +305,7 @@
 	}
 	objects, at, err = s.Store.List(ctx, kind)
 	s.recordStoreCall(ctx, kind, err)
-	return objects, at, s.markAlone(kind, err)
+	return objects, at, s.markIsolated(kind, err)
 }
 
 // delayedError returns the error of a node that does not ask the store yet.
@@ -313,15 +313,15 @@
 	if s.hasUnfit(kind) {
 		return s.sourcesLostError()
 	}
-	return errors.Mark(ErrSourcesOut, ErrAlone)
+	return errors.Mark(ErrSourcesLost, ErrIsolated)
 }
 
-// markAlone marks the error of a node that reaches neither a source nor the store.
-func (s *Sourced) markAlone(kind string, err error) error {
+// markIsolated marks the error of a node that reaches neither a source nor the store.
+func (s *Sourced) markIsolated(kind string, err error) error {
 	if err == nil || errors.Is(err, ErrCompacted) || len(s.sources()) == 0 || s.hasUnfit(kind) {
 		return err
 	}
-	return errors.Mark(err, ErrAlone)
+	return errors.Mark(err, ErrIsolated)
 }
 
 // hasUnfit reports whether one of the sources reported that it lost the store for a kind.
@@ -354,7 +354,7 @@
 		return answer{events: events, at: at, err: err}
 	})
 	if done {
-		return a.events, a.at, s.markAlone(kind, a.err)
+		return a.events, a.at, s.markIsolated(kind, a.err)
 	}
 	if s.delaysStore(kind) {
 		return nil, 0, s.delayedError(kind)
@@ -371,7 +371,7 @@
 	}
 	events, at, err = s.Store.Watch(bounded, kind, since, wait)
 	s.recordStoreCall(ctx, kind, err)
-	return events, at, s.markAlone(kind, err)
+	return events, at, s.markIsolated(kind, err)
 }
 
 func (s *Sourced) watchFrom(ctx context.Context, from Source, kind string, since Revision, wait time.Duration) ([]Event, Revision, error) {
--- a/fleet/relay/store/sourced_test.go
+++ b/fleet/relay/store/sourced_test.go
@@ -365,7 +365,7 @@
 
 // A node that reaches nobody, because its link is full or it is partitioned, must not take
 // that for an outage of the store in which entries expire.
-func TestNodeThatIsAloneDoesNotSuspectTheStore(t *testing.T) {
+func TestIsolatedNodeDoesNotSuspectTheStore(t *testing.T) {
 	refused := errors.Wrap(store.ErrUnfit, "peer")
 	cases := []struct {
 		name      string
