--- a/fleet/relay/peer/delegates_test.go
+++ b/fleet/relay/peer/delegates_test.go
@@ -135,8 +135,8 @@
 					v.states[m.Name] = peerState{at: v.now, storeLost: true, elsewhere: c.elsewhere}
 				}
 			}
-			spares := zonesOf(v.members, d.choose(v.members, v.stateOf, v.now))["z0"]
-			assert.Equal(t, lo.Ternary(c.elsewhere, maxZoneWriters, zoneWriters), spares)
+			chosen := zonesOf(v.members, d.choose(v.members, v.stateOf, v.now))["z0"]
+			assert.Equal(t, lo.Ternary(c.elsewhere, maxZoneWriters, zoneWriters), chosen)
 		})
 	}
 }
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -28,10 +28,10 @@
 // Intervals and sizes of messages.
 const (
 	beatInterval = 200 * time.Millisecond
-	budgetEvery  = 3 // beats per budget report
-	farEvery     = 3 // budget reports per one that goes to other regions too
-	maxMessage   = 16 << 10
-	maxDigests   = 64 // endpoints in a message that would exceed a datagram
+	budgetEvery  = 3        // beats per budget report
+	farEvery     = 3        // budget reports per one that goes to other regions too
+	maxMessage   = 16 << 10 // bytes of a datagram
+	maxDigests   = 64       // endpoints in a message that would exceed a datagram
 )
 
 // Gossip sends peers what this node has in flight, and receives what they have.
