--- a/fleet/relay/store/revision_test.go
+++ b/fleet/relay/store/revision_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRevisionsAreOrderedByEraFirst(t *testing.T) {
-	inOrder := []Revision{0, At(0, 1), At(0, 300), At(1, 0), At(1, 7), At(2, 6), At(2, 8), At(MostEra, MostNumber)}
+	inOrder := []Revision{0, At(0, 1), At(0, 300), At(1, 0), At(1, 7), At(2, 6), At(2, 8), At(MostEra, MaxNumber)}
 	for i, r := range inOrder[1:] {
 		assert.Less(t, inOrder[i], r)
 	}
@@ -22,10 +22,10 @@
 	assert.True(t, At(0, 9).IsOfEraBefore(At(1, 3)))
 	assert.False(t, At(2, 3).IsOfEraBefore(At(2, 9)))
 	assert.False(t, At(2, 3).IsOfEraBefore(At(1, 9)))
-	assert.False(t, Revision(0).IsOfEraBefore(At(2, 9)), "none is known")
+	assert.False(t, Revision(0).IsOfEraBefore(At(2, 9)), "no revision")
 }
 
-func TestARevisionBeyondTheBoundsIsCutToThem(t *testing.T) {
-	assert.Equal(t, At(MostEra, MostNumber), At(MostEra+1, MostNumber+1))
+func TestRevisionPartsAreClamped(t *testing.T) {
+	assert.Equal(t, At(MostEra, MaxNumber), At(MostEra+1, MaxNumber+1))
 	assert.Equal(t, Revision(0), At(-1, -1))
 }
