--- a/fleet/dispatch/dispatch.go
+++ b/fleet/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch places calls on endpoints: it joins the routing decision,
-// the queues and what the node sees of each endpoint.
+// Package dispatch places calls on endpoints. It combines the routing decision,
+// the queues of waiting calls and the load and health of each endpoint as this node observes them.
 package dispatch
 
 import (
@@ -21,27 +21,28 @@
 )
 
 const (
-	maxQueue = 2000
-	// reportMaxAge is how long a load report counts.
-	reportMaxAge = 5 * time.Second
-	// interactiveFresh is how long after an interactive call batch calls keep
-	// to the pace that those need.
-	interactiveFresh = time.Minute
-	rateMemory       = 5 * time.Second
+	maxQueue = 2000 // waiting calls of one service
+	// loadMaxAge is how long a load report is used after it arrives.
+	loadMaxAge = 5 * time.Second
+	// interactiveMaxAge is how long after the last interactive call batch calls
+	// are limited so that interactive streams keep their token rate.
+	interactiveMaxAge = time.Minute
+	// rateTimeConstant is the time constant of the decaying placement rate.
+	rateTimeConstant = 5 * time.Second
 )
 
-// Result is how an attempt went, as the endpoint's health sees it.
+// Result is the outcome of an attempt, as recorded in the endpoint's health.
 type Result int
 
-// The results.
+// The results of an attempt.
 const (
-	Went      Result = iota // the endpoint did its part
+	Succeeded Result = iota // the endpoint is not at fault
 	Failed                  // the endpoint failed
-	Untouched               // nothing was sent
+	NotSent                 // nothing was sent to the endpoint
 )
 
-// Ask is a call that wants an endpoint.
-type Ask struct {
+// Request describes a call that needs an endpoint.
+type Request struct {
 	Customer ident.Customer
 	Service  ident.Service
 	Weight   int64
@@ -52,7 +53,7 @@
 	Deadline time.Time
 }
 
-// Grant is an endpoint that a call may use until it is released.
+// Grant is the right of a call to use an endpoint until Release.
 type Grant struct {
 	Choice routing.Choice
 	Waited time.Duration
@@ -62,6 +63,7 @@
 // Endpoint is the chosen endpoint.
 func (g Grant) Endpoint() catalog.Endpoint { return g.Choice.Target.Endpoint }
 
+// tracker holds what this node knows of one endpoint.
 type tracker struct {
 	own         int64
 	ownBatch    int64
@@ -75,39 +77,39 @@
 
 // waiter is a queued call.
 type waiter struct {
-	ask    Ask
-	since  time.Time
-	answer chan answer
+	req   Request
+	since time.Time
+	reply chan reply
 }
 
-type answer struct {
+type reply struct {
 	grant   Grant
 	problem *problem.Problem
 }
 
-// Dispatcher places the calls of one node; New makes one.
+// Dispatcher places the calls of one node. It is created by New.
 type Dispatcher struct {
 	zone   ident.Zone
 	clock  clockwork.Clock
 	events *event.Log
 	random func() uint64
-	nodes  func(ident.Zone) int // live nodes of a zone
-
-	mu          sync.Mutex
-	table       routing.Table
-	zones       map[ident.Endpoint]ident.Zone
-	queues      map[ident.Service]*serviceQueue
-	trackers    map[ident.Endpoint]*tracker
-	interactive time.Time // when an interactive call was last placed
+	nodes  func(ident.Zone) int // number of live nodes in a zone
+
+	mu              sync.Mutex
+	table           routing.Table
+	zones           map[ident.Endpoint]ident.Zone
+	queues          map[ident.Service]*serviceQueue
+	trackers        map[ident.Endpoint]*tracker
+	lastInteractive time.Time // when the last interactive call was placed
 }
 
 type serviceQueue struct {
 	*queue.Queue
-	rate   float64 // calls placed a second, smoothed
+	rate   float64 // calls placed per second, exponentially smoothed
 	rateAt time.Time
 }
 
-// New makes a dispatcher without endpoints; nodes counts the live nodes of a zone.
+// New returns a dispatcher without endpoints; nodes returns the number of live nodes in a zone.
 func New(zone ident.Zone, clock clockwork.Clock, events *event.Log, random func() uint64, nodes func(ident.Zone) int) *Dispatcher {
 	return &Dispatcher{
 		zone: zone, clock: clock, events: events, random: random, nodes: nodes,
@@ -117,7 +119,7 @@
 	}
 }
 
-// Configure takes a new revision of the table.
+// Configure applies a new revision of the table.
 func (d *Dispatcher) Configure(c *catalog.Catalog) {
 	services := lo.Uniq(lo.FlatMap(c.AllEndpoints(), func(e catalog.Endpoint, _ int) []ident.Service { return e.Services }))
 	d.mu.Lock()
@@ -141,7 +143,7 @@
 	return t
 }
 
-// Report takes endpoints' load reports.
+// Report records load reports of endpoints and places queued calls that now fit.
 func (d *Dispatcher) Report(loads []peer.Load) {
 	nodes := map[ident.Zone]int{}
 	for _, z := range lo.Uniq(lo.Map(loads, func(l peer.Load, _ int) ident.Zone { return d.zoneOf(l.Endpoint) })) {
@@ -175,67 +177,67 @@
 }
 
 func (d *Dispatcher) isInteractive() bool {
-	return d.clock.Since(d.interactive) <= interactiveFresh
+	return d.clock.Since(d.lastInteractive) <= interactiveMaxAge
 }
 
-// Paced tells the mean time between the tokens of a stream from an endpoint.
-func (d *Dispatcher) Paced(g Grant, gap time.Duration) {
+// RecordTokenInterval records the mean time between the tokens of a stream from an endpoint.
+func (d *Dispatcher) RecordTokenInterval(g Grant, interval time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.tracker(g.Endpoint().Name)
-	t.window = t.window.WithGap(gap)
+	t.window = t.window.WithGap(interval)
 }
 
-func (d *Dispatcher) look(name ident.Endpoint) routing.Condition {
+func (d *Dispatcher) condition(name ident.Endpoint) routing.Condition {
 	t := d.tracker(name)
 	now := d.clock.Now()
 	c := routing.Condition{Own: t.own, Limit: t.limit, Out: t.health.Ejected(now)}
-	if now.Sub(t.reportAt) <= reportMaxAge {
+	if now.Sub(t.reportAt) <= loadMaxAge {
 		c.Others = max(0, t.report.InFlight+t.report.Queued-t.ownAtReport)
 		c.Out = c.Out || t.report.Leaving || t.report.Down
 	}
-	c.NoBatch = c.Own+c.Others >= routing.BatchLimit(t.limit) || !t.window.Allows(t.ownBatch, d.chance())
+	c.NoBatch = c.Own+c.Others >= routing.BatchLimit(t.limit) || !t.window.Allows(t.ownBatch, d.randomFloat())
 	return c
 }
 
-// chance is a random number from 0 to 1.
-func (d *Dispatcher) chance() float64 { return float64(d.random()>>11) / (1 << 53) }
+// randomFloat returns a random number in [0, 1).
+func (d *Dispatcher) randomFloat() float64 { return float64(d.random()>>11) / (1 << 53) }
 
-// Acquire waits for an endpoint until the deadline; it refuses at once where
-// the wait would be too long.
-func (d *Dispatcher) Acquire(ctx context.Context, ask Ask) (Grant, *problem.Problem) {
+// Acquire waits for an endpoint until the deadline. It refuses the call at once if
+// the estimated wait would pass the deadline.
+func (d *Dispatcher) Acquire(ctx context.Context, req Request) (Grant, *problem.Problem) {
 	d.mu.Lock()
-	q := d.queue(ask.Service)
-	if q.Ahead(ask.Priority) == 0 {
-		if grant, full := d.place(ask); full == routing.Chosen {
+	q := d.queue(req.Service)
+	if q.Ahead(req.Priority) == 0 {
+		if grant, full := d.place(req); full == routing.Chosen {
 			d.mu.Unlock()
 			return grant, nil
 		} else if full == routing.NoEndpoint {
 			d.mu.Unlock()
-			return Grant{}, problem.New(problem.NoEndpoint, "no endpoint that serves "+string(ask.Service)+" takes work now")
+			return Grant{}, problem.New(problem.NoEndpoint, "no endpoint that serves "+string(req.Service)+" takes work now")
 		}
 	}
-	if wait := q.estimate(ask, d.clock.Now()); d.clock.Now().Add(wait).After(ask.Deadline) {
+	if wait := q.estimate(req, d.clock.Now()); d.clock.Now().Add(wait).After(req.Deadline) {
 		d.mu.Unlock()
 		return Grant{}, problem.New(problem.Overloaded, "the wait would outlast the deadline").WithRetryAfter(wait)
 	}
-	w := &waiter{ask: ask, since: d.clock.Now(), answer: make(chan answer, 1)}
-	item := &queue.Item{Customer: ask.Customer, Weight: ask.Weight, Priority: ask.Priority, Deadline: ask.Deadline, Cost: ask.Cost, Value: w}
+	w := &waiter{req: req, since: d.clock.Now(), reply: make(chan reply, 1)}
+	item := &queue.Item{Customer: req.Customer, Weight: req.Weight, Priority: req.Priority, Deadline: req.Deadline, Cost: req.Cost, Value: w}
 	shed := q.Push(item)
 	if shed != nil {
-		shed.Value.(*waiter).answer <- answer{problem: problem.New(problem.Overloaded, "the queue is full")}
+		shed.Value.(*waiter).reply <- reply{problem: problem.New(problem.Overloaded, "the queue is full")}
 	}
 	d.mu.Unlock()
 	return d.await(ctx, q, item, w)
 }
 
 func (d *Dispatcher) await(ctx context.Context, q *serviceQueue, item *queue.Item, w *waiter) (Grant, *problem.Problem) {
-	timer := d.clock.NewTimer(w.ask.Deadline.Sub(d.clock.Now()))
+	timer := d.clock.NewTimer(w.req.Deadline.Sub(d.clock.Now()))
 	defer timer.Stop()
 	var refusal *problem.Problem
 	select {
-	case a := <-w.answer:
-		return a.grant, a.problem
+	case r := <-w.reply:
+		return r.grant, r.problem
 	case <-timer.Chan():
 		refusal = problem.New(problem.DeadlinePassed, "no endpoint was free before the deadline")
 	case <-ctx.Done():
@@ -244,9 +246,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case a := <-w.answer: // placed in the same moment
-		if a.problem == nil {
-			d.release(a.grant, Untouched)
+	case r := <-w.reply: // placed at the same moment
+		if r.problem == nil {
+			d.release(r.grant, NotSent)
 		}
 	default:
 		q.Remove(item)
@@ -263,16 +265,16 @@
 	return q
 }
 
-// place chooses an endpoint and counts the call on it.
-func (d *Dispatcher) place(ask Ask) (Grant, routing.Full) {
-	query := routing.Query{Service: ask.Service, Priority: ask.Priority, Prefix: ask.Prefix, Excluded: ask.Excluded, Random: d.random()}
-	choice, full := d.table.Choose(query, d.look)
+// place chooses an endpoint and counts the call as in flight there.
+func (d *Dispatcher) place(req Request) (Grant, routing.Full) {
+	query := routing.Query{Service: req.Service, Priority: req.Priority, Prefix: req.Prefix, Excluded: req.Excluded, Random: d.random()}
+	choice, full := d.table.Choose(query, d.condition)
 	if full != routing.Chosen {
 		return Grant{}, full
 	}
 	t := d.tracker(choice.Target.Name)
 	t.own++
-	batch := ask.Priority == catalog.Batch
+	batch := req.Priority == catalog.Batch
 	if batch {
 		t.ownBatch++
 	}
@@ -281,43 +283,43 @@
 		t.health = t.health.WithProbe()
 	}
 	if !batch {
-		d.interactive = now
+		d.lastInteractive = now
 	}
-	d.queue(ask.Service).placed(now)
+	d.queue(req.Service).placed(now)
 	return Grant{Choice: choice, batch: batch}, routing.Chosen
 }
 
-// Release gives an endpoint back.
-func (d *Dispatcher) Release(g Grant, r Result) {
+// Release ends the use of an endpoint, records the result and places queued calls.
+func (d *Dispatcher) Release(g Grant, result Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.release(g, r)
+	d.release(g, result)
 	for _, s := range g.Endpoint().Services {
 		d.pump(s)
 	}
 }
 
-func (d *Dispatcher) release(g Grant, r Result) {
+func (d *Dispatcher) release(g Grant, result Result) {
 	t := d.tracker(g.Endpoint().Name)
 	t.own = max(0, t.own-1)
 	if g.batch {
 		t.ownBatch = max(0, t.ownBatch-1)
 	}
 	before := t.health.Ejected(d.clock.Now())
-	switch r {
-	case Went:
+	switch result {
+	case Succeeded:
 		t.health = t.health.WithSuccess()
 	case Failed:
 		t.health = t.health.WithFailure(d.clock.Now())
-	case Untouched:
+	case NotSent:
 	}
 	if after := t.health.Ejected(d.clock.Now()); after && !before {
 		d.events.Add(event.Event{Step: event.Eject, Peer: string(g.Endpoint().Name), Decision: "ejected", Reason: "failures in a row"})
 	}
 }
 
-// Pump places what can be placed in every queue; the runtime calls it now and
-// then since reports age.
+// Pump places the calls of every queue that can be placed. The runtime calls it
+// periodically, because load reports expire.
 func (d *Dispatcher) Pump() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -337,38 +339,38 @@
 			return
 		}
 		w := item.Value.(*waiter)
-		grant, full := d.place(w.ask)
+		grant, full := d.place(w.req)
 		if full == routing.AllBusy {
 			return
 		}
 		q.Take(item)
 		if full == routing.NoEndpoint {
-			w.answer <- answer{problem: problem.New(problem.NoEndpoint, "no endpoint that serves "+string(s)+" takes work now")}
+			w.reply <- reply{problem: problem.New(problem.NoEndpoint, "no endpoint that serves "+string(s)+" takes work now")}
 			continue
 		}
 		grant.Waited = d.clock.Since(w.since)
-		w.answer <- answer{grant: grant}
+		w.reply <- reply{grant: grant}
 	}
 }
 
 func (q *serviceQueue) placed(at time.Time) {
 	if !q.rateAt.IsZero() {
-		q.rate *= math.Exp(-at.Sub(q.rateAt).Seconds() / rateMemory.Seconds())
+		q.rate *= math.Exp(-at.Sub(q.rateAt).Seconds() / rateTimeConstant.Seconds())
 	}
-	q.rate += 1 / rateMemory.Seconds()
+	q.rate += 1 / rateTimeConstant.Seconds()
 	q.rateAt = at
 }
 
-// estimate is how long a new call would wait, 0 where nothing is known.
-func (q *serviceQueue) estimate(ask Ask, at time.Time) time.Duration {
-	ahead := q.Ahead(ask.Priority)
+// estimate returns how long a new call is expected to wait, or 0 if no rate is known.
+func (q *serviceQueue) estimate(req Request, at time.Time) time.Duration {
+	ahead := q.Ahead(req.Priority)
 	if q.rate <= 0 || ahead == 0 {
 		return 0
 	}
 	return time.Duration(float64(ahead) / q.rate * float64(time.Second))
 }
 
-// Waiting is how many calls wait for a service here.
+// Waiting returns the number of calls queued for a service on this node.
 func (d *Dispatcher) Waiting(s ident.Service) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -378,7 +380,7 @@
 	return 0
 }
 
-// State is how an endpoint looks from this node.
+// State is the state of an endpoint as observed by this node.
 type State struct {
 	Name     ident.Endpoint `json:"name"`
 	Zone     ident.Zone     `json:"zone"`
@@ -386,7 +388,7 @@
 	InFlight int64          `json:"inFlight"`
 }
 
-// States lists the endpoints of a catalog as this node sees them.
+// States lists the endpoints of a catalog with the state observed by this node.
 func (d *Dispatcher) States(c *catalog.Catalog) []State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -394,7 +396,7 @@
 	return lo.Map(c.AllEndpoints(), func(e catalog.Endpoint, _ int) State {
 		t := d.tracker(e.Name)
 		s := State{Name: e.Name, Zone: e.Zone, State: "live", InFlight: max(t.own, t.report.InFlight)}
-		fresh := now.Sub(t.reportAt) <= reportMaxAge
+		fresh := now.Sub(t.reportAt) <= loadMaxAge
 		switch {
 		case e.Leaving || (fresh && t.report.Leaving):
 			s.State = "leaving"
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -44,7 +44,7 @@
 	for {
 		usage, err := j.once(ctx, resume)
 		if err == nil {
-			j.entry.Dispatch.Release(j.grant, dispatch.Went)
+			j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
 			j.whole(ctx, usage)
 			return
 		}
@@ -158,7 +158,7 @@
 
 func (j *chatJob) pace(first time.Time, count int) {
 	if count >= pacedTokens {
-		j.entry.Dispatch.Paced(j.grant, j.entry.Clock.Since(first)/time.Duration(count-1))
+		j.entry.Dispatch.RecordTokenInterval(j.grant, j.entry.Clock.Since(first)/time.Duration(count-1))
 	}
 }
 
@@ -227,7 +227,7 @@
 	j.grant = grant
 	next := attemptAt(len(j.record.Attempts)+1, grant.Endpoint())
 	if !j.entry.note(ctx, j.record, next, j.extra()) {
-		j.entry.Dispatch.Release(grant, dispatch.Untouched)
+		j.entry.Dispatch.Release(grant, dispatch.NotSent)
 		j.finishWithout(ctx, problem.New(problem.NoHolder, "the holder did not take a further attempt"))
 		return false
 	}
@@ -300,7 +300,7 @@
 // cut ends a run that its caller left, that timed out or that passed its cap:
 // the engine is told, and what ran is billed.
 func (j *chatJob) cut(ctx context.Context, cause error) {
-	j.entry.Dispatch.Release(j.grant, dispatch.Went)
+	j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
 	j.abandonAttempt(ctx)
 	j.settle(ctx)
 	if errors.Is(cause, errOverCap) {
--- a/fleet/entry/execute.go
+++ b/fleet/entry/execute.go
@@ -60,7 +60,7 @@
 }
 
 // acquire waits for an endpoint and explains the choice.
-func (e *Entry) acquire(ctx context.Context, id ident.Request, ask dispatch.Ask) (dispatch.Grant, *problem.Problem) {
+func (e *Entry) acquire(ctx context.Context, id ident.Request, ask dispatch.Request) (dispatch.Grant, *problem.Problem) {
 	ctx, span := e.Tracer.Start(ctx, "queue")
 	defer span.End()
 	grant, refusal := e.Dispatch.Acquire(ctx, ask)
@@ -144,7 +144,7 @@
 		e.refuseRun(r, refusal)
 		return
 	}
-	ask := dispatch.Ask{
+	ask := dispatch.Request{
 		Customer: call.customer.Name,
 		Service:  call.service.Name,
 		Weight:   e.Catalog().CustomerWeight(call.customer.Name, call.service.Name),
@@ -177,15 +177,15 @@
 	cancel()
 	switch {
 	case verdict.Existing != nil:
-		e.Dispatch.Release(grant, dispatch.Untouched)
+		e.Dispatch.Release(grant, dispatch.NotSent)
 		e.follow(ctx, r, *verdict.Existing)
 		return holder.Record{}, false
 	case verdict.Admitted == nil:
-		e.Dispatch.Release(grant, dispatch.Untouched)
+		e.Dispatch.Release(grant, dispatch.NotSent)
 		e.refuseRun(r, verdict.Refused)
 		return holder.Record{}, false
 	case ctx.Err() != nil:
-		e.Dispatch.Release(grant, dispatch.Untouched)
+		e.Dispatch.Release(grant, dispatch.NotSent)
 		e.end(context.WithoutCancel(ctx), peer.Ending{Record: *verdict.Admitted, NotRun: true})
 		r.fail(problem.New(problem.Cancelled, "cancelled before it was sent"), RunCancelled, holder.Usage{}, e.Clock.Now())
 		return holder.Record{}, false
--- a/fleet/entry/job.go
+++ b/fleet/entry/job.go
@@ -16,7 +16,7 @@
 type job struct {
 	entry  *Entry
 	run    *run
-	ask    dispatch.Ask
+	ask    dispatch.Request
 	record holder.Record
 	grant  dispatch.Grant
 }
--- a/fleet/entry/plainjob.go
+++ b/fleet/entry/plainjob.go
@@ -34,7 +34,7 @@
 
 func (e *Entry) runPlain(ctx context.Context, r *run, call plainCall) {
 	j := &plainJob{job: job{entry: e, run: r}, call: call}
-	j.ask = dispatch.Ask{
+	j.ask = dispatch.Request{
 		Customer: call.customer.Name,
 		Service:  call.service.Name,
 		Weight:   e.Catalog().CustomerWeight(call.customer.Name, call.service.Name),
@@ -70,7 +70,7 @@
 	for {
 		answer, err := j.once(ctx)
 		if err == nil {
-			j.entry.Dispatch.Release(j.grant, dispatch.Went)
+			j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
 			j.answered(ctx, answer)
 			return
 		}
