--- a/fleet/queue/queue.go
+++ b/fleet/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue orders the calls that wait for an endpoint: interactive before
-// batch, and within a priority by the customers' weights.
+// Package queue orders the calls that wait for an endpoint: interactive calls before
+// batch calls, and within a priority by weighted fair queueing over customers.
 package queue
 
 import (
@@ -12,30 +12,30 @@
 // Item is a waiting call.
 type Item struct {
 	Customer ident.Customer
-	Weight   int64 // the customer's share
+	Weight   int64 // of the customer, relative to the others
 	Priority catalog.Priority
 	Deadline time.Time
 	Cost     int64 // tokens
 	Value    any
-	gone     bool
+	removed  bool
 }
 
-// Queue is the waiting calls of one service. It is not safe for concurrent use.
+// Queue holds the waiting calls of one service. It is not safe for concurrent use.
 type Queue struct {
 	max         int
-	interactive lane
-	batch       lane
+	interactive priorityQueue
+	batch       priorityQueue
 }
 
-// New makes a queue of at most max calls.
+// New returns a queue that holds at most limit calls.
 func New(limit int) *Queue {
-	return &Queue{max: limit, interactive: newLane(), batch: newLane()}
+	return &Queue{max: limit, interactive: newPriorityQueue(), batch: newPriorityQueue()}
 }
 
-// Len is how many calls wait.
+// Len returns the number of waiting calls.
 func (q *Queue) Len() int { return q.interactive.count + q.batch.count }
 
-// Ahead is how many calls go before a new one of the priority.
+// Ahead returns the number of calls that are served before a new one of the priority.
 func (q *Queue) Ahead(p catalog.Priority) int {
 	if p == catalog.Batch {
 		return q.Len()
@@ -43,9 +43,9 @@
 	return q.interactive.count
 }
 
-// Push adds a call. Where the queue is full, an interactive call takes the place
-// of the batch call that came last; that one is returned. Without room the call
-// itself is returned.
+// Push adds a call. If the queue is full, an interactive call displaces a batch call,
+// the newest of the customer with the most of them, which is returned. If there is no
+// batch call to displace, or the new call is one, the new call itself is returned.
 func (q *Queue) Push(i *Item) (shed *Item) {
 	if q.Len() >= q.max {
 		if i.Priority == catalog.Batch || q.batch.count == 0 {
@@ -53,20 +53,20 @@
 		}
 		shed = q.batch.popLast()
 	}
-	q.lane(i.Priority).push(i)
+	q.queueOf(i.Priority).push(i)
 	return shed
 }
 
-// Remove takes a call out that no longer waits.
+// Remove removes a call that no longer waits. Removing a call twice has no effect.
 func (q *Queue) Remove(i *Item) {
-	if !i.gone {
-		i.gone = true
-		q.lane(i.Priority).count--
+	if !i.removed {
+		i.removed = true
+		q.queueOf(i.Priority).count--
 	}
 }
 
-// Next returns the call whose turn it is without taking it out, or nil; skip
-// leaves out a priority that can't be placed now.
+// Next returns the next call without removing it, or nil if there is none; skip
+// is a priority that can't be placed now.
 func (q *Queue) Next(skip catalog.Priority) *Item {
 	if skip != catalog.Interactive {
 		if i := q.interactive.head(); i != nil {
@@ -79,57 +79,60 @@
 	return q.batch.head()
 }
 
-// Take takes the call out that Next returned.
-func (q *Queue) Take(i *Item) { q.lane(i.Priority).take(i) }
+// Take removes the call that Next returned.
+func (q *Queue) Take(i *Item) { q.queueOf(i.Priority).take(i) }
 
-func (q *Queue) lane(p catalog.Priority) *lane {
+func (q *Queue) queueOf(p catalog.Priority) *priorityQueue {
 	if p == catalog.Batch {
 		return &q.batch
 	}
 	return &q.interactive
 }
 
-// lane is one priority: a line for each customer, served in order of their
-// passes. A pass grows with what a customer is served, divided by its weight.
-type lane struct {
-	lines map[ident.Customer]*line
-	order []ident.Customer
-	now   float64 // the pass of the customer served last
-	count int
+// priorityQueue holds the calls of one priority and schedules customers by stride
+// scheduling: the customer with the lowest pass is served next, and its pass grows by
+// the cost of the call divided by the customer's weight.
+type priorityQueue struct {
+	customers map[ident.Customer]*customerQueue
+	order     []ident.Customer
+	lastPass  float64 // pass of the customer served last, before that call
+	count     int
 }
 
-type line struct {
+type customerQueue struct {
 	items []*Item
 	pass  float64
 }
 
-func newLane() lane { return lane{lines: map[ident.Customer]*line{}} }
+func newPriorityQueue() priorityQueue {
+	return priorityQueue{customers: map[ident.Customer]*customerQueue{}}
+}
 
-func (l *lane) push(i *Item) {
-	c, ok := l.lines[i.Customer]
+func (pq *priorityQueue) push(i *Item) {
+	c, ok := pq.customers[i.Customer]
 	if !ok {
-		c = &line{pass: l.now}
-		l.lines[i.Customer] = c
-		l.order = append(l.order, i.Customer)
+		c = &customerQueue{pass: pq.lastPass}
+		pq.customers[i.Customer] = c
+		pq.order = append(pq.order, i.Customer)
 	}
 	if len(c.items) == 0 {
-		c.pass = max(c.pass, l.now) // idle time earns no credit
+		c.pass = max(c.pass, pq.lastPass) // idle time earns no credit
 	}
 	c.items = append(c.items, i)
-	l.count++
+	pq.count++
 }
 
-func (c *line) trim() {
-	for len(c.items) > 0 && c.items[0].gone {
+func (c *customerQueue) dropRemoved() {
+	for len(c.items) > 0 && c.items[0].removed {
 		c.items = c.items[1:]
 	}
 }
 
-func (l *lane) head() *Item {
-	var next *line
-	for _, customer := range l.order {
-		c := l.lines[customer]
-		c.trim()
+func (pq *priorityQueue) head() *Item {
+	var next *customerQueue
+	for _, customer := range pq.order {
+		c := pq.customers[customer]
+		c.dropRemoved()
 		if len(c.items) > 0 && (next == nil || c.pass < next.pass) {
 			next = c
 		}
@@ -140,50 +143,50 @@
 	return next.items[0]
 }
 
-func (l *lane) take(i *Item) {
-	c := l.lines[i.Customer]
-	c.trim()
+func (pq *priorityQueue) take(i *Item) {
+	c := pq.customers[i.Customer]
+	c.dropRemoved()
 	if len(c.items) == 0 || c.items[0] != i {
 		return
 	}
 	c.items = c.items[1:]
-	l.now = c.pass
+	pq.lastPass = c.pass
 	c.pass += float64(max(1, i.Cost)) / float64(max(1, i.Weight))
-	i.gone = true
-	l.count--
-	if len(c.items) == 0 && len(l.order) > maxIdleLines {
-		l.forget(i.Customer)
+	i.removed = true
+	pq.count--
+	if len(c.items) == 0 && len(pq.order) > maxIdleCustomers {
+		pq.removeCustomer(i.Customer)
 	}
 }
 
-// maxIdleLines bounds the lines that are kept for their pass alone.
-const maxIdleLines = 4096
+// maxIdleCustomers bounds the customers without calls that are kept only for their pass.
+const maxIdleCustomers = 4096
 
-func (l *lane) forget(customer ident.Customer) {
-	delete(l.lines, customer)
-	for at, other := range l.order {
+func (pq *priorityQueue) removeCustomer(customer ident.Customer) {
+	delete(pq.customers, customer)
+	for i, other := range pq.order {
 		if other == customer {
-			l.order = append(l.order[:at], l.order[at+1:]...)
+			pq.order = append(pq.order[:i], pq.order[i+1:]...)
 			return
 		}
 	}
 }
 
-// popLast takes out the call that came last of the longest line.
-func (l *lane) popLast() *Item {
-	var longest *line
-	for _, customer := range l.order {
-		c := l.lines[customer]
-		c.trim()
+// popLast removes the newest call of the customer with the most waiting calls.
+func (pq *priorityQueue) popLast() *Item {
+	var longest *customerQueue
+	for _, customer := range pq.order {
+		c := pq.customers[customer]
+		c.dropRemoved()
 		if longest == nil || len(c.items) > len(longest.items) {
 			longest = c
 		}
 	}
 	for at := len(longest.items) - 1; at >= 0; at-- {
-		if i := longest.items[at]; !i.gone {
+		if i := longest.items[at]; !i.removed {
 			longest.items = longest.items[:at]
-			i.gone = true
-			l.count--
+			i.removed = true
+			pq.count--
 			return i
 		}
 	}
--- a/fleet/queue/queue_test.go
+++ b/fleet/queue/queue_test.go
@@ -25,14 +25,14 @@
 
 func TestInteractiveGoesFirst(t *testing.T) {
 	q := queue.New(10)
-	late := item("a", 1, catalog.Interactive)
+	interactive := item("a", 1, catalog.Interactive)
 	require.Nil(t, q.Push(item("a", 1, catalog.Batch)))
-	require.Nil(t, q.Push(late))
-	assert.Same(t, late, next(q))
+	require.Nil(t, q.Push(interactive))
+	assert.Same(t, interactive, next(q))
 	assert.Equal(t, 1, q.Len())
 }
 
-func TestWeightsShareTheTurns(t *testing.T) {
+func TestServiceIsProportionalToWeights(t *testing.T) {
 	q := queue.New(1000)
 	for range 300 {
 		q.Push(item("small", 1, catalog.Batch))
@@ -79,12 +79,12 @@
 
 func TestRemovedCallsAreSkipped(t *testing.T) {
 	q := queue.New(10)
-	gone, stays := item("a", 1, catalog.Interactive), item("a", 1, catalog.Interactive)
-	q.Push(gone)
-	q.Push(stays)
-	q.Remove(gone)
-	q.Remove(gone)
+	removed, waiting := item("a", 1, catalog.Interactive), item("a", 1, catalog.Interactive)
+	q.Push(removed)
+	q.Push(waiting)
+	q.Remove(removed)
+	q.Remove(removed)
 	assert.Equal(t, 1, q.Len())
-	assert.Same(t, stays, next(q))
+	assert.Same(t, waiting, next(q))
 	assert.Nil(t, next(q))
 }
