--- a/fleet/dispatch/dispatch.go
+++ b/fleet/dispatch/dispatch.go
@@ -160,9 +160,9 @@
 			d.events.Add(event.Event{Step: event.Eject, Peer: string(l.Endpoint), Decision: lo.Ternary(l.Leaving, "gets no new work", "gets work again"), Reason: "its own report"})
 		}
 		t.report, t.reportAt, t.ownAtReport = l, d.clock.Now(), t.own
-		t.window = t.window.WithSighting(routing.Sighting{
-			At: t.reportAt, Total: l.InFlight + l.Queued, Limit: t.limit, OwnBatch: t.ownBatch,
-			Nodes: nodes[d.zones[l.Endpoint]], Far: d.zones[l.Endpoint] != d.zone, Interactive: d.isInteractive(),
+		t.window = t.window.WithObservation(routing.Observation{
+			At: t.reportAt, Calls: l.InFlight + l.Queued, Limit: t.limit, OwnBatch: t.ownBatch,
+			Nodes: nodes[d.zones[l.Endpoint]], Remote: d.zones[l.Endpoint] != d.zone, Interactive: d.isInteractive(),
 		})
 	}
 	for s := range d.queues {
@@ -185,16 +185,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.tracker(g.Endpoint().Name)
-	t.window = t.window.WithGap(interval)
+	t.window = t.window.WithInterval(interval)
 }
 
 func (d *Dispatcher) condition(name ident.Endpoint) routing.Condition {
 	t := d.tracker(name)
 	now := d.clock.Now()
-	c := routing.Condition{Own: t.own, Limit: t.limit, Out: t.health.Ejected(now)}
+	c := routing.Condition{Own: t.own, Limit: t.limit, Unavailable: t.health.Ejected(now)}
 	if now.Sub(t.reportAt) <= loadMaxAge {
 		c.Others = max(0, t.report.InFlight+t.report.Queued-t.ownAtReport)
-		c.Out = c.Out || t.report.Leaving || t.report.Down
+		c.Unavailable = c.Unavailable || t.report.Leaving || t.report.Down
 	}
 	c.NoBatch = c.Own+c.Others >= routing.BatchLimit(t.limit) || !t.window.Allows(t.ownBatch, d.randomFloat())
 	return c
@@ -209,10 +209,10 @@
 	d.mu.Lock()
 	q := d.queue(req.Service)
 	if q.Ahead(req.Priority) == 0 {
-		if grant, full := d.place(req); full == routing.Chosen {
+		if grant, outcome := d.place(req); outcome == routing.Chosen {
 			d.mu.Unlock()
 			return grant, nil
-		} else if full == routing.NoEndpoint {
+		} else if outcome == routing.NoEndpoint {
 			d.mu.Unlock()
 			return Grant{}, problem.New(problem.NoEndpoint, "no endpoint that serves "+string(req.Service)+" takes work now")
 		}
@@ -266,11 +266,11 @@
 }
 
 // place chooses an endpoint and counts the call as in flight there.
-func (d *Dispatcher) place(req Request) (Grant, routing.Full) {
+func (d *Dispatcher) place(req Request) (Grant, routing.Outcome) {
 	query := routing.Query{Service: req.Service, Priority: req.Priority, Prefix: req.Prefix, Excluded: req.Excluded, Random: d.random()}
-	choice, full := d.table.Choose(query, d.condition)
-	if full != routing.Chosen {
-		return Grant{}, full
+	choice, outcome := d.table.Choose(query, d.condition)
+	if outcome != routing.Chosen {
+		return Grant{}, outcome
 	}
 	t := d.tracker(choice.Target.Name)
 	t.own++
@@ -339,12 +339,12 @@
 			return
 		}
 		w := item.Value.(*waiter)
-		grant, full := d.place(w.req)
-		if full == routing.AllBusy {
+		grant, outcome := d.place(w.req)
+		if outcome == routing.AllBusy {
 			return
 		}
 		q.Take(item)
-		if full == routing.NoEndpoint {
+		if outcome == routing.NoEndpoint {
 			w.reply <- reply{problem: problem.New(problem.NoEndpoint, "no endpoint that serves "+string(s)+" takes work now")}
 			continue
 		}
--- a/fleet/entry/execute.go
+++ b/fleet/entry/execute.go
@@ -79,7 +79,7 @@
 	if c.Affinity {
 		why = "prefix affinity"
 	}
-	if c.Far {
+	if c.Remote {
 		why += ", no endpoint of the own zone was free"
 	}
 	if c.RunnerUp != "" {
--- a/fleet/routing/health.go
+++ b/fleet/routing/health.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Options of the outlier ejection; they are constants of the product today.
+// The parameters of outlier ejection.
 const (
-	ejectAfter   = 3 // failures in a row
-	firstEject   = time.Second
-	longestEject = 30 * time.Second
+	ejectAfter      = 3 // consecutive failures
+	initialEjection = time.Second
+	maxEjection     = 30 * time.Second
 )
 
-// Health is what a node has seen of an endpoint; it is not changed in place.
+// Health is the health of an endpoint as observed by this node. It is immutable;
+// methods return a changed copy.
 type Health struct {
-	failures int
-	ejected  time.Time // until when
-	last     time.Duration
-	probing  bool
+	failures     int
+	ejectedUntil time.Time // zero if it is not ejected
+	lastDuration time.Duration
+	probing      bool
 }
 
-// WithFailure is the health after a failed attempt; enough in a row eject the endpoint.
+// WithFailure returns the health after a failed attempt. The endpoint is ejected after
+// ejectAfter consecutive failures, each time for twice as long, up to maxEjection.
 func (h Health) WithFailure(at time.Time) Health {
 	h.failures++
 	if h.failures < ejectAfter && !h.probing {
 		return h
 	}
-	h.last = min(longestEject, max(firstEject, 2*h.last))
-	h.ejected = at.Add(h.last)
+	h.lastDuration = min(maxEjection, max(initialEjection, 2*h.lastDuration))
+	h.ejectedUntil = at.Add(h.lastDuration)
 	h.probing = false
 	return h
 }
 
-// WithSuccess is the health after an attempt that went well.
+// WithSuccess returns the health after a successful attempt.
 func (h Health) WithSuccess() Health { return Health{} }
 
-// WithProbe is the health while one call tries an endpoint whose ejection has run out.
+// WithProbe returns the health while one call probes an endpoint whose ejection has expired.
 func (h Health) WithProbe() Health {
 	h.probing = true
 	return h
 }
 
-// Ejected reports whether the endpoint takes no calls at a time.
+// Ejected reports whether the endpoint takes no calls at the given time.
 func (h Health) Ejected(at time.Time) bool {
-	if h.ejected.IsZero() {
+	if h.ejectedUntil.IsZero() {
 		return false
 	}
-	return at.Before(h.ejected) || h.probing
+	return at.Before(h.ejectedUntil) || h.probing
 }
 
-// NeedsProbe reports whether the next call is the one that tries the endpoint.
+// NeedsProbe reports whether the next call is to probe the endpoint.
 func (h Health) NeedsProbe(at time.Time) bool {
-	return !h.ejected.IsZero() && !at.Before(h.ejected) && !h.probing
+	return !h.ejectedUntil.IsZero() && !at.Before(h.ejectedUntil) && !h.probing
 }
--- a/fleet/routing/pace.go
+++ b/fleet/routing/pace.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// The constants of the estimate.
+// The parameters of the estimate.
 const (
-	paceSmoothing = 0.1    // weight of one stream in the means
-	paceDrift     = 1.0002 // how fast the least pace is forgotten, for each stream
-	paceFlat      = 1.05   // a mean within this ratio of the least says nothing yet
+	intervalSmoothing = 0.1    // weight of one stream in the moving averages
+	baselineDrift     = 1.0002 // factor by which the baseline grows with each stream, so that an old minimum decays
+	minSlowdown       = 1.05   // a mean within this ratio of the baseline gives no estimate
 )
 
-// Pace estimates how the time between tokens of an endpoint's streams grows with
-// the calls that run there: a line through the least seen, taken for a stream
-// that runs alone, and the means of late. It is not changed in place.
+// IntervalEstimate estimates how the time between tokens of an endpoint's streams grows
+// with the number of calls that run there. It is a line through the smallest observed
+// interval, taken as that of a stream that runs alone, and the recent averages. It is
+// immutable.
 //
-// A regression was tried first: the totals come from a lagging report, and noise
-// in them flattens its slope.
-type Pace struct {
-	least float64 // seconds
-	gap   float64 // smoothed seconds
-	total float64 // smoothed calls
+// It is not a linear regression: the numbers of calls come from a lagging report, and
+// noise in them flattens the slope of a regression.
+type IntervalEstimate struct {
+	baseline float64 // smallest interval, in seconds
+	interval float64 // moving average, in seconds
+	calls    float64 // moving average of the calls at the endpoint
 }
 
-// With is the estimate after a stream with a mean time between tokens beside so many calls.
-func (p Pace) With(total float64, gap time.Duration) Pace {
-	g := gap.Seconds()
-	if g <= 0 || total < 1 {
-		return p
+// With returns the estimate after a stream with a mean time between tokens, observed while
+// the given number of calls were at the endpoint.
+func (e IntervalEstimate) With(calls float64, interval time.Duration) IntervalEstimate {
+	g := interval.Seconds()
+	if g <= 0 || calls < 1 {
+		return e
 	}
-	if p.least == 0 {
-		return Pace{least: g, gap: g, total: total}
+	if e.baseline == 0 {
+		return IntervalEstimate{baseline: g, interval: g, calls: calls}
 	}
-	p.least = min(p.least*paceDrift, g)
-	p.gap += (g - p.gap) * paceSmoothing
-	p.total += (total - p.total) * paceSmoothing
-	return p
+	e.baseline = min(e.baseline*baselineDrift, g)
+	e.interval += (g - e.interval) * intervalSmoothing
+	e.calls += (calls - e.calls) * intervalSmoothing
+	return e
 }
 
-// Calls is how many calls may run so that a stream is slower than alone by a
-// factor at most; false while too little is known.
-func (p Pace) Calls(factor float64) (float64, bool) {
-	if p.least == 0 || p.gap <= p.least*paceFlat || p.total <= 1 {
+// Calls returns how many calls may run at the endpoint so that a stream is slower than
+// alone by at most a factor. It returns false while there is too little evidence.
+func (e IntervalEstimate) Calls(factor float64) (float64, bool) {
+	if e.baseline == 0 || e.interval <= e.baseline*minSlowdown || e.calls <= 1 {
 		return 0, false
 	}
-	slope := (p.gap - p.least) / (p.total - 1)
-	return 1 + (factor-1)*p.least/slope, true
+	slope := (e.interval - e.baseline) / (e.calls - 1)
+	return 1 + (factor-1)*e.baseline/slope, true
 }
--- a/fleet/routing/routing.go
+++ b/fleet/routing/routing.go
@@ -1,4 +1,4 @@
-// Package routing chooses the endpoint for a call: own zone first, prefix
+// Package routing chooses the endpoint for a call: in the own zone first, by prefix
 // affinity with bounded load, and otherwise the least loaded of several.
 package routing
 
@@ -12,31 +12,31 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// affinitySlack is how much fuller than the least loaded the endpoint that a
-// prefix prefers may be, as a part of its limit.
-const affinitySlack = 0.15
+// affinityMaxExtraLoad is how much more load than the least loaded endpoint the endpoint
+// preferred by a prefix may have, as a fraction of its limit.
+const affinityMaxExtraLoad = 0.15
 
-// maxScan is how many endpoints of a zone are compared for one choice.
-const maxScan = 16
+// maxCompared is the number of endpoints of a zone that are compared for one choice.
+const maxCompared = 16
 
-// Target is an endpoint as the choice sees it.
+// Target is an endpoint with its weight for one service.
 type Target struct {
 	catalog.Endpoint
 	ServiceWeight int64
 	hash          uint64
 }
 
-// Table is the targets of every service, those of the own zone first; it is immutable.
+// Table holds the targets of every service, split by own and other zones. It is immutable.
 type Table struct {
 	services map[ident.Service]targets
 }
 
 type targets struct {
-	near []Target
-	far  []Target
+	local  []Target
+	remote []Target
 }
 
-// New makes the table of one revision for the nodes of a zone.
+// New returns the table of one revision for the nodes of a zone.
 func New(c *catalog.Catalog, zone ident.Zone, services []ident.Service) Table {
 	t := Table{services: make(map[ident.Service]targets, len(services))}
 	for _, s := range services {
@@ -44,24 +44,24 @@
 		for _, e := range c.Endpoints(s) {
 			target := Target{Endpoint: e, ServiceWeight: c.EndpointWeight(e, s), hash: xxhash.Sum64String(string(e.Name))}
 			if e.Zone == zone {
-				ts.near = append(ts.near, target)
+				ts.local = append(ts.local, target)
 			} else {
-				ts.far = append(ts.far, target)
+				ts.remote = append(ts.remote, target)
 			}
 		}
-		slices.SortFunc(ts.far, func(x, y Target) int { return cmp.Compare(x.Name, y.Name) })
+		slices.SortFunc(ts.remote, func(x, y Target) int { return cmp.Compare(x.Name, y.Name) })
 		t.services[s] = ts
 	}
 	return t
 }
 
-// Condition is how an endpoint stands at the moment of a choice.
+// Condition is the state of an endpoint at the time of a choice.
 type Condition struct {
-	Own     int64 // calls in flight from this node
-	Others  int64 // calls in flight from other nodes, as last reported
-	Limit   int64 // calls that may be in flight in all
-	NoBatch bool  // the batch window is full
-	Out     bool  // leaving, ejected or cut off: takes no new work
+	Own         int64 // calls in flight from this node
+	Others      int64 // calls in flight from other nodes, as last reported
+	Limit       int64 // calls that may be in flight, from all nodes
+	NoBatch     bool  // the batch window is full
+	Unavailable bool  // leaving, ejected or unreachable: takes no new work
 }
 
 func (c Condition) load() int64 { return c.Own + c.Others }
@@ -70,112 +70,112 @@
 type Query struct {
 	Service  ident.Service
 	Priority catalog.Priority
-	Prefix   uint64 // hash of the prompt's prefix; 0 is none
+	Prefix   uint64 // hash of the prompt's prefix; 0 if there is none
 	Excluded []ident.Endpoint
 	Random   uint64
 }
 
-// Choice is the endpoint chosen and how it came to it.
+// Choice is the chosen endpoint and how it was chosen.
 type Choice struct {
 	Target   Target
-	Affinity bool // the prefix decided
-	Far      bool // no endpoint of the own zone could take it
-	Compared int
-	// RunnerUp is the next best endpoint, "" where there was none.
+	Affinity bool // chosen by prefix affinity
+	Remote   bool // no endpoint of the own zone was available
+	Compared int  // endpoints that could take the call
+	// RunnerUp is the next best endpoint, "" if there was none.
 	RunnerUp ident.Endpoint
 }
 
-// Full tells why nothing was chosen.
-type Full int
+// Outcome reports whether an endpoint was chosen, and if not, why.
+type Outcome int
 
-// The reasons for no choice.
+// The outcomes of a choice.
 const (
-	Chosen     Full = iota
-	NoEndpoint      // none serves the service or all are out
-	AllBusy         // some serve it, all are full
+	Chosen     Outcome = iota
+	NoEndpoint         // none serves the service, or all are unavailable
+	AllBusy            // all available endpoints are full
 )
 
-// Choose places a call; look tells how an endpoint stands now.
-func (t Table) Choose(q Query, look func(ident.Endpoint) Condition) (Choice, Full) {
+// Choose chooses an endpoint for a call; condition returns the current state of an endpoint.
+func (t Table) Choose(q Query, condition func(ident.Endpoint) Condition) (Choice, Outcome) {
 	ts, ok := t.services[q.Service]
-	if !ok || len(ts.near)+len(ts.far) == 0 {
+	if !ok || len(ts.local)+len(ts.remote) == 0 {
 		return Choice{}, NoEndpoint
 	}
-	choice, near := choose(ts.near, q, look)
-	if near == Chosen {
+	choice, local := choose(ts.local, q, condition)
+	if local == Chosen {
 		return choice, Chosen
 	}
-	choice, far := choose(ts.far, q, look)
-	choice.Far = true
-	if far == NoEndpoint {
-		return Choice{}, near
+	choice, remote := choose(ts.remote, q, condition)
+	choice.Remote = true
+	if remote == NoEndpoint {
+		return Choice{}, local
 	}
-	return choice, far
+	return choice, remote
 }
 
-// best keeps the two best targets of a scan.
-type best struct {
-	at, second   int
-	cost, costly float64
-	load         float64 // of the best
-	found        int
+// twoBest holds the two targets of lowest cost in a scan.
+type twoBest struct {
+	index, second    int
+	cost, secondCost float64
+	load             float64 // of the target at index
+	count            int
 }
 
-func (b *best) offer(at int, load, cost float64) {
-	b.found++
+func (b *twoBest) add(index int, load, cost float64) {
+	b.count++
 	switch {
-	case b.at < 0 || cost < b.cost:
-		b.second, b.costly = b.at, b.cost
-		b.at, b.cost, b.load = at, cost, load
-	case b.second < 0 || cost < b.costly:
-		b.second, b.costly = at, cost
+	case b.index < 0 || cost < b.cost:
+		b.second, b.secondCost = b.index, b.cost
+		b.index, b.cost, b.load = index, cost, load
+	case b.second < 0 || cost < b.secondCost:
+		b.second, b.secondCost = index, cost
 	}
 }
 
-func choose(ts []Target, q Query, look func(ident.Endpoint) Condition) (Choice, Full) {
+func choose(ts []Target, q Query, condition func(ident.Endpoint) Condition) (Choice, Outcome) {
 	if len(ts) == 0 {
 		return Choice{}, NoEndpoint
 	}
-	least := best{at: -1, second: -1}
-	affine, affineWeight, affineLoad := -1, uint64(0), 0.0
+	lowest := twoBest{index: -1, second: -1}
+	preferred, preferredHash, preferredLoad := -1, uint64(0), 0.0
 	usable := false
 	start := int(q.Random % uint64(len(ts)))
-	for i := range min(len(ts), maxScan) {
-		at := (start + i) % len(ts)
-		target := &ts[at]
-		c := look(target.Name)
-		if c.Out || target.Leaving || target.ServiceWeight <= 0 || slices.Contains(q.Excluded, target.Name) {
+	for i := range min(len(ts), maxCompared) {
+		index := (start + i) % len(ts)
+		target := &ts[index]
+		cond := condition(target.Name)
+		if cond.Unavailable || target.Leaving || target.ServiceWeight <= 0 || slices.Contains(q.Excluded, target.Name) {
 			continue
 		}
 		usable = true
-		if c.load() >= c.Limit || (c.NoBatch && q.Priority == catalog.Batch) {
+		if cond.load() >= cond.Limit || (cond.NoBatch && q.Priority == catalog.Batch) {
 			continue
 		}
-		load := float64(c.load()) / float64(max(1, c.Limit))
-		least.offer(at, load, load/float64(target.ServiceWeight))
-		if w := ident.Mix(q.Prefix ^ target.hash); q.Prefix != 0 && w > affineWeight {
-			affine, affineWeight, affineLoad = at, w, load
+		load := float64(cond.load()) / float64(max(1, cond.Limit))
+		lowest.add(index, load, load/float64(target.ServiceWeight))
+		if w := ident.Mix(q.Prefix ^ target.hash); q.Prefix != 0 && w > preferredHash {
+			preferred, preferredHash, preferredLoad = index, w, load
 		}
 	}
-	if least.at < 0 {
+	if lowest.index < 0 {
 		if usable {
 			return Choice{}, AllBusy
 		}
 		return Choice{}, NoEndpoint
 	}
-	choice := Choice{Target: ts[least.at], Compared: least.found}
-	if least.second >= 0 {
-		choice.RunnerUp = ts[least.second].Name
+	choice := Choice{Target: ts[lowest.index], Compared: lowest.count}
+	if lowest.second >= 0 {
+		choice.RunnerUp = ts[lowest.second].Name
 	}
-	if affine >= 0 && affine != least.at && affineLoad <= least.load+affinitySlack {
+	if preferred >= 0 && preferred != lowest.index && preferredLoad <= lowest.load+affinityMaxExtraLoad {
 		choice.RunnerUp = choice.Target.Name
-		choice.Target = ts[affine]
+		choice.Target = ts[preferred]
 	}
-	choice.Affinity = affine >= 0 && choice.Target.Name == ts[affine].Name
+	choice.Affinity = preferred >= 0 && choice.Target.Name == ts[preferred].Name
 	return choice, Chosen
 }
 
-// HashPrefix hashes the part of a prompt that decides its affinity.
+// HashPrefix hashes the prefix of a prompt that determines its affinity.
 func HashPrefix(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
 }
--- a/fleet/routing/routing_test.go
+++ b/fleet/routing/routing_test.go
@@ -26,29 +26,29 @@
 func TestChoose(t *testing.T) {
 	free := routing.Condition{Limit: 4}
 	cases := []struct {
-		name     string
-		query    routing.Query
-		look     map[ident.Endpoint]routing.Condition
-		want     ident.Endpoint
-		wantFull routing.Full
-		wantFar  bool
+		name        string
+		query       routing.Query
+		look        map[ident.Endpoint]routing.Condition
+		want        ident.Endpoint
+		wantOutcome routing.Outcome
+		wantRemote  bool
 	}{
 		{"least loaded of the own zone", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 2}, "e2": free}, "e2", routing.Chosen, false},
-		{"others' calls count", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 1}, "e2": {Limit: 4, Others: 2}}, "e0", routing.Chosen, false},
+		{"calls of other nodes count", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 1}, "e2": {Limit: 4, Others: 2}}, "e0", routing.Chosen, false},
 		{"a full zone spills over", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 4}, "e2": {Limit: 4, Own: 4}, "e1": free, "e3": {Limit: 4, Own: 4}}, "e1", routing.Chosen, true},
-		{"out is out", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Out: true}, "e2": {Limit: 4, Own: 3}}, "e2", routing.Chosen, false},
-		{"excluded is out", routing.Query{Excluded: []ident.Endpoint{"e2"}}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3}, "e2": free}, "e0", routing.Chosen, false},
-		{"batch keeps to its window", routing.Query{Priority: catalog.Batch}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3, NoBatch: true}, "e2": {Limit: 4, Own: 3, NoBatch: true}, "e1": {Out: true}, "e3": {Out: true}}, "", routing.AllBusy, false},
-		{"interactive does not", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3, NoBatch: true}, "e2": {Limit: 4, Own: 4}}, "e0", routing.Chosen, false},
-		{"nothing left", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Out: true}, "e1": {Out: true}, "e2": {Out: true}, "e3": {Out: true}}, "", routing.NoEndpoint, false},
+		{"unavailable endpoint is skipped", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Unavailable: true}, "e2": {Limit: 4, Own: 3}}, "e2", routing.Chosen, false},
+		{"excluded endpoint is skipped", routing.Query{Excluded: []ident.Endpoint{"e2"}}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3}, "e2": free}, "e0", routing.Chosen, false},
+		{"batch call respects its window", routing.Query{Priority: catalog.Batch}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3, NoBatch: true}, "e2": {Limit: 4, Own: 3, NoBatch: true}, "e1": {Unavailable: true}, "e3": {Unavailable: true}}, "", routing.AllBusy, false},
+		{"interactive call ignores the batch window", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Limit: 4, Own: 3, NoBatch: true}, "e2": {Limit: 4, Own: 4}}, "e0", routing.Chosen, false},
+		{"no endpoint is available", routing.Query{}, map[ident.Endpoint]routing.Condition{"e0": {Unavailable: true}, "e1": {Unavailable: true}, "e2": {Unavailable: true}, "e3": {Unavailable: true}}, "", routing.NoEndpoint, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.query.Service = "s"
-			choice, full := endpoints(4, 2).Choose(c.query, func(e ident.Endpoint) routing.Condition { return c.look[e] })
-			assert.Equal(t, c.wantFull, full)
+			choice, outcome := endpoints(4, 2).Choose(c.query, func(e ident.Endpoint) routing.Condition { return c.look[e] })
+			assert.Equal(t, c.wantOutcome, outcome)
 			assert.Equal(t, c.want, choice.Target.Name)
-			assert.Equal(t, c.wantFar, choice.Far)
+			assert.Equal(t, c.wantRemote, choice.Remote)
 		})
 	}
 }
@@ -77,42 +77,42 @@
 	later := at.Add(time.Second)
 	assert.True(t, h.NeedsProbe(later))
 	h = h.WithProbe()
-	assert.True(t, h.Ejected(later), "one call probes, the others stay away")
+	assert.True(t, h.Ejected(later), "only one call probes")
 	h = h.WithFailure(later)
 	assert.True(t, h.Ejected(later.Add(1500*time.Millisecond)), "the second ejection is longer")
 	assert.False(t, h.WithSuccess().Ejected(later))
 }
 
-// TestWindowsSteerTheTotalToTheCeiling lets two nodes share an endpoint whose
-// streams slow down with the batch and whose report lags a second.
-func TestWindowsSteerTheTotalToTheCeiling(t *testing.T) {
+// Two nodes share an endpoint whose streams slow down with the number of calls and whose
+// load report is one round old: together they must stay near the ceiling.
+func TestWindowsKeepTheTotalNearTheCeiling(t *testing.T) {
 	const limit, alone, slope = 16, 4 * time.Millisecond, 0.05
 	cases := []struct {
-		name        string
-		interactive bool
-		least, most int64
+		name               string
+		interactive        bool
+		minTotal, maxTotal int64
 	}{
-		{"batch alone fills the endpoint but for the reserve", false, 12, 14},
-		{"beside interactive calls it keeps the pace", true, 4, 6},
+		{"batch calls alone use all but the reserve", false, 12, 14},
+		{"batch calls beside interactive ones keep the token rate", true, 4, 6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			windows := []routing.Window{{}, {}}
-			var lagged, total int64
+			var reported, total int64
 			for range 60 {
 				at = at.Add(2 * time.Second)
-				lagged, total = total, 0
+				reported, total = total, 0
 				for i, w := range windows {
 					own := int64(w.Size())
-					w = w.WithSighting(routing.Sighting{At: at, Total: lagged, Limit: limit, OwnBatch: own, Nodes: 2, Interactive: c.interactive})
-					w = w.WithGap(time.Duration(float64(alone) * (1 + slope*float64(max(0, lagged-1)))))
+					w = w.WithObservation(routing.Observation{At: at, Calls: reported, Limit: limit, OwnBatch: own, Nodes: 2, Interactive: c.interactive})
+					w = w.WithInterval(time.Duration(float64(alone) * (1 + slope*float64(max(0, reported-1)))))
 					windows[i] = w
 					total += int64(w.Size())
 				}
 			}
-			assert.GreaterOrEqual(t, total, c.least)
-			assert.LessOrEqual(t, total, c.most)
+			assert.GreaterOrEqual(t, total, c.minTotal)
+			assert.LessOrEqual(t, total, c.maxTotal)
 		})
 	}
 }
--- a/fleet/routing/window.go
+++ b/fleet/routing/window.go
@@ -6,138 +6,141 @@
 	"github.com/samber/lo"
 )
 
-// The constants of the batch window.
+// The parameters of the batch window.
 const (
-	// correctEvery is the time between corrections: longer than a load report's
-	// lag, so that each sees what the one before did.
-	correctEvery = 2 * time.Second
-	// refill is how fast a window grows back to its share, in calls.
-	refill = 2.0
-	// borrow is how fast it grows beyond its share while others leave theirs.
-	borrow = 0.5
-	// farBorrow is the same at an endpoint of another zone.
-	farBorrow = 0.1
-	// slack is how far under the ceiling the total must be for that, in calls.
-	slack = 2.0
-	// leastShare is the part of its share that a window keeps while the total is
-	// over the ceiling: those who borrowed give way.
-	leastShare = 0.5
-	// inflation is how much slower than alone a stream may run beside batch
-	// calls while interactive calls come.
-	inflation = 1.2
-	// reservedParts: one part in so many of an endpoint's limit is never used by
-	// batch calls, so that the first interactive call finds room.
-	reservedParts = 5
-	// pacedStep is how far the paced ceiling follows the estimate in one correction.
-	pacedStep = 0.3
-	// firstPaced is where the paced ceiling starts, as a part of the limit.
-	firstPaced = 0.5
-	// leastCeiling is what the paced ceiling never falls under, in calls.
-	leastCeiling = 1.0
+	// correctionInterval is the time between corrections. It is longer than the lag of a
+	// load report, so that each correction observes the effect of the previous one.
+	correctionInterval = 2 * time.Second
+	// growth is how much a window below its share grows per correction, in calls.
+	growth = 2.0
+	// borrowGrowth is how much a window grows beyond its share per correction, in calls,
+	// while other nodes do not use theirs.
+	borrowGrowth = 0.5
+	// remoteBorrowGrowth is borrowGrowth at an endpoint of another zone.
+	remoteBorrowGrowth = 0.1
+	// borrowHeadroom is how far below the ceiling the calls must be for a window to borrow.
+	borrowHeadroom = 2.0
+	// minShareFraction is the fraction of its share that a window keeps while the calls
+	// are over the ceiling: windows beyond their share shrink first.
+	minShareFraction = 0.5
+	// maxSlowdown is how much slower than alone a stream may run beside batch calls
+	// while there are interactive calls, as a factor.
+	maxSlowdown = 1.2
+	// reserveDivisor sets the reserve of an endpoint, limit/reserveDivisor, that batch calls
+	// never use, so that the first interactive call is not blocked.
+	reserveDivisor = 5
+	// pacedSmoothing is the weight of the newest estimate in the paced ceiling.
+	pacedSmoothing = 0.3
+	// initialPacedShare is the initial paced ceiling, as a fraction of the limit.
+	initialPacedShare = 0.5
+	// minPacedCeiling is the lower bound of the paced ceiling, in calls.
+	minPacedCeiling = 1.0
 )
 
-// Window is how many batch calls this node may have in flight at an endpoint.
-// Each node of the endpoint's zone has an even share of a ceiling, so that they
-// keep to it without a word, however late the load report; they borrow what the
-// report shows that others leave. While interactive calls come, the ceiling keeps
-// the time between tokens near what it is for a stream that runs alone. It is
-// not changed in place.
+// Window limits the batch calls that this node may have in flight at an endpoint.
+// Each node of the endpoint's zone has an equal share of a ceiling, so that together
+// they respect it without communication, however late the load reports are. A node
+// borrows capacity that, by the reports, other nodes do not use. While there are
+// interactive calls, the ceiling keeps the time between tokens close to that of a stream
+// that runs alone. Window is immutable; methods return a changed copy.
 type Window struct {
-	size    float64
-	ceiling float64 // of all calls at the endpoint, 0 until the first report
-	paced   float64 // the ceiling that keeps the pace, as last learned
-	pace    Pace
-	total   float64 // of the last report
-	at      time.Time
+	size         float64
+	ceiling      float64 // for all calls at the endpoint, 0 until the first report
+	pacedCeiling float64 // ceiling that keeps the time between tokens low, as last estimated
+	intervals    IntervalEstimate
+	calls        float64 // calls at the endpoint in the last report
+	correctedAt  time.Time
 }
 
-// Size is the window in calls.
+// Size returns the size of the window in calls.
 func (w Window) Size() float64 { return w.size }
 
-// Ceiling is what the total is steered towards.
+// Ceiling returns the target for the calls of all nodes at the endpoint.
 func (w Window) Ceiling() float64 { return w.ceiling }
 
-// WithGap is the window after a stream with a mean time between tokens.
-func (w Window) WithGap(gap time.Duration) Window {
-	w.pace = w.pace.With(max(1, w.total), gap)
+// WithInterval returns the window after a stream with a mean time between tokens.
+func (w Window) WithInterval(interval time.Duration) Window {
+	w.intervals = w.intervals.With(max(1, w.calls), interval)
 	return w
 }
 
-// Sighting is what a load report and the node itself show of an endpoint.
-type Sighting struct {
+// Observation is the state of an endpoint according to a load report and this node.
+type Observation struct {
 	At          time.Time
-	Total       int64 // calls running or queued at the endpoint, as reported
+	Calls       int64 // running or queued at the endpoint, as reported
 	Limit       int64
 	OwnBatch    int64
-	Nodes       int  // that share the endpoint: those of its zone
-	Far         bool // it lies in another zone
-	Interactive bool // interactive calls have come lately
+	Nodes       int  // nodes that share the endpoint: those of its zone
+	Remote      bool // the endpoint is in another zone
+	Interactive bool // there were interactive calls recently
 }
 
-// BatchLimit is how full an endpoint may be for a batch call to go there.
-func BatchLimit(limit int64) int64 { return limit - max(1, limit/reservedParts) }
+// BatchLimit returns the number of calls at an endpoint from which on it takes no batch calls.
+func BatchLimit(limit int64) int64 { return limit - max(1, limit/reserveDivisor) }
 
-// WithSighting is the window corrected after a report, at most once a while.
-func (w Window) WithSighting(s Sighting) Window {
-	most := float64(BatchLimit(s.Limit))
-	w.total = float64(s.Total)
+// WithObservation returns the window after a load report. It corrects the size at most
+// once per correctionInterval.
+func (w Window) WithObservation(o Observation) Window {
+	maxCeiling := float64(BatchLimit(o.Limit))
+	w.calls = float64(o.Calls)
 	if w.ceiling == 0 {
-		w.ceiling, w.paced, w.at = most, firstPaced*float64(s.Limit), s.At
-		w.size = w.share(s)
+		w.ceiling, w.pacedCeiling, w.correctedAt = maxCeiling, initialPacedShare*float64(o.Limit), o.At
+		w.size = w.share(o)
 		return w
 	}
-	if s.At.Sub(w.at) < correctEvery {
+	if o.At.Sub(w.correctedAt) < correctionInterval {
 		return w
 	}
-	w.at = s.At
-	return w.steered(s, most).corrected(s)
+	w.correctedAt = o.At
+	return w.withCeiling(o, maxCeiling).withSize(o)
 }
 
-// share is this node's even part of the ceiling.
-func (w Window) share(s Sighting) float64 {
-	if s.Far {
+// share returns this node's equal share of the ceiling.
+func (w Window) share(o Observation) float64 {
+	if o.Remote {
 		return 0
 	}
-	return w.ceiling / float64(max(1, s.Nodes))
+	return w.ceiling / float64(max(1, o.Nodes))
 }
 
-// steered moves the ceiling by what streams show of their pace.
-func (w Window) steered(s Sighting, most float64) Window {
-	if !s.Interactive {
-		w.ceiling = most
+// withCeiling adjusts the ceiling to the observed time between tokens.
+func (w Window) withCeiling(o Observation, maxCeiling float64) Window {
+	if !o.Interactive {
+		w.ceiling = maxCeiling
 		return w
 	}
-	if calls, known := w.pace.Calls(inflation); known {
-		w.paced += (calls - w.paced) * pacedStep
+	if allowed, known := w.intervals.Calls(maxSlowdown); known {
+		w.pacedCeiling += (allowed - w.pacedCeiling) * pacedSmoothing
 	}
-	w.paced = min(max(w.paced, leastCeiling), most)
-	w.ceiling = w.paced
+	w.pacedCeiling = min(max(w.pacedCeiling, minPacedCeiling), maxCeiling)
+	w.ceiling = w.pacedCeiling
 	return w
 }
 
-// corrected moves the window to its share, and beyond it while others leave theirs.
-func (w Window) corrected(s Sighting) Window {
-	share, total := w.share(s), float64(s.Total)
-	used := float64(s.OwnBatch) >= w.size-1
-	room := w.ceiling - total
-	if s.Far {
-		room -= w.ceiling / 2 // the zone's own nodes go first
+// withSize moves the size towards the share, and beyond it while other nodes do not use theirs.
+func (w Window) withSize(o Observation) Window {
+	share, calls := w.share(o), float64(o.Calls)
+	used := float64(o.OwnBatch) >= w.size-1
+	headroom := w.ceiling - calls
+	if o.Remote {
+		headroom -= w.ceiling / 2 // nodes of the endpoint's zone have precedence
 	}
 	switch {
-	case w.size > share && room < slack:
+	case w.size > share && headroom < borrowHeadroom:
 		w.size = share + (w.size-share)/2
-	case w.size >= share && room >= slack && used:
-		w.size += lo.Ternary(s.Far, farBorrow, borrow)
-	case room < 0:
-		w.size = max(leastShare*share, w.size-1)
+	case w.size >= share && headroom >= borrowHeadroom && used:
+		w.size += lo.Ternary(o.Remote, remoteBorrowGrowth, borrowGrowth)
+	case headroom < 0:
+		w.size = max(minShareFraction*share, w.size-1)
 	default:
-		w.size = max(w.size, min(share, w.size+refill))
+		w.size = max(w.size, min(share, w.size+growth))
 	}
 	return w
 }
 
-// Allows reports whether one more batch call fits. Where the window is smaller
-// than one call, chance (0 to 1) decides.
+// Allows reports whether one more batch call fits. If the window is smaller than
+// one call, a call is allowed with the window's size as probability; chance is a
+// random number in [0, 1).
 func (w Window) Allows(ownBatch int64, chance float64) bool {
 	if w.size < 1 {
 		return ownBatch == 0 && chance < w.size
