--- a/fleet/backend/backend.go
+++ b/fleet/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend speaks to the endpoints: model engines in the OpenAI form,
-// and plain services.
+// Package backend is the HTTP client for endpoints: model engines with an
+// OpenAI-compatible API, and plain services.
 package backend
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// The headers that name an attempt to an endpoint.
+// The headers that identify an attempt at an endpoint.
 const (
 	HeaderRequest  = "Lynxshed-Request-Id"
 	HeaderAttempt  = "Lynxshed-Attempt"
@@ -29,26 +29,26 @@
 )
 
 const (
-	askTimeout   = 2 * time.Second
-	maxAnswer    = 4 << 20
-	maxErrorBody = 4 << 10
+	queryTimeout   = 2 * time.Second
+	maxAnswerBytes = 4 << 20
+	maxErrorBytes  = 4 << 10
 )
 
-// The errors that decide whether an attempt may be tried elsewhere.
+// The errors that determine whether a call may be retried at another endpoint.
 var (
-	// ErrNotStarted means that the endpoint provably did not start the request.
+	// ErrNotStarted means that the endpoint certainly did not start the request.
 	ErrNotStarted = errors.New("the endpoint did not start the request")
-	// ErrRejected means that the endpoint found the request itself wrong.
+	// ErrRejected means that the endpoint rejected the request as invalid.
 	ErrRejected = errors.New("the endpoint rejected the request")
-	// ErrForeign means that the answer names another request or attempt.
+	// ErrForeign means that the headers of the answer name another request or attempt.
 	ErrForeign = errors.New("the answer is for another attempt")
 	// ErrTruncated means that the stream ended without its end mark.
 	ErrTruncated = errors.New("the stream ended without its end mark")
-	// ErrGarbage means that the answer can't be read.
+	// ErrGarbage means that the answer is malformed or too large.
 	ErrGarbage = errors.New("the endpoint answered garbage")
 )
 
-// State is where a run stands at its engine.
+// State is the state of a run at its engine.
 type State string
 
 // The states of a run at an engine; StateNever means that it never started there.
@@ -60,53 +60,53 @@
 	StateCancelled State = "cancelled"
 )
 
-// Outcome is what became of an attempt.
+// Outcome is the state of an attempt at its engine, with its cost so far.
 type Outcome struct {
 	State        State `json:"state"`
 	PromptTokens int64 `json:"promptTokens"`
 	OutputTokens int64 `json:"outputTokens"`
 }
 
-// Ended reports whether the run costs no more.
+// Ended reports whether the cost of the run is final.
 func (o Outcome) Ended() bool {
 	return o.State == StateNever || o.State == StateDone || o.State == StateCancelled
 }
 
-// Usage is what the run cost so far.
+// Usage returns the cost of the run so far.
 func (o Outcome) Usage() holder.Usage {
 	return holder.Usage{Prompt: o.PromptTokens, Output: o.OutputTokens}
 }
 
-// Load is an endpoint's own report, which lags.
+// Load is an endpoint's report of its load, which lags behind the actual load.
 type Load struct {
 	InFlight int64 `json:"inFlight"`
 	Queued   int64 `json:"queued"`
 	Leaving  bool  `json:"leaving"`
 }
 
-// Client calls endpoints.
+// Client sends requests to endpoints.
 type Client struct {
 	http   *http.Client
 	tracer trace.Tracer
 }
 
-// NewClient makes a client.
+// NewClient returns a client that uses an HTTP client and a tracer.
 func NewClient(hc *http.Client, tracer trace.Tracer) *Client {
 	return &Client{http: hc, tracer: tracer}
 }
 
-// Outcome asks an engine what became of an attempt.
+// Outcome returns the state of an attempt at its engine. An unknown attempt never started.
 func (c *Client) Outcome(ctx context.Context, a holder.Attempt, id ident.Request) (Outcome, error) {
-	return c.ask(ctx, http.MethodGet, a, "/v1/outcomes/"+url.PathEscape(string(id)))
+	return c.query(ctx, http.MethodGet, a, "/v1/outcomes/"+url.PathEscape(string(id)))
 }
 
-// Cancel stops an attempt and returns what it cost.
+// Cancel stops an attempt at its engine and returns its cost.
 func (c *Client) Cancel(ctx context.Context, a holder.Attempt, id ident.Request) (Outcome, error) {
-	return c.ask(ctx, http.MethodDelete, a, "/v1/requests/"+url.PathEscape(string(id)))
+	return c.query(ctx, http.MethodDelete, a, "/v1/requests/"+url.PathEscape(string(id)))
 }
 
-func (c *Client) ask(ctx context.Context, method string, a holder.Attempt, path string) (Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) query(ctx context.Context, method string, a holder.Attempt, path string) (Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, a.URL+path+"?attempt="+strconv.Itoa(a.Number), nil)
 	if err != nil {
@@ -124,16 +124,16 @@
 		return Outcome{}, errors.Newf("step outcome, peer %s: status %d", a.Endpoint, res.StatusCode)
 	}
 	var o Outcome
-	err = json.NewDecoder(io.LimitReader(res.Body, maxErrorBody)).Decode(&o)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxErrorBytes)).Decode(&o)
 	if err == nil && (o.PromptTokens < 0 || o.OutputTokens < 0) {
 		err = ErrGarbage
 	}
 	return o, errors.Wrapf(err, "step outcome, peer %s", a.Endpoint)
 }
 
-// Load reads an endpoint's report.
+// Load reads an endpoint's load report.
 func (c *Client) Load(ctx context.Context, base string) (Load, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/load", nil)
 	if err != nil {
@@ -148,11 +148,11 @@
 		return Load{}, errors.Newf("step load: status %d", res.StatusCode)
 	}
 	var l Load
-	err = json.NewDecoder(io.LimitReader(res.Body, maxErrorBody)).Decode(&l)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxErrorBytes)).Decode(&l)
 	return l, errors.Wrap(err, "step load")
 }
 
-// Call is one call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	Method      string
 	Path        string
@@ -163,21 +163,21 @@
 	Customer    ident.Customer
 }
 
-// Plain calls a plain service and reads its whole answer. The error is marked
-// ErrNotStarted only where the service said so or was never connected to.
+// Plain calls a plain service and reads its complete answer. The error is marked
+// ErrNotStarted only if the service answered with status 503 or the request was not sent.
 func (c *Client) Plain(ctx context.Context, a holder.Attempt, call Call) (holder.Answer, error) {
 	ctx, span := c.tracer.Start(ctx, "endpoint "+string(a.Endpoint), trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.Int("attempt", a.Number)))
 	defer span.End()
-	u := a.URL + call.Path
+	target := a.URL + call.Path
 	if call.Query != "" {
-		u += "?" + call.Query
+		target += "?" + call.Query
 	}
-	req, err := http.NewRequestWithContext(ctx, call.Method, u, bytes.NewReader(call.Body))
+	req, err := http.NewRequestWithContext(ctx, call.Method, target, bytes.NewReader(call.Body))
 	if err != nil {
 		return holder.Answer{}, errors.Mark(errors.Wrapf(err, "step send, peer %s", a.Endpoint), ErrNotStarted)
 	}
-	name(req, a, call.Request, call.Customer)
+	setHeaders(req, a, call.Request, call.Customer)
 	if call.ContentType != "" {
 		req.Header.Set("Content-Type", call.ContentType)
 	}
@@ -186,15 +186,15 @@
 		return holder.Answer{}, sendError(err, a)
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err != nil {
 		return holder.Answer{}, errors.Mark(errors.Wrapf(err, "step send, peer %s", a.Endpoint), ErrTruncated)
 	}
 	if res.StatusCode == http.StatusServiceUnavailable {
 		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: status 503", a.Endpoint), ErrNotStarted)
 	}
-	if len(body) > maxAnswer {
-		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: the answer is over %d bytes", a.Endpoint, maxAnswer), ErrGarbage)
+	if len(body) > maxAnswerBytes {
+		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: the answer is over %d bytes", a.Endpoint, maxAnswerBytes), ErrGarbage)
 	}
 	if got := res.Header.Get(HeaderRequest); got != "" && got != string(call.Request) {
 		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: answer for %q", a.Endpoint, got), ErrForeign)
@@ -202,8 +202,8 @@
 	return holder.Answer{Status: res.StatusCode, ContentType: res.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// name puts the attempt's names and the trace's context on a request.
-func name(req *http.Request, a holder.Attempt, id ident.Request, customer ident.Customer) {
+// setHeaders sets the headers that identify the attempt, and the trace context.
+func setHeaders(req *http.Request, a holder.Attempt, id ident.Request, customer ident.Customer) {
 	req.Header.Set(HeaderRequest, string(id))
 	req.Header.Set(HeaderAttempt, strconv.Itoa(a.Number))
 	req.Header.Set(HeaderCustomer, string(customer))
--- a/fleet/backend/senderror.go
+++ b/fleet/backend/senderror.go
@@ -8,11 +8,12 @@
 	"github.com/lynxshed/lynxshed/fleet/holder"
 )
 
-// sendError tells a request that never left from one that may have started.
+// sendError wraps an error of sending. It is marked ErrNotStarted if the connection failed,
+// since the endpoint may have started the request after any other error.
 func sendError(err error, a holder.Attempt) error {
 	wrapped := errors.Wrapf(err, "step send, peer %s", a.Endpoint)
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return errors.Mark(wrapped, ErrNotStarted)
 	}
 	return wrapped
--- a/fleet/backend/stream.go
+++ b/fleet/backend/stream.go
@@ -20,19 +20,20 @@
 )
 
 const (
-	endMark = "[DONE]"
-	// finishCancelled marks the end of a run that was stopped: it is not whole.
+	endMarker = "[DONE]"
+	// finishCancelled is the finish reason of a cancelled run, whose answer is incomplete.
 	finishCancelled = "cancelled"
 	maxEventBytes   = 1 << 20
 )
 
-// Message is one message of a chat, in the OpenAI form.
+// Message is a message of a chat, in the OpenAI format.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Completion asks an engine for an answer; it is always streamed.
+// Completion is the body of a chat completion request to an engine. The answer is
+// always streamed.
 type Completion struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -44,22 +45,22 @@
 // Chunk is one event of an engine's stream.
 type Chunk struct {
 	Data string
-	// Usage is set on the last chunk before the end mark.
+	// Usage is set only on the last chunk before the end marker.
 	Usage *holder.Usage
-	// Done marks the end mark itself.
+	// Done reports whether this is the end marker.
 	Done bool
 }
 
-// Stream is an engine's answer as it comes.
+// Stream is the streamed answer of an engine.
 type Stream struct {
 	body    io.ReadCloser
 	attempt holder.Attempt
 }
 
-// Close ends the reading; the engine is not told.
+// Close stops reading. It does not cancel the attempt at the engine.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Start sends an attempt to its engine.
+// Start sends an attempt to its engine and returns the stream of its answer.
 func (c *Client) Start(ctx context.Context, a holder.Attempt, id ident.Request, customer ident.Customer, q Completion) (*Stream, error) {
 	ctx, span := c.tracer.Start(ctx, "endpoint "+string(a.Endpoint), trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.Int("attempt", a.Number)))
@@ -73,23 +74,23 @@
 		return nil, errors.Mark(errors.Wrapf(err, "step send, peer %s", a.Endpoint), ErrNotStarted)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	name(req, a, id, customer)
-	return c.open(req, a, id)
+	setHeaders(req, a, id, customer)
+	return c.openStream(req, a, id)
 }
 
-// Resume reads an attempt's stream again from a chunk on.
+// Resume opens the stream of an attempt again, starting at a chunk number.
 func (c *Client) Resume(ctx context.Context, a holder.Attempt, id ident.Request, from int) (*Stream, error) {
 	query := url.Values{"attempt": {strconv.Itoa(a.Number)}, "from": {strconv.Itoa(from)}}
-	u := a.URL + "/v1/streams/" + url.PathEscape(string(id)) + "?" + query.Encode()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+	target := a.URL + "/v1/streams/" + url.PathEscape(string(id)) + "?" + query.Encode()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, errors.Wrapf(err, "step resume, peer %s", a.Endpoint)
 	}
-	name(req, a, id, "")
-	return c.open(req, a, id)
+	setHeaders(req, a, id, "")
+	return c.openStream(req, a, id)
 }
 
-func (c *Client) open(req *http.Request, a holder.Attempt, id ident.Request) (*Stream, error) {
+func (c *Client) openStream(req *http.Request, a holder.Attempt, id ident.Request) (*Stream, error) {
 	res, err := c.http.Do(req)
 	if err != nil {
 		return nil, sendError(err, a)
@@ -107,7 +108,7 @@
 
 func statusError(res *http.Response, a holder.Attempt) error {
 	defer res.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBody))
+	text, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 	err := errors.Newf("step send, peer %s: status %d: %s", a.Endpoint, res.StatusCode, bytes.TrimSpace(text))
 	switch {
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests || res.StatusCode == http.StatusNotFound:
@@ -119,8 +120,8 @@
 	}
 }
 
-// usageMark is in the last chunk only, so that the others need not be decoded.
-var usageMark = []byte(`"usage":{`)
+// usageMarker occurs only in the last chunk, so that the others need not be decoded.
+var usageMarker = []byte(`"usage":{`)
 
 type lastChunk struct {
 	Choices []struct {
@@ -132,7 +133,8 @@
 	} `json:"usage"`
 }
 
-// Chunks yields the stream's chunks up to the end mark, or an error.
+// Chunks yields the chunks of the stream up to and including the end marker, or up to an
+// error. A stream without an end marker ends with ErrTruncated.
 func (s *Stream) Chunks() iter.Seq2[Chunk, error] {
 	return func(yield func(Chunk, error) bool) {
 		defer s.Close()
@@ -155,7 +157,7 @@
 }
 
 func readChunk(data string) (Chunk, error) {
-	if data == endMark {
+	if data == endMarker {
 		return Chunk{Done: true}, nil
 	}
 	raw := []byte(data)
@@ -163,7 +165,7 @@
 		return Chunk{}, ErrGarbage
 	}
 	chunk := Chunk{Data: data}
-	if !bytes.Contains(raw, usageMark) {
+	if !bytes.Contains(raw, usageMarker) {
 		return chunk, nil
 	}
 	var last lastChunk
--- a/fleet/backend/stream_test.go
+++ b/fleet/backend/stream_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	oneChunk = "data: {\"id\":\"r\",\"choices\":[{\"delta\":{\"content\":\"t0 \"}}]}\n\n"
-	lastOne  = "data: {\"id\":\"r\",\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}\n\n"
-	endMark  = "data: [DONE]\n\n"
+	oneChunk  = "data: {\"id\":\"r\",\"choices\":[{\"delta\":{\"content\":\"t0 \"}}]}\n\n"
+	lastChunk = "data: {\"id\":\"r\",\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}\n\n"
+	endMarker = "data: [DONE]\n\n"
 )
 
-// read gives an engine's answer to the client and returns what it makes of it.
+// read serves an answer to the client and returns the chunks, usage and error that it yields.
 func read(t testing.TB, status int, header http.Header, body string) (chunks int, usage *holder.Usage, err error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -51,7 +51,7 @@
 	return chunks, usage, nil
 }
 
-func TestAnswers(t *testing.T) {
+func TestStreamErrors(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -59,16 +59,16 @@
 		body   string
 		want   error
 	}{
-		{"whole", 200, nil, oneChunk + lastOne + endMark, nil},
-		{"no end mark", 200, nil, oneChunk + lastOne, backend.ErrTruncated},
+		{"complete", 200, nil, oneChunk + lastChunk + endMarker, nil},
+		{"no end marker", 200, nil, oneChunk + lastChunk, backend.ErrTruncated},
 		{"half an event", 200, nil, oneChunk + "data: {\"id\"", backend.ErrTruncated},
-		{"stopped at the engine", 200, nil, "data: {\"choices\":[{\"finish_reason\":\"cancelled\"}],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}\n\n" + endMark, backend.ErrTruncated},
-		{"no JSON", 200, nil, "data: <html>\n\n", backend.ErrGarbage},
+		{"cancelled at the engine", 200, nil, "data: {\"choices\":[{\"finish_reason\":\"cancelled\"}],\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}\n\n" + endMarker, backend.ErrTruncated},
+		{"invalid JSON", 200, nil, "data: <html>\n\n", backend.ErrGarbage},
 		{"negative tokens", 200, nil, "data: {\"usage\":{\"prompt_tokens\":-3,\"completion_tokens\":1}}\n\n", backend.ErrGarbage},
-		{"another request's answer", 200, http.Header{backend.HeaderRequest: {"other"}}, oneChunk + lastOne + endMark, backend.ErrForeign},
-		{"another attempt's answer", 200, http.Header{backend.HeaderAttempt: {"7"}}, oneChunk + lastOne + endMark, backend.ErrForeign},
-		{"refused before it started", 503, nil, "", backend.ErrNotStarted},
-		{"found wrong", 400, nil, "bad", backend.ErrRejected},
+		{"another request's answer", 200, http.Header{backend.HeaderRequest: {"other"}}, oneChunk + lastChunk + endMarker, backend.ErrForeign},
+		{"another attempt's answer", 200, http.Header{backend.HeaderAttempt: {"7"}}, oneChunk + lastChunk + endMarker, backend.ErrForeign},
+		{"unavailable", 503, nil, "", backend.ErrNotStarted},
+		{"bad request", 400, nil, "bad", backend.ErrRejected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,15 +84,15 @@
 	}
 }
 
-func TestNobodyListeningIsNotStarted(t *testing.T) {
+func TestRefusedConnectionIsNotStarted(t *testing.T) {
 	c := backend.NewClient(http.DefaultClient, noop.NewTracerProvider().Tracer(""))
 	_, err := c.Start(context.Background(), holder.Attempt{Endpoint: "e", URL: "http://127.0.0.1:1"}, "r", "c", backend.Completion{})
 	assert.True(t, errors.Is(err, backend.ErrNotStarted), "%v", err)
 }
 
 func FuzzStream(f *testing.F) {
-	f.Add(oneChunk + lastOne + endMark)
-	f.Add("data: {\"usage\":{}}\n\n" + endMark)
+	f.Add(oneChunk + lastChunk + endMarker)
+	f.Add("data: {\"usage\":{}}\n\n" + endMarker)
 	f.Add("id: 7\nevent: x\ndata\n\n")
 	f.Fuzz(func(t *testing.T, body string) {
 		_, usage, err := read(t, 200, nil, body)
