--- a/fleet/backend/backend.go
+++ b/fleet/backend/backend.go
@@ -40,12 +40,12 @@
 	ErrNotStarted = errors.New("the endpoint did not start the request")
 	// ErrRejected means that the endpoint rejected the request as invalid.
 	ErrRejected = errors.New("the endpoint rejected the request")
-	// ErrForeign means that the headers of the answer name another request or attempt.
-	ErrForeign = errors.New("the answer is for another attempt")
+	// ErrWrongAttempt means that the headers of the answer name another request or attempt.
+	ErrWrongAttempt = errors.New("the answer is for another attempt")
 	// ErrTruncated means that the stream ended without its end mark.
 	ErrTruncated = errors.New("the stream ended without its end mark")
-	// ErrGarbage means that the answer is malformed or too large.
-	ErrGarbage = errors.New("the endpoint answered garbage")
+	// ErrMalformed means that the answer is malformed or too large.
+	ErrMalformed = errors.New("the endpoint answered garbage")
 )
 
 // State is the state of a run at its engine.
@@ -126,7 +126,7 @@
 	var o Outcome
 	err = json.NewDecoder(io.LimitReader(res.Body, maxErrorBytes)).Decode(&o)
 	if err == nil && (o.PromptTokens < 0 || o.OutputTokens < 0) {
-		err = ErrGarbage
+		err = ErrMalformed
 	}
 	return o, errors.Wrapf(err, "step outcome, peer %s", a.Endpoint)
 }
@@ -194,10 +194,10 @@
 		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: status 503", a.Endpoint), ErrNotStarted)
 	}
 	if len(body) > maxAnswerBytes {
-		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: the answer is over %d bytes", a.Endpoint, maxAnswerBytes), ErrGarbage)
+		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: the answer is over %d bytes", a.Endpoint, maxAnswerBytes), ErrMalformed)
 	}
 	if got := res.Header.Get(HeaderRequest); got != "" && got != string(call.Request) {
-		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: answer for %q", a.Endpoint, got), ErrForeign)
+		return holder.Answer{}, errors.Mark(errors.Newf("step send, peer %s: answer for %q", a.Endpoint, got), ErrWrongAttempt)
 	}
 	return holder.Answer{Status: res.StatusCode, ContentType: res.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/fleet/backend/stream.go
+++ b/fleet/backend/stream.go
@@ -101,7 +101,7 @@
 	gotID, gotAttempt := res.Header.Get(HeaderRequest), res.Header.Get(HeaderAttempt)
 	if (gotID != "" && gotID != string(id)) || (gotAttempt != "" && gotAttempt != strconv.Itoa(a.Number)) {
 		_ = res.Body.Close()
-		return nil, errors.Mark(errors.Newf("step send, peer %s: answer for %q attempt %q", a.Endpoint, gotID, gotAttempt), ErrForeign)
+		return nil, errors.Mark(errors.Newf("step send, peer %s: answer for %q attempt %q", a.Endpoint, gotID, gotAttempt), ErrWrongAttempt)
 	}
 	return &Stream{body: res.Body, attempt: a}, nil
 }
@@ -162,7 +162,7 @@
 	}
 	raw := []byte(data)
 	if !json.Valid(raw) {
-		return Chunk{}, ErrGarbage
+		return Chunk{}, ErrMalformed
 	}
 	chunk := Chunk{Data: data}
 	if !bytes.Contains(raw, usageMarker) {
@@ -170,10 +170,10 @@
 	}
 	var last lastChunk
 	if err := json.Unmarshal(raw, &last); err != nil || last.Usage == nil {
-		return Chunk{}, errors.Mark(errors.Newf("usage: %v", err), ErrGarbage)
+		return Chunk{}, errors.Mark(errors.Newf("usage: %v", err), ErrMalformed)
 	}
 	if last.Usage.PromptTokens < 0 || last.Usage.CompletionTokens < 0 {
-		return Chunk{}, errors.Mark(errors.New("usage: negative tokens"), ErrGarbage)
+		return Chunk{}, errors.Mark(errors.New("usage: negative tokens"), ErrMalformed)
 	}
 	for _, c := range last.Choices {
 		if c.FinishReason == finishCancelled {
--- a/fleet/entry/chat.go
+++ b/fleet/entry/chat.go
@@ -21,14 +21,14 @@
 
 const (
 	maxMessages = 2048
-	// messageOverhead bounds the tokens that a chat template adds for a message,
-	// promptOverhead those that it adds once.
+	// messageOverhead and promptOverhead are upper bounds of the tokens that a chat template
+	// adds per message and per prompt.
 	messageOverhead = 16
 	promptOverhead  = 16
 )
 
-// chatBody is a chat completion as callers send it. Fields that the fleet does
-// not act on are known, so that a misspelt one is refused, and go along unread.
+// chatBody is the body of a caller's chat completion request. It lists all supported fields,
+// including those that are accepted and ignored, so that misspelt ones can be refused.
 type chatBody struct {
 	Model       string        `json:"model"`
 	Messages    []chatMessage `json:"messages"`
@@ -54,7 +54,7 @@
 	Name    string `json:"name,omitempty"`
 }
 
-// chatCall is a chat completion that may be run.
+// chatCall is a validated chat completion.
 type chatCall struct {
 	headers
 	service  catalog.Service
@@ -62,8 +62,8 @@
 	body     backend.Completion
 	stream   bool
 	priority catalog.Priority
-	cap      int64 // output tokens
-	bound    int64 // tokens in the worst case
+	cap      int64 // maximum output tokens
+	bound    int64 // maximum tokens of prompt and output
 	hash     string
 }
 
@@ -89,9 +89,9 @@
 }
 
 func badBody(err error) *problem.Problem {
-	var kind *json.UnmarshalTypeError
-	if errors.As(err, &kind) {
-		return problem.New(problem.BadBody, "body: field "+kind.Field+": want "+kind.Type.String()+", not "+kind.Value)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return problem.New(problem.BadBody, "body: field "+typeErr.Field+": want "+typeErr.Type.String()+", not "+typeErr.Value)
 	}
 	return problem.New(problem.BadBody, "body: "+strings.TrimPrefix(err.Error(), "json: "))
 }
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// outputCap is how many output tokens the fleet lets through: what the caller
-// asked for, and at most what the model's row allows.
+// outputCap returns the maximum number of output tokens: what the caller asked for, limited
+// by the model's row.
 func outputCap(body chatBody, model catalog.Model) (int64, *problem.Problem) {
 	asked := body.MaxTokens
 	if asked == nil {
@@ -173,7 +173,8 @@
 	return min(*asked, model.MaxOutputTokens), nil
 }
 
-// priorityOf lets a caller lower its priority under the service's.
+// priorityOf returns the service's priority, or batch if the caller asks for it. A caller
+// can't raise its priority above that of the service.
 func priorityOf(asked string, s catalog.Service) (catalog.Priority, *problem.Problem) {
 	switch catalog.Priority(asked) {
 	case "":
@@ -187,8 +188,8 @@
 	}
 }
 
-// promptBound is an upper bound on the prompt's tokens: no tokenizer makes more
-// tokens than there are bytes, and the model's row may guarantee fewer.
+// promptBound returns an upper bound of the prompt's tokens. No tokenizer produces more tokens
+// than bytes, and the model's row may guarantee more bytes per token.
 func promptBound(messages []chatMessage, model catalog.Model) int64 {
 	bound := int64(promptOverhead)
 	for _, m := range messages {
@@ -198,9 +199,9 @@
 	return bound
 }
 
-func hashCall(what string, data []byte) string {
+func hashCall(kind string, data []byte) string {
 	sum := sha256.New()
-	sum.Write([]byte(what))
+	sum.Write([]byte(kind))
 	sum.Write([]byte{0})
 	sum.Write(data)
 	return hex.EncodeToString(sum.Sum(nil)[:16])
@@ -208,10 +209,10 @@
 
 type modelList struct {
 	Object string      `json:"object"`
-	Data   []modelLine `json:"data"`
+	Data   []modelInfo `json:"data"`
 }
 
-type modelLine struct {
+type modelInfo struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
@@ -222,9 +223,9 @@
 		e.refuse(w, r, refusal)
 		return
 	}
-	list := modelList{Object: "list", Data: []modelLine{}}
+	list := modelList{Object: "list", Data: []modelInfo{}}
 	for _, m := range e.Catalog().Models() {
-		list.Data = append(list.Data, modelLine{ID: m.Name, Object: "model", OwnedBy: "lynxshed"})
+		list.Data = append(list.Data, modelInfo{ID: m.Name, Object: "model", OwnedBy: "lynxshed"})
 	}
 	writeJSON(w, http.StatusOK, list)
 }
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -15,54 +15,54 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// The causes for which the fleet itself ends the reading of a stream.
+// The reasons for which the entry itself stops reading a stream.
 var (
 	errStalled = errors.New("the endpoint sent nothing for too long")
 	errOverCap = errors.New("the output is over its cap")
 )
 
-// cancelTime bounds the wait for an engine to confirm a cancellation.
-const cancelTime = time.Second
+// cancelTimeout is how long an engine has to confirm a cancellation.
+const cancelTimeout = time.Second
 
-// chatJob takes an admitted chat completion through its attempts.
+// chatJob runs the attempts of an admitted chat completion.
 type chatJob struct {
 	job
 	call chatCall
 
-	resumes  int
-	spent    holder.Usage     // of earlier attempts
-	awaiting []holder.Attempt // earlier attempts whose cost is not known
-	doubtful []holder.Attempt // earlier attempts that had not started when they were stopped
-	last     string           // the chunk with the usage
+	resumes    int
+	spent      holder.Usage     // cost of earlier attempts
+	awaiting   []holder.Attempt // earlier attempts of unknown cost
+	notStarted []holder.Attempt // earlier attempts that had not started when they were cancelled
+	lastChunk  string           // chunk with the usage, relayed after the settlement
 }
 
-// do runs attempts until one is whole or the policy gives up.
-func (j *chatJob) do(ctx context.Context) {
+// runAttempts runs attempts until one is complete or the retry policy gives up.
+func (j *chatJob) runAttempts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, j.call.service.Timeout)
 	defer cancel()
 	resume := false
 	for {
-		usage, err := j.once(ctx, resume)
+		usage, err := j.runAttempt(ctx, resume)
 		if err == nil {
 			j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
-			j.whole(ctx, usage)
+			j.complete(ctx, usage)
 			return
 		}
 		if ctx.Err() != nil || errors.Is(err, errOverCap) {
-			j.cut(ctx, err)
+			j.abort(ctx, err)
 			return
 		}
 		j.explain(event.Stream, "attempt failed", err.Error())
-		switch j.next(ctx, err) {
+		switch j.nextStep(ctx, err) {
 		case attempt.Resume:
 			resume = true
 			j.resumes++
 			j.entry.Metrics.Resumed(ctx)
 			j.explain(event.Resume, "asked for the rest", "")
-			j.pause(ctx)
+			j.waitBeforeResume(ctx)
 		case attempt.Retry:
 			resume = false
-			if !j.again(ctx, err) {
+			if !j.retry(ctx, err) {
 				return
 			}
 		case attempt.GiveUp:
@@ -72,11 +72,12 @@
 	}
 }
 
-// resumePause lets a broken connection's endpoint come back before it is asked again.
-const resumePause = 100 * time.Millisecond
+// resumeBackoff is the delay before the first resume, multiplied by the number of resumes. It
+// gives an endpoint time to recover after a broken connection.
+const resumeBackoff = 100 * time.Millisecond
 
-func (j *chatJob) pause(ctx context.Context) {
-	timer := j.entry.Clock.NewTimer(time.Duration(j.resumes) * resumePause)
+func (j *chatJob) waitBeforeResume(ctx context.Context) {
+	timer := j.entry.Clock.NewTimer(time.Duration(j.resumes) * resumeBackoff)
 	defer timer.Stop()
 	select {
 	case <-timer.Chan():
@@ -84,23 +85,23 @@
 	}
 }
 
-// once sends or resumes an attempt and relays it to its end.
-func (j *chatJob) once(ctx context.Context, resume bool) (holder.Usage, error) {
+// runAttempt sends or resumes an attempt and relays its stream to the end.
+func (j *chatJob) runAttempt(ctx context.Context, resume bool) (holder.Usage, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	watch := j.entry.Clock.AfterFunc(j.entry.options.AnswerTime, func() { stop(errStalled) })
-	defer watch.Stop()
+	watchdog := j.entry.Clock.AfterFunc(j.entry.options.AnswerTimeout, func() { stop(errStalled) })
+	defer watchdog.Stop()
 	stream, err := j.open(ctx, resume)
 	if err != nil {
 		return holder.Usage{}, causeOf(ctx, err)
 	}
 	defer stream.Close()
-	watch.Reset(j.entry.options.StallTime + max(0, j.ask.Deadline.Sub(j.entry.Clock.Now())))
-	usage, err := j.relay(ctx, stream, func() { watch.Reset(j.entry.options.StallTime) })
+	watchdog.Reset(j.entry.options.StallTimeout + max(0, j.req.Deadline.Sub(j.entry.Clock.Now())))
+	usage, err := j.relay(ctx, stream, func() { watchdog.Reset(j.entry.options.StallTimeout) })
 	return usage, causeOf(ctx, err)
 }
 
-// causeOf names a stall instead of the cancelled context that it led to.
+// causeOf returns errStalled for an error that a stall caused by cancelling the context.
 func causeOf(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), errStalled) {
 		return errStalled
@@ -112,32 +113,32 @@
 	if resume {
 		return j.entry.Backend.Resume(ctx, j.attempt(), j.record.Request, j.run.relayed())
 	}
-	if j.isOver() {
-		return nil, errOver
+	if j.isStale() {
+		return nil, errStaleIncarnation
 	}
 	j.explain(event.Send, "sent", "")
 	return j.entry.Backend.Start(ctx, j.attempt(), j.record.Request, j.record.Customer, j.call.body)
 }
 
-// relay passes chunks on to the run; the one with the usage waits for the settlement.
-func (j *chatJob) relay(ctx context.Context, stream *backend.Stream, alive func()) (holder.Usage, error) {
+// relay relays chunks to the run, except the one with the usage, which follows the settlement.
+func (j *chatJob) relay(ctx context.Context, stream *backend.Stream, onChunk func()) (holder.Usage, error) {
 	var usage *holder.Usage
 	sent := j.entry.Clock.Now()
 	var first time.Time
 	count := 0
-	defer func() { j.pace(first, count) }()
+	defer func() { j.recordTokenInterval(first, count) }()
 	for chunk, err := range stream.Chunks() {
 		if err != nil {
 			return holder.Usage{}, err
 		}
-		alive()
+		onChunk()
 		switch {
 		case chunk.Done && usage == nil:
 			return holder.Usage{}, errors.Mark(errors.New("the stream ended without its token count"), backend.ErrTruncated)
 		case chunk.Done:
 			return *usage, nil
 		case chunk.Usage != nil:
-			usage, j.last = chunk.Usage, chunk.Data
+			usage, j.lastChunk = chunk.Usage, chunk.Data
 		case int64(j.run.relayed()) >= j.call.cap:
 			return holder.Usage{}, errOverCap
 		default:
@@ -153,29 +154,29 @@
 	return holder.Usage{}, backend.ErrTruncated
 }
 
-// pacedTokens is how many tokens a stream must have for its pace to count.
-const pacedTokens = 8
+// minIntervalTokens is the minimum number of tokens of a stream for its mean interval to be recorded.
+const minIntervalTokens = 8
 
-func (j *chatJob) pace(first time.Time, count int) {
-	if count >= pacedTokens {
+func (j *chatJob) recordTokenInterval(first time.Time, count int) {
+	if count >= minIntervalTokens {
 		j.entry.Dispatch.RecordTokenInterval(j.grant, j.entry.Clock.Since(first)/time.Duration(count-1))
 	}
 }
 
-// next asks the policy what to do after a failure.
-func (j *chatJob) next(ctx context.Context, err error) attempt.Step {
+// nextStep classifies a failure and returns the step that the retry policy selects.
+func (j *chatJob) nextStep(ctx context.Context, err error) attempt.Step {
 	failure := attempt.Broken
 	switch {
 	case errors.Is(err, backend.ErrNotStarted) && j.run.relayed() == 0 && j.resumes == 0:
 		failure = attempt.NotStarted
 	case errors.Is(err, backend.ErrRejected):
 		failure = attempt.Rejected
-	case errors.Is(err, backend.ErrForeign):
+	case errors.Is(err, backend.ErrWrongAttempt):
 		failure = attempt.Foreign
 	}
 	resumable := true
 	if failure != attempt.NotStarted && j.run.relayed() == 0 {
-		// Nothing has come: if the engine never began, another one may.
+		// Nothing was relayed. If the engine never started the request, another one may run it.
 		o, askErr := j.entry.Backend.Outcome(ctx, j.attempt(), j.record.Request)
 		resumable = askErr == nil && o.State != backend.StateNever
 		if askErr == nil && o.State == backend.StateNever && failure != attempt.Rejected {
@@ -188,18 +189,18 @@
 		Resumes:    j.resumes,
 		Relayed:    j.run.relayed() > 0,
 		Resumable:  resumable,
-		Repeatable: true, // an answer that nobody has seen may be made anew
-		Left:       j.left(),
+		Repeatable: true, // an answer of which nothing was relayed can be generated again
+		Left:       j.remaining(),
 		Budget:     j.entry.retryBudget(),
 	})
 }
 
-// left is how long the call may still look for an endpoint.
-func (j *chatJob) left() time.Duration {
+// remaining returns how long the call may still be retried or resumed.
+func (j *chatJob) remaining() time.Duration {
 	if j.run.relayed() > 0 {
 		return j.call.service.Timeout
 	}
-	return j.ask.Deadline.Sub(j.entry.Clock.Now())
+	return j.req.Deadline.Sub(j.entry.Clock.Now())
 }
 
 func (e *Entry) retryBudget() attempt.Budget {
@@ -214,24 +215,24 @@
 	e.retries = e.retries.WithRetry()
 }
 
-// again moves the request to another endpoint; false where it had to end.
-func (j *chatJob) again(ctx context.Context, cause error) bool {
+// retry moves the request to another endpoint. It returns false if the run ended instead.
+func (j *chatJob) retry(ctx context.Context, cause error) bool {
 	j.entry.Dispatch.Release(j.grant, dispatch.Failed)
 	j.abandonAttempt(ctx)
-	j.ask.Excluded = append(j.ask.Excluded, j.attempt().Endpoint)
-	grant, refusal := j.entry.acquire(ctx, j.record.Request, j.ask)
+	j.req.Excluded = append(j.req.Excluded, j.attempt().Endpoint)
+	grant, refusal := j.entry.acquire(ctx, j.record.Request, j.req)
 	if refusal != nil {
-		j.finishWithout(ctx, refusal)
+		j.finishUnanswered(ctx, refusal)
 		return false
 	}
 	j.grant = grant
 	next := attemptAt(len(j.record.Attempts)+1, grant.Endpoint())
-	if !j.entry.note(ctx, j.record, next, j.extra()) {
+	if !j.entry.noteAttempt(ctx, j.record, next, j.extraReserve()) {
 		j.entry.Dispatch.Release(grant, dispatch.NotSent)
-		j.finishWithout(ctx, problem.New(problem.NoHolder, "the holder did not take a further attempt"))
+		j.finishUnanswered(ctx, problem.New(problem.NoHolder, "the holder did not take a further attempt"))
 		return false
 	}
-	j.record.Bound += j.extra()
+	j.record.Bound += j.extraReserve()
 	j.record = j.record.WithAttempt(next)
 	j.resumes = 0
 	j.entry.countRetry()
@@ -240,16 +241,16 @@
 	return true
 }
 
-// extra is what a further attempt needs beyond what is reserved: the cost of
-// earlier ones, in the worst case where it is not known.
-func (j *chatJob) extra() int64 {
+// extraReserve returns the tokens that a further attempt needs beyond the current reserve: the
+// cost of earlier attempts, or their bound where the cost is unknown.
+func (j *chatJob) extraReserve() int64 {
 	used := j.spent.Tokens() + int64(len(j.awaiting))*j.call.bound
 	return max(0, used+j.call.bound-j.record.Bound)
 }
 
-// abandonAttempt stops the current attempt at its engine and books what it cost.
+// abandonAttempt cancels the current attempt at its engine and records its cost.
 func (j *chatJob) abandonAttempt(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
 	o, err := j.entry.Backend.Cancel(ctx, j.attempt(), j.record.Request)
 	if err != nil {
@@ -258,21 +259,21 @@
 		return
 	}
 	if o.State == backend.StateNever {
-		j.doubtful = append(j.doubtful, j.attempt())
+		j.notStarted = append(j.notStarted, j.attempt())
 	}
 	j.spent = j.spent.Plus(o.Usage())
 	j.explain(event.Cancel, "stopped at the engine", string(o.State))
 }
 
-// whole settles a complete answer and only then passes its end on.
-func (j *chatJob) whole(ctx context.Context, usage holder.Usage) {
+// complete settles a complete answer and only then relays its last chunk.
+func (j *chatJob) complete(ctx context.Context, usage holder.Usage) {
 	j.spent = j.spent.Plus(usage)
 	total := j.settle(ctx)
-	j.run.relay(j.last)
+	j.run.relay(j.lastChunk)
 	j.run.finish(total, nil, j.entry.Clock.Now())
 }
 
-// settle reports what all attempts cost and returns it.
+// settle reports the cost of all attempts to the holder and returns it.
 func (j *chatJob) settle(ctx context.Context) holder.Usage {
 	ctx = context.WithoutCancel(ctx)
 	j.recheck(ctx)
@@ -281,12 +282,12 @@
 	return j.spent
 }
 
-// recheck asks again about earlier attempts that had not started when they were
-// stopped: an engine may have taken one up late.
+// recheck cancels once more the earlier attempts that had not started when they were cancelled,
+// since an engine may have started one later.
 func (j *chatJob) recheck(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, cancelTime)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	for _, a := range j.doubtful {
+	for _, a := range j.notStarted {
 		o, err := j.entry.Backend.Cancel(ctx, a, j.record.Request)
 		if err != nil {
 			j.awaiting = append(j.awaiting, a)
@@ -294,12 +295,12 @@
 		}
 		j.spent = j.spent.Plus(o.Usage())
 	}
-	j.doubtful = nil
+	j.notStarted = nil
 }
 
-// cut ends a run that its caller left, that timed out or that passed its cap:
-// the engine is told, and what ran is billed.
-func (j *chatJob) cut(ctx context.Context, cause error) {
+// abort ends a run whose caller left, that timed out or that exceeded its output cap. It
+// cancels the attempt at the engine and bills what ran.
+func (j *chatJob) abort(ctx context.Context, cause error) {
 	j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
 	j.abandonAttempt(ctx)
 	j.settle(ctx)
@@ -310,7 +311,7 @@
 	j.run.fail(problem.New(problem.Cancelled, "the request was cancelled; what ran is billed").WithOutcome(problem.Ran).At(string(event.Cancel), string(j.attempt().Endpoint)), RunCancelled, j.spent, j.entry.Clock.Now())
 }
 
-// giveUp ends a run whose attempts failed.
+// giveUp ends a run after its last attempt failed.
 func (j *chatJob) giveUp(ctx context.Context, cause error) {
 	j.entry.Dispatch.Release(j.grant, dispatch.Failed)
 	j.abandonAttempt(ctx)
@@ -321,14 +322,14 @@
 	case j.run.relayed() > 0:
 		reason = problem.StreamBroken
 	case j.spent.Tokens() == 0 && len(j.awaiting) == 0:
-		reason = problem.NoEndpoint // nothing has run: another time may do
+		reason = problem.NoEndpoint // nothing has run, so that a later retry may succeed
 	}
-	j.finishWithout(ctx, problem.New(reason, cause.Error()))
+	j.finishUnanswered(ctx, problem.New(reason, cause.Error()))
 }
 
-// finishWithout ends a run without an answer; it did not run only if no attempt
-// cost anything.
-func (j *chatJob) finishWithout(ctx context.Context, p *problem.Problem) {
+// finishUnanswered ends a run without an answer. Only if no attempt has cost anything is it
+// reported as not run.
+func (j *chatJob) finishUnanswered(ctx context.Context, p *problem.Problem) {
 	p = p.At(string(event.Send), string(j.attempt().Endpoint))
 	switch {
 	case len(j.awaiting) > 0:
--- a/fleet/entry/describe.go
+++ b/fleet/entry/describe.go
@@ -9,8 +9,8 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// Describe adds the callers' paths, which stream and so are not served by huma,
-// to the OpenAPI document.
+// Describe adds the callers' paths to the OpenAPI document. They are not served by huma
+// because they stream.
 func Describe(doc *huma.OpenAPI) {
 	operations := []struct {
 		method, path, id, summary string
--- a/fleet/entry/entry.go
+++ b/fleet/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry runs callers' requests on the node where they arrive: it queues
-// them, asks the slot's holder to admit them, sends them to an endpoint, relays
+// Package entry runs callers' requests on the node where they arrive. It queues them,
+// asks the holder of the customer's slot to admit them, sends them to an endpoint, relays
 // the answer and settles the cost.
 package entry
 
@@ -25,18 +25,18 @@
 	"github.com/lynxshed/lynxshed/fleet/telemetry"
 )
 
-// Options bound what callers send and how long things may take; zero values
-// choose the documented defaults.
+// Options limit the size of what callers send and the time of each step. Zero values
+// select the documented defaults.
 type Options struct {
 	MaxBody       int64         // bytes; 1 MiB when zero
-	Deadline      time.Duration // of interactive calls that name none; 10 s when zero
-	BatchDeadline time.Duration // of batch calls that name none; 60 s when zero
-	CallerGrace   time.Duration // how long a run lasts without a reader; 1 s when zero
-	AnswerTime    time.Duration // until an endpoint has taken the call; 2 s when zero
-	StallTime     time.Duration // between two chunks; 10 s when zero
-	Retention     time.Duration // how long ended answers are kept; 1 min when zero
-	MaxRuns       int           // answers kept; 5,000 when zero
-	MaxSummaries  int           // states and bills of ended requests kept; 20,000 when zero
+	Deadline      time.Duration // of interactive calls without a deadline; 10 s when zero
+	BatchDeadline time.Duration // of batch calls without a deadline; 60 s when zero
+	CallerGrace   time.Duration // how long a run without a reader continues; 1 s when zero
+	AnswerTimeout time.Duration // until an endpoint accepts the call; 2 s when zero
+	StallTimeout  time.Duration // between two chunks; 10 s when zero
+	Retention     time.Duration // how long answers of ended runs are stored; 1 min when zero
+	MaxRuns       int           // runs stored with their answers; 5,000 when zero
+	MaxSummaries  int           // stored states and bills of ended requests; 20,000 when zero
 }
 
 func (o Options) withDefaults() Options {
@@ -44,8 +44,8 @@
 	o.Deadline = defaultTo(o.Deadline, 10*time.Second)
 	o.BatchDeadline = defaultTo(o.BatchDeadline, time.Minute)
 	o.CallerGrace = defaultTo(o.CallerGrace, time.Second)
-	o.AnswerTime = defaultTo(o.AnswerTime, 2*time.Second)
-	o.StallTime = defaultTo(o.StallTime, 10*time.Second)
+	o.AnswerTimeout = defaultTo(o.AnswerTimeout, 2*time.Second)
+	o.StallTimeout = defaultTo(o.StallTimeout, 10*time.Second)
 	o.Retention = defaultTo(o.Retention, time.Minute)
 	o.MaxRuns = defaultTo(o.MaxRuns, 5_000)
 	o.MaxSummaries = defaultTo(o.MaxSummaries, 20_000)
@@ -59,7 +59,7 @@
 	return value
 }
 
-// Parts are what an entry works with.
+// Parts are the dependencies of an entry.
 type Parts struct {
 	Self     membership.Member
 	Keeper   *keeper.Keeper
@@ -73,33 +73,33 @@
 	Log      log.Interface
 	Tracer   trace.Tracer
 	Metrics  *telemetry.Metrics
-	// NewSerial makes the unique part of a request's id.
+	// NewSerial returns the unique part of a new request id.
 	NewSerial func() string
 }
 
-// Entry runs the requests that arrive at a node; New makes one.
+// Entry runs the requests that arrive at a node. It is created by New.
 type Entry struct {
 	Parts
 	options Options
 	base    context.Context
 	stop    context.CancelFunc
 
-	mu       sync.Mutex
-	runs     map[ident.Request]*run
-	ended    summaries
-	retries  attempt.Budget
-	outbox   []peer.Ending
-	draining bool
-	active   int
+	mu        sync.Mutex
+	runs      map[ident.Request]*run
+	summaries summaries
+	retries   attempt.Budget
+	outbox    []peer.Ending
+	draining  bool
+	active    int
 }
 
-// New makes an entry without runs; base ends every run when it is cancelled.
+// New returns an entry without runs. When base is cancelled, all runs end.
 func New(base context.Context, p Parts, o Options) *Entry {
 	base, stop := context.WithCancel(base)
-	return &Entry{Parts: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, ended: newSummaries()}
+	return &Entry{Parts: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, summaries: newSummaries()}
 }
 
-// Routes puts the callers' paths on a mux.
+// Routes registers the handlers of callers' requests.
 func (e *Entry) Routes(mux *http.ServeMux) {
 	routes := []struct {
 		pattern string
@@ -113,25 +113,26 @@
 		{"DELETE /v1/requests/{id}", e.serveCancel},
 	}
 	for _, r := range routes {
-		mux.HandleFunc(r.pattern, e.named(r.serve))
+		mux.HandleFunc(r.pattern, e.withRequestID(r.serve))
 	}
 }
 
-// Drain stops taking new requests.
+// Drain refuses new requests from now on.
 func (e *Entry) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// Active is how many requests are running here, and how many ends are still to be reported.
+// Active returns the number of requests that run here and the number of endings that have not
+// been reported to their holders.
 func (e *Entry) Active() (running, unreported int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.active, len(e.outbox)
 }
 
-// Stop ends every run at once.
+// Stop cancels all runs at once.
 func (e *Entry) Stop() { e.stop() }
 
 func (e *Entry) register(r *run) {
@@ -148,7 +149,7 @@
 	e.active--
 }
 
-// alias lets a run be found by the id of the request that it follows.
+// alias makes a run findable by the id of the request that it follows.
 func (e *Entry) alias(id ident.Request, r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -170,19 +171,19 @@
 	return e.draining
 }
 
-// Tick ends abandoned runs, forgets old ones and reports ends that are due.
+// Tick cancels abandoned runs, evicts old ones and reports the endings in the outbox.
 func (e *Entry) Tick(ctx context.Context) {
 	now := e.Clock.Now()
-	for _, r := range e.snapshot() {
+	for _, r := range e.allRuns() {
 		if r.abandoned(now, e.options.CallerGrace) {
 			r.cancel()
 		}
 	}
-	e.forget(now)
-	e.report(ctx)
+	e.evict(now)
+	e.flushOutbox(ctx)
 }
 
-func (e *Entry) snapshot() []*run {
+func (e *Entry) allRuns() []*run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	runs := make([]*run, 0, len(e.runs))
@@ -192,7 +193,7 @@
 	return runs
 }
 
-func (e *Entry) forget(now time.Time) {
+func (e *Entry) evict(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	over := len(e.runs) - e.options.MaxRuns
@@ -202,14 +203,13 @@
 		r.mu.Unlock()
 		if old {
 			delete(e.runs, id)
-			e.ended.add(id, stateOf(r.look(0), r.customer), e.options.MaxSummaries)
+			e.summaries.add(id, stateOf(r.view(0), r.customer), e.options.MaxSummaries)
 			over--
 		}
 	}
 }
 
-// summaries are the states and bills of requests whose answers are no longer
-// kept, at most so many.
+// summaries holds the states and bills of the latest requests whose answers were evicted.
 type summaries struct {
 	states map[ident.Request]requestState
 	order  []ident.Request
@@ -217,12 +217,12 @@
 
 func newSummaries() summaries { return summaries{states: map[ident.Request]requestState{}} }
 
-func (s *summaries) add(id ident.Request, state requestState, most int) {
+func (s *summaries) add(id ident.Request, state requestState, limit int) {
 	if _, ok := s.states[id]; !ok {
 		s.order = append(s.order, id)
 	}
 	s.states[id] = state
-	for len(s.order) > most {
+	for len(s.order) > limit {
 		delete(s.states, s.order[0])
 		s.order = s.order[1:]
 	}
@@ -231,6 +231,6 @@
 func (e *Entry) summary(id ident.Request) (requestState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s, ok := e.ended.states[id]
+	s, ok := e.summaries.states[id]
 	return s, ok
 }
--- a/fleet/entry/execute.go
+++ b/fleet/entry/execute.go
@@ -19,11 +19,11 @@
 	"github.com/lynxshed/lynxshed/fleet/routing"
 )
 
-// admitTime bounds an admission; it is not cut short when a caller leaves, so
-// that what was reserved is known.
-const admitTime = 4 * time.Second
+// admitTimeout limits an admission. The admission is not interrupted when the caller leaves, so
+// that it is known what was reserved.
+const admitTimeout = 4 * time.Second
 
-// startChat runs a chat completion apart from the caller's connection.
+// startChat starts a chat completion that does not depend on the caller's connection.
 func (e *Entry) startChat(ctx context.Context, call chatCall) *run {
 	return e.start(ctx, call.headers, func(ctx context.Context, r *run) { e.runChat(ctx, r, call) })
 }
@@ -32,25 +32,25 @@
 	return e.start(ctx, call.headers, func(ctx context.Context, r *run) { e.runPlain(ctx, r, call) })
 }
 
-func (e *Entry) start(ctx context.Context, h headers, work func(context.Context, *run)) *run {
+func (e *Entry) start(ctx context.Context, h headers, body func(context.Context, *run)) *run {
 	slot := e.Keeper.SlotOf(h.customer.Name)
 	id := ident.NewRequest(e.Self.Zone, slot, e.NewSerial())
-	return e.launch(ctx, newRun(id, h.customer.Name, h.key != "", nil, e.Clock.Now()), work)
+	return e.launch(ctx, newRun(id, h.customer.Name, h.key != "", nil, e.Clock.Now()), body)
 }
 
-func (e *Entry) launch(ctx context.Context, r *run, work func(context.Context, *run)) *run {
+func (e *Entry) launch(ctx context.Context, r *run, body func(context.Context, *run)) *run {
 	ctx, cancel := context.WithCancel(trace.ContextWithSpan(e.base, trace.SpanFromContext(ctx)))
 	r.cancel = cancel
 	e.register(r)
 	go func() {
 		defer cancel()
 		defer e.finished(r)
-		work(ctx, r)
+		body(ctx, r)
 	}()
 	return r
 }
 
-// deadlineOf is until when a call may wait for an endpoint.
+// deadlineOf returns the time until which a call may wait for an endpoint.
 func (e *Entry) deadlineOf(h headers, p catalog.Priority) time.Time {
 	wait := h.deadline
 	if wait == 0 {
@@ -59,11 +59,11 @@
 	return e.Clock.Now().Add(wait)
 }
 
-// acquire waits for an endpoint and explains the choice.
-func (e *Entry) acquire(ctx context.Context, id ident.Request, ask dispatch.Request) (dispatch.Grant, *problem.Problem) {
+// acquire waits for an endpoint and records the choice as events.
+func (e *Entry) acquire(ctx context.Context, id ident.Request, req dispatch.Request) (dispatch.Grant, *problem.Problem) {
 	ctx, span := e.Tracer.Start(ctx, "queue")
 	defer span.End()
-	grant, refusal := e.Dispatch.Acquire(ctx, ask)
+	grant, refusal := e.Dispatch.Acquire(ctx, req)
 	if refusal != nil {
 		e.Events.Add(event.Event{Request: id, Step: event.Queue, Decision: "refused", Reason: string(refusal.Reason) + ": " + refusal.Detail})
 		return grant, refusal.At(string(event.Queue), string(e.Self.Node))
@@ -75,24 +75,24 @@
 }
 
 func describeChoice(c routing.Choice) string {
-	why := "least loaded"
+	reason := "least loaded"
 	if c.Affinity {
-		why = "prefix affinity"
+		reason = "prefix affinity"
 	}
 	if c.Remote {
-		why += ", no endpoint of the own zone was free"
+		reason += ", no endpoint of the own zone was free"
 	}
 	if c.RunnerUp != "" {
-		why += ", before " + string(c.RunnerUp)
+		reason += ", before " + string(c.RunnerUp)
 	}
-	return why
+	return reason
 }
 
 func attemptAt(number int, e catalog.Endpoint) holder.Attempt {
 	return holder.Attempt{Number: number, Endpoint: e.Name, URL: e.URL}
 }
 
-// newRecord is what the holder is asked to admit.
+// newRecord returns the record that the holder is asked to admit.
 func (e *Entry) newRecord(r *run, h headers, s catalog.Service, hash string, at catalog.Endpoint) holder.Record {
 	record := holder.Record{
 		Request:  r.id,
@@ -112,7 +112,7 @@
 	return record
 }
 
-// budgetsFor lists the budgets that may pay, the one that the caller named alone.
+// budgetsFor returns the budgets that may pay for a call, or only the one that the caller named.
 func (e *Entry) budgetsFor(h headers, s ident.Service) ([]holder.BudgetLine, *problem.Problem) {
 	fitting := e.Catalog().Fitting(h.customer.Name, s)
 	if h.budget != "" {
@@ -132,7 +132,7 @@
 	})
 }
 
-// refuseRun ends a run that did not run.
+// refuseRun ends a run of which nothing was executed.
 func (e *Entry) refuseRun(r *run, p *problem.Problem) {
 	e.Events.Add(event.Event{Request: r.id, Step: event.Step(lo.CoalesceOrEmpty(p.Step, string(event.Admit))), Peer: p.Peer, Decision: "refused", Reason: string(p.Reason) + ": " + p.Detail})
 	r.fail(p, RunRefused, holder.Usage{}, e.Clock.Now())
@@ -144,7 +144,7 @@
 		e.refuseRun(r, refusal)
 		return
 	}
-	ask := dispatch.Request{
+	req := dispatch.Request{
 		Customer: call.customer.Name,
 		Service:  call.service.Name,
 		Weight:   e.Catalog().CustomerWeight(call.customer.Name, call.service.Name),
@@ -153,7 +153,7 @@
 		Cost:     call.bound,
 		Deadline: e.deadlineOf(call.headers, call.priority),
 	}
-	grant, refusal := e.acquire(ctx, r.id, ask)
+	grant, refusal := e.acquire(ctx, r.id, req)
 	if refusal != nil {
 		e.refuseRun(r, refusal)
 		return
@@ -162,18 +162,19 @@
 	record.Bound = call.bound
 	limits := e.limitsFor(call.headers, call.service.Name)
 	record.Limits = lo.Map(limits, func(l limit.Line, _ int) string { return l.Name })
-	admitted, ok := e.admitRun(ctx, r, grant, peer.Admission{Record: record, Budgets: budgets, Limits: limits, Weight: ask.Weight, Try: call.try})
+	admitted, ok := e.admitRun(ctx, r, grant, peer.Admission{Record: record, Budgets: budgets, Limits: limits, Weight: req.Weight, Try: call.attemptNumber})
 	if !ok {
 		return
 	}
-	j := &chatJob{job: job{entry: e, run: r, ask: ask, record: admitted, grant: grant}, call: call}
-	j.do(ctx)
+	j := &chatJob{job: job{entry: e, run: r, req: req, record: admitted, grant: grant}, call: call}
+	j.runAttempts(ctx)
 }
 
-// admitRun asks for admission and deals with every answer but the one to run.
+// admitRun asks for admission. It returns false if the call is not to run here: it was refused,
+// it repeats a request that it now follows, or the caller left.
 func (e *Entry) admitRun(ctx context.Context, r *run, grant dispatch.Grant, a peer.Admission) (holder.Record, bool) {
-	asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), admitTime)
-	verdict := e.admit(asking, a)
+	admitCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), admitTimeout)
+	verdict := e.admit(admitCtx, a)
 	cancel()
 	switch {
 	case verdict.Existing != nil:
--- a/fleet/entry/follow.go
+++ b/fleet/entry/follow.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	maxFollowTries = 20
-	followPause    = 250 * time.Millisecond
-	endEvent       = "end"
-	maxEventBytes  = 4 << 20
+	maxFollowAttempts = 20
+	followInterval    = 250 * time.Millisecond
+	endEvent          = "end"
+	maxEventBytes     = 4 << 20
 )
 
 var (
-	errUnknownThere = errors.New("the entry does not know the request")
-	errNotRunning   = errors.New("the request's entry is gone")
+	errUnknownAtEntry = errors.New("the entry does not know the request")
+	errNotRunning     = errors.New("the request's entry is gone")
 )
 
-// runEnd is the last event of a run that another node follows.
+// runEnd is the last event of the stream of a run that another node follows.
 type runEnd struct {
 	State   RunState         `json:"state"`
 	Usage   holder.Usage     `json:"usage"`
@@ -41,19 +41,19 @@
 	Problem *problem.Problem `json:"problem,omitempty"`
 }
 
-// ServeRun lets another node read a run: its chunks from a number on, and its end.
+// ServeRun streams a run to another node: its chunks from a given number on, and its end.
 func (e *Entry) ServeRun(w http.ResponseWriter, r *http.Request) {
 	run, ok := e.find(ident.Request(r.PathValue("id")))
 	if !ok {
-		http.Error(w, errUnknownThere.Error(), http.StatusNotFound)
+		http.Error(w, errUnknownAtEntry.Error(), http.StatusNotFound)
 		return
 	}
 	defer run.attach(e.Clock.Now)()
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	openStream(w, run.look(0).id)
+	openStream(w, run.view(0).id)
 	flush(w)
 	for {
-		v := run.look(from)
+		v := run.view(from)
 		for _, chunk := range v.chunks {
 			if !send(w, strconv.Itoa(from), "", chunk) {
 				return
@@ -73,18 +73,18 @@
 	}
 }
 
-// startFollow makes a run here that follows a request known from its record.
+// startFollow starts a run that follows the request of a record.
 func (e *Entry) startFollow(ctx context.Context, record holder.Record) *run {
 	r := newRun(record.Request, record.Customer, record.Key != "", nil, e.Clock.Now())
 	return e.launch(ctx, r, func(ctx context.Context, r *run) { e.follow(ctx, r, record) })
 }
 
-// follow gives a run the answer of the request that a record names: from its
-// entry while that lives, and else from the engine or the kept answer.
+// follow copies the answer of the request of a record to a run: from its entry while that runs,
+// and otherwise from the engine or the stored answer.
 func (e *Entry) follow(ctx context.Context, r *run, record holder.Record) {
 	r.begin(record)
 	e.alias(record.Request, r)
-	for range maxFollowTries {
+	for range maxFollowAttempts {
 		done, err := e.followOnce(ctx, r, record)
 		if done || ctx.Err() != nil {
 			break
@@ -92,12 +92,12 @@
 		if err != nil {
 			e.Events.Add(event.Event{Request: record.Request, Step: event.Resume, Peer: string(record.Entry.Node()), Decision: "looks again", Reason: err.Error()})
 		}
-		e.sleep(ctx, followPause)
-		if fresh, ok := e.locate(ctx, record.Request); ok {
-			record = fresh
+		e.sleep(ctx, followInterval)
+		if current, ok := e.locate(ctx, record.Request); ok {
+			record = current
 		}
 	}
-	if v := r.look(0); !v.state.Ended() {
+	if v := r.view(0); !v.state.Ended() {
 		p := problem.New(problem.KeyInterrupted, "the request's first try can't be reached").WithOutcome(problem.Unknown)
 		r.fail(p.At(string(event.Resume), string(record.Entry.Node())), RunFailed, holder.Usage{}, e.Clock.Now())
 	}
@@ -118,7 +118,7 @@
 	}
 	if record.Entry != e.Keeper.Incarnation() {
 		done, err = e.mirrorRemote(ctx, r, record)
-		if done || !errors.IsAny(err, errUnknownThere, errNotRunning) {
+		if done || !errors.IsAny(err, errUnknownAtEntry, errNotRunning) {
 			return done, err
 		}
 	}
@@ -128,11 +128,11 @@
 	return e.takeOver(ctx, r, record)
 }
 
-// mirrorLocal copies a run of this node.
+// mirrorLocal copies another run of this node.
 func (e *Entry) mirrorLocal(ctx context.Context, r, from *run) (bool, error) {
 	defer from.attach(e.Clock.Now)()
 	for {
-		v := from.look(r.relayed())
+		v := from.view(r.relayed())
 		for _, chunk := range v.chunks {
 			r.relay(chunk)
 		}
@@ -154,15 +154,15 @@
 	r.finish(end.Usage, end.Answer, e.Clock.Now())
 }
 
-// mirrorRemote copies a run of the node that is its entry.
+// mirrorRemote copies a run from the node that is its entry.
 func (e *Entry) mirrorRemote(ctx context.Context, r *run, record holder.Record) (bool, error) {
 	if e.View().Gone(record.Entry) {
 		return false, errNotRunning
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := e.Clock.AfterFunc(e.options.AnswerTime, cancel)
-	defer watch.Stop()
+	watchdog := e.Clock.AfterFunc(e.options.AnswerTimeout, cancel)
+	defer watchdog.Stop()
 	u := record.EntryURL + "/peer/runs/" + url.PathEscape(string(record.Request)) + "?from=" + strconv.Itoa(r.relayed())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
@@ -173,9 +173,9 @@
 		return false, errors.Mark(err, errNotRunning)
 	}
 	defer res.Body.Close()
-	watch.Stop()
+	watchdog.Stop()
 	if res.StatusCode != http.StatusOK {
-		return false, errUnknownThere
+		return false, errUnknownAtEntry
 	}
 	return e.readMirror(r, res)
 }
@@ -199,10 +199,10 @@
 	return false, errors.New("the entry's stream ended early")
 }
 
-// takeOver becomes the entry of a request whose entry is gone.
+// takeOver makes this node the entry of a request whose entry has ended.
 func (e *Entry) takeOver(ctx context.Context, r *run, record holder.Record) (bool, error) {
 	if !record.Model {
-		return e.keptAnswer(r, record)
+		return e.storedAnswer(r, record)
 	}
 	if len(record.Attempts) == 0 {
 		return false, errNotRunning
@@ -241,7 +241,7 @@
 
 func (e *Entry) endTakenOver(ctx context.Context, r *run, record holder.Record, usage holder.Usage, lastChunk string) error {
 	if record.Phase == holder.Open {
-		total := e.withEarlier(ctx, record, usage)
+		total := e.addEarlierCost(ctx, record, usage)
 		e.end(context.WithoutCancel(ctx), peer.Ending{Record: record, Usage: total})
 	}
 	r.relay(lastChunk)
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// withEarlier adds what attempts before the last cost.
-func (e *Entry) withEarlier(ctx context.Context, record holder.Record, usage holder.Usage) holder.Usage {
+// addEarlierCost adds the known cost of all attempts before the last.
+func (e *Entry) addEarlierCost(ctx context.Context, record holder.Record, usage holder.Usage) holder.Usage {
 	for _, a := range record.Attempts[:len(record.Attempts)-1] {
 		if o, err := e.Backend.Outcome(ctx, a, record.Request); err == nil {
 			usage = usage.Plus(o.Usage())
@@ -259,14 +259,14 @@
 	return usage
 }
 
-// claimEntry tells the holder that this node is the request's entry now.
+// claimEntry notifies the holder that this node is now the request's entry.
 func (e *Entry) claimEntry(ctx context.Context, record holder.Record) holder.Record {
-	in := peer.TakeOver{Request: record.Request, Entry: e.Keeper.Incarnation(), EntryURL: e.Self.URL}
+	takeOver := peer.TakeOver{Request: record.Request, Entry: e.Keeper.Incarnation(), EntryURL: e.Self.URL}
 	var known peer.Known
 	if record.Holder == e.Keeper.Incarnation() {
-		known = e.Keeper.TakeOver(in)
+		known = e.Keeper.TakeOver(takeOver)
 	} else if to, ok := e.View().Member(record.Holder.Node()); ok && to.Incarnation == record.Holder {
-		known, _ = peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbTakeOver, in)
+		known, _ = peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbTakeOver, takeOver)
 	}
 	if known.Found {
 		return known.Record
@@ -274,8 +274,8 @@
 	return record
 }
 
-// keptAnswer answers a retry of a plain call whose entry is gone.
-func (e *Entry) keptAnswer(r *run, record holder.Record) (bool, error) {
+// storedAnswer answers a retry of a plain call, whose entry has ended, from the record.
+func (e *Entry) storedAnswer(r *run, record holder.Record) (bool, error) {
 	if record.Phase == holder.Open {
 		return false, errNotRunning
 	}
@@ -288,8 +288,8 @@
 	return true, nil
 }
 
-// locate finds the record of a request in the zone where it entered: at its
-// slot's holder or at a witness.
+// locate finds the record of a request in the zone where it entered, at the holder of its slot
+// or at a witness.
 func (e *Entry) locate(ctx context.Context, id ident.Request) (holder.Record, bool) {
 	ctx, span := e.Tracer.Start(ctx, "locate", trace.WithSpanKind(trace.SpanKindInternal))
 	defer span.End()
@@ -313,16 +313,16 @@
 	return known.Record, known.Found
 }
 
-// zoneNodes lists a zone's reachable nodes, the slot's holder first.
+// zoneNodes returns a zone's reachable nodes, the slot's holder first.
 func (e *Entry) zoneNodes(zone ident.Zone, slot ident.Slot) []membership.Member {
 	now, view := e.Clock.Now(), e.View()
 	nodes := view.Rank(zone, slot, now)
-	seen := map[ident.Node]bool{}
+	listed := map[ident.Node]bool{}
 	for _, m := range nodes {
-		seen[m.Node] = true
+		listed[m.Node] = true
 	}
 	for _, m := range view.Reachable(zone, now) {
-		if !seen[m.Node] {
+		if !listed[m.Node] {
 			nodes = append(nodes, m)
 		}
 	}
--- a/fleet/entry/holder.go
+++ b/fleet/entry/holder.go
@@ -13,22 +13,22 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// maxHolders is how many nodes are asked to admit a request before it is refused.
+// maxHolders is the maximum number of nodes asked to admit a request before it is refused.
 const maxHolders = 3
 
-// admit asks the slot's holder in this zone, and its successors where it does not answer.
+// admit asks the slot's holder in this zone for admission, and its successors if it does not answer.
 func (e *Entry) admit(ctx context.Context, a peer.Admission) peer.Verdict {
 	ctx, span := e.Tracer.Start(ctx, "admit")
 	defer span.End()
 	refusal := problem.New(problem.NoHolder, "no node of the zone answered for the slot")
 	for _, to := range e.rank(a.Record.Slot) {
 		a.Record.Entry = e.Keeper.Incarnation()
-		verdict, err := e.askHolder(ctx, to, a)
+		verdict, err := e.admitAt(ctx, to, a)
 		if err != nil {
 			e.Events.Add(event.Event{Request: a.Record.Request, Step: event.Admit, Peer: string(to.Node), Decision: "asked the next node", Reason: err.Error()})
 			refusal = refusal.At(string(event.Admit), string(to.Node))
-			// It may have reserved all the same: tell it that nothing runs under it.
-			e.post(peer.Ending{Record: a.Record.WithHolder(to.Incarnation), NotRun: true})
+			// The node may have reserved tokens all the same; report that nothing runs.
+			e.enqueueEnding(peer.Ending{Record: a.Record.WithHolder(to.Incarnation), NotRun: true})
 			continue
 		}
 		if verdict.Refused != nil && verdict.Refused.Reason == problem.NoHolder {
@@ -45,8 +45,9 @@
 	return rank[:min(len(rank), maxHolders)]
 }
 
-// askHolder asks one node; what it admits is remembered here as the second VM.
-func (e *Entry) askHolder(ctx context.Context, to membership.Member, a peer.Admission) (peer.Verdict, error) {
+// admitAt asks one node for admission. An admitted record is stored here as well, so that a
+// second VM has it.
+func (e *Entry) admitAt(ctx context.Context, to membership.Member, a peer.Admission) (peer.Verdict, error) {
 	if to.Node == e.Self.Node {
 		return e.Keeper.Admit(ctx, a), nil
 	}
@@ -58,103 +59,103 @@
 		return verdict, nil
 	}
 	if err := e.Keeper.Remember(*verdict.Admitted); err != nil {
-		e.post(peer.Ending{Record: *verdict.Admitted, NotRun: true})
+		e.enqueueEnding(peer.Ending{Record: *verdict.Admitted, NotRun: true})
 		return peer.Verdict{}, errors.Wrapf(err, "step %s, peer %s", event.Admit, to.Node)
 	}
 	return verdict, nil
 }
 
-// end reports the end of a request to its holder, or to a successor once the
-// holder is over. It returns when a second VM knows, or leaves it to the outbox.
-func (e *Entry) end(ctx context.Context, in peer.Ending) {
+// end reports the end of a request to its holder, or to a successor once the holder's incarnation
+// has ended. It returns when a second VM has the report, or leaves it in the outbox.
+func (e *Entry) end(ctx context.Context, ending peer.Ending) {
 	ctx, span := e.Tracer.Start(ctx, "settle")
 	defer span.End()
-	if !in.NotRun {
-		e.Keeper.Ended(in.Record.Request, in.Usage)
+	if !ending.NotRun {
+		e.Keeper.Ended(ending.Record.Request, ending.Usage)
 	}
-	if err := e.tryEnd(ctx, in); err != nil {
-		e.Events.Add(event.Event{Request: in.Record.Request, Step: event.Settle, Peer: string(in.Record.Holder), Decision: "will be reported again", Reason: err.Error()})
-		e.post(in)
+	if err := e.sendEnding(ctx, ending); err != nil {
+		e.Events.Add(event.Event{Request: ending.Record.Request, Step: event.Settle, Peer: string(ending.Record.Holder), Decision: "will be reported again", Reason: err.Error()})
+		e.enqueueEnding(ending)
 		return
 	}
 	e.Metrics.Settled(ctx)
 }
 
-func (e *Entry) tryEnd(ctx context.Context, in peer.Ending) error {
-	if in.Record.Holder == e.Keeper.Incarnation() {
-		e.Keeper.End(ctx, in)
+func (e *Entry) sendEnding(ctx context.Context, ending peer.Ending) error {
+	if ending.Record.Holder == e.Keeper.Incarnation() {
+		e.Keeper.End(ctx, ending)
 		return nil
 	}
-	targets := e.endTargets(in)
-	var last error = errors.Newf("step %s, peer %s: no node to tell", event.Settle, in.Record.Holder)
+	targets := e.endingTargets(ending)
+	var lastErr error = errors.Newf("step %s, peer %s: no node to tell", event.Settle, ending.Record.Holder)
 	for _, to := range targets {
 		if to.Node == e.Self.Node {
-			e.Keeper.End(ctx, in)
+			e.Keeper.End(ctx, ending)
 			return nil
 		}
-		_, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbEnd, in)
+		_, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbEnd, ending)
 		if err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
-// endTargets are the holder itself while it lives, and then other nodes of the
-// zone, which keep the end as witnesses. A request that did not run is told to
-// its holder alone.
-func (e *Entry) endTargets(in peer.Ending) []membership.Member {
+// endingTargets returns the nodes to report an ending to: the holder while its incarnation lasts,
+// and then other nodes of the zone, which store the ending as witnesses. The ending of a request
+// that did not run goes to its holder only.
+func (e *Entry) endingTargets(ending peer.Ending) []membership.Member {
 	view := e.View()
 	var targets []membership.Member
-	if m, ok := view.Member(in.Record.Holder.Node()); ok && m.Incarnation == in.Record.Holder {
+	if m, ok := view.Member(ending.Record.Holder.Node()); ok && m.Incarnation == ending.Record.Holder {
 		targets = append(targets, m)
 	}
-	if in.NotRun {
+	if ending.NotRun {
 		return targets
 	}
-	for _, m := range e.rank(in.Record.Slot) {
-		if m.Incarnation != in.Record.Holder && m.Node != e.Self.Node {
+	for _, m := range e.rank(ending.Record.Slot) {
+		if m.Incarnation != ending.Record.Holder && m.Node != e.Self.Node {
 			targets = append(targets, m)
 		}
 	}
 	return targets
 }
 
-// post leaves an end to be reported by the next ticks.
-func (e *Entry) post(in peer.Ending) {
+// enqueueEnding puts an ending into the outbox, to be reported by the next Tick.
+func (e *Entry) enqueueEnding(ending peer.Ending) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.outbox = append(e.outbox, in)
+	e.outbox = append(e.outbox, ending)
 }
 
-// report sends what lies in the outbox; what can't be told stays, unless its
-// holder is over and nothing ran.
-func (e *Entry) report(ctx context.Context) {
+// flushOutbox sends the endings in the outbox. Those that can't be sent stay, unless the holder's
+// incarnation has ended and nothing ran.
+func (e *Entry) flushOutbox(ctx context.Context) {
 	e.mu.Lock()
 	due := e.outbox
 	e.outbox = nil
 	e.mu.Unlock()
-	for _, in := range due {
-		if in.NotRun && e.View().Gone(in.Record.Holder) {
+	for _, ending := range due {
+		if ending.NotRun && e.View().Gone(ending.Record.Holder) {
 			continue
 		}
-		if err := e.tryEnd(ctx, in); err != nil {
-			e.post(in)
+		if err := e.sendEnding(ctx, ending); err != nil {
+			e.enqueueEnding(ending)
 		}
 	}
 }
 
-// note tells the holder of a further attempt before it is sent.
-func (e *Entry) note(ctx context.Context, r holder.Record, a holder.Attempt, extra int64) bool {
-	in := peer.Noting{Request: r.Request, Attempt: a, Extra: extra}
+// noteAttempt reports a further attempt to the holder before it is sent.
+func (e *Entry) noteAttempt(ctx context.Context, r holder.Record, a holder.Attempt, extra int64) bool {
+	noting := peer.Noting{Request: r.Request, Attempt: a, Extra: extra}
 	if r.Holder == e.Keeper.Incarnation() {
-		return e.Keeper.Note(ctx, in).Found
+		return e.Keeper.Note(ctx, noting).Found
 	}
 	to, ok := e.View().Member(r.Holder.Node())
 	if !ok || to.Incarnation != r.Holder {
 		return false
 	}
-	known, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbNote, in)
+	known, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbNote, noting)
 	return err == nil && known.Found && e.Keeper.Remember(known.Record) == nil
 }
--- a/fleet/entry/job.go
+++ b/fleet/entry/job.go
@@ -9,24 +9,24 @@
 	"github.com/lynxshed/lynxshed/fleet/holder"
 )
 
-// errOver keeps a request from being sent under an incarnation that is over.
-var errOver = errors.Mark(errors.New("this node's incarnation is over"), backend.ErrNotStarted)
+// errStaleIncarnation prevents a request from being sent after its node's incarnation has ended.
+var errStaleIncarnation = errors.Mark(errors.New("this node's incarnation is over"), backend.ErrNotStarted)
 
-// job is what the attempts of any call have in common.
+// job is the state that the attempts of chat and plain calls have in common.
 type job struct {
 	entry  *Entry
 	run    *run
-	ask    dispatch.Request
+	req    dispatch.Request
 	record holder.Record
 	grant  dispatch.Grant
 }
 
-// attempt is the one that runs or ran last.
+// attempt returns the current or last attempt.
 func (j *job) attempt() holder.Attempt { return j.record.Attempts[len(j.record.Attempts)-1] }
 
-// isOver reports whether the request was admitted for an earlier incarnation of
-// this node: others may have closed its books by now.
-func (j *job) isOver() bool { return j.record.Entry != j.entry.Keeper.Incarnation() }
+// isStale reports whether the request was admitted for an earlier incarnation of this node.
+// Other nodes may have settled it since.
+func (j *job) isStale() bool { return j.record.Entry != j.entry.Keeper.Incarnation() }
 
 func (j *job) explain(step event.Step, decision, reason string) {
 	j.entry.Events.Add(event.Event{Request: j.record.Request, Step: step, Peer: string(j.attempt().Endpoint), Decision: decision, Reason: reason})
--- a/fleet/entry/plainjob.go
+++ b/fleet/entry/plainjob.go
@@ -17,24 +17,24 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// plainTimeout bounds a plain call whose service names no time.
+// plainTimeout is the maximum duration of a plain call.
 const plainTimeout = 30 * time.Second
 
-// maxKeptAnswer is how large an answer may be to be kept for retries, in bytes.
-const maxKeptAnswer = 64 << 10
+// maxStoredAnswer is the maximum size of an answer that is stored for retries, in bytes.
+const maxStoredAnswer = 64 << 10
 
-// plainJob takes a call of a plain service through its attempts.
+// plainJob runs the attempts of a call of a plain service.
 type plainJob struct {
 	job
-	call plainCall
-	held bool // the slot's holder knows the call
-	// started is set once an attempt may have started.
+	call        plainCall
+	holderKnows bool // the slot's holder has a record of the call
+	// started reports whether an attempt may have started.
 	started bool
 }
 
 func (e *Entry) runPlain(ctx context.Context, r *run, call plainCall) {
 	j := &plainJob{job: job{entry: e, run: r}, call: call}
-	j.ask = dispatch.Request{
+	j.req = dispatch.Request{
 		Customer: call.customer.Name,
 		Service:  call.service.Name,
 		Weight:   e.Catalog().CustomerWeight(call.customer.Name, call.service.Name),
@@ -43,7 +43,7 @@
 		Deadline: e.deadlineOf(call.headers, call.service.Priority),
 	}
 	var refusal *problem.Problem
-	if j.grant, refusal = e.acquire(ctx, r.id, j.ask); refusal != nil {
+	if j.grant, refusal = e.acquire(ctx, r.id, j.req); refusal != nil {
 		e.refuseRun(r, refusal)
 		return
 	}
@@ -53,22 +53,22 @@
 	j.record.Limits = lo.Map(limits, func(l limit.Line, _ int) string { return l.Name })
 	if j.record.Key != "" || len(limits) > 0 {
 		var ok bool
-		if j.record, ok = e.admitRun(ctx, r, j.grant, peer.Admission{Record: j.record, Limits: limits, Try: call.try}); !ok {
+		if j.record, ok = e.admitRun(ctx, r, j.grant, peer.Admission{Record: j.record, Limits: limits, Try: call.attemptNumber}); !ok {
 			return
 		}
-		j.held = true
+		j.holderKnows = true
 	} else {
 		r.begin(j.record)
 	}
-	j.do(ctx)
+	j.runAttempts(ctx)
 }
 
-func (j *plainJob) do(ctx context.Context) {
+func (j *plainJob) runAttempts(ctx context.Context) {
 	timeout := min(j.call.service.Timeout, plainTimeout)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		answer, err := j.once(ctx)
+		answer, err := j.runAttempt(ctx)
 		if err == nil {
 			j.entry.Dispatch.Release(j.grant, dispatch.Succeeded)
 			j.answered(ctx, answer)
@@ -76,16 +76,16 @@
 		}
 		j.started = j.started || !errors.Is(err, backend.ErrNotStarted)
 		j.explain(event.Send, "attempt failed", err.Error())
-		if j.next(err) != attempt.Retry || ctx.Err() != nil || !j.again(ctx, err) {
+		if j.nextStep(err) != attempt.Retry || ctx.Err() != nil || !j.retry(ctx, err) {
 			j.giveUp(ctx, err)
 			return
 		}
 	}
 }
 
-func (j *plainJob) once(ctx context.Context) (holder.Answer, error) {
-	if j.held && j.isOver() {
-		return holder.Answer{}, errOver
+func (j *plainJob) runAttempt(ctx context.Context) (holder.Answer, error) {
+	if j.holderKnows && j.isStale() {
+		return holder.Answer{}, errStaleIncarnation
 	}
 	j.explain(event.Send, "sent", "")
 	call := j.call.call
@@ -93,27 +93,27 @@
 	return j.entry.Backend.Plain(ctx, j.attempt(), call)
 }
 
-func (j *plainJob) next(err error) attempt.Step {
+func (j *plainJob) nextStep(err error) attempt.Step {
 	failure := lo.Ternary(errors.Is(err, backend.ErrNotStarted), attempt.NotStarted, attempt.Broken)
 	return attempt.Next(attempt.Situation{
 		Failure:    failure,
 		Attempts:   len(j.record.Attempts),
 		Repeatable: j.call.repeatable,
-		Left:       j.ask.Deadline.Sub(j.entry.Clock.Now()),
+		Left:       j.req.Deadline.Sub(j.entry.Clock.Now()),
 		Budget:     j.entry.retryBudget(),
 	})
 }
 
-func (j *plainJob) again(ctx context.Context, cause error) bool {
-	j.ask.Excluded = append(j.ask.Excluded, j.attempt().Endpoint)
-	grant, refusal := j.entry.acquire(ctx, j.record.Request, j.ask)
+func (j *plainJob) retry(ctx context.Context, cause error) bool {
+	j.req.Excluded = append(j.req.Excluded, j.attempt().Endpoint)
+	grant, refusal := j.entry.acquire(ctx, j.record.Request, j.req)
 	if refusal != nil {
 		return false
 	}
 	j.entry.Dispatch.Release(j.grant, dispatch.Failed)
 	j.grant = grant
 	next := attemptAt(len(j.record.Attempts)+1, grant.Endpoint())
-	if j.held && !j.entry.note(ctx, j.record, next, 0) {
+	if j.holderKnows && !j.entry.noteAttempt(ctx, j.record, next, 0) {
 		return false
 	}
 	j.record = j.record.WithAttempt(next)
@@ -124,28 +124,28 @@
 }
 
 func (j *plainJob) answered(ctx context.Context, answer holder.Answer) {
-	if j.held {
-		kept := &answer
-		if len(answer.Body) > maxKeptAnswer {
-			kept = nil
+	if j.holderKnows {
+		stored := &answer
+		if len(answer.Body) > maxStoredAnswer {
+			stored = nil
 		}
-		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, Answer: kept})
+		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, Answer: stored})
 	}
 	j.run.finish(holder.Usage{}, &answer, j.entry.Clock.Now())
 }
 
-// giveUp ends the call; unless no attempt can have started, its outcome is unknown.
+// giveUp ends the call without an answer. If an attempt may have started, the outcome is unknown.
 func (j *plainJob) giveUp(ctx context.Context, cause error) {
 	j.entry.Dispatch.Release(j.grant, dispatch.Failed)
 	peerName := string(j.attempt().Endpoint)
 	if !j.started {
-		if j.held {
+		if j.holderKnows {
 			j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, NotRun: true})
 		}
 		j.entry.refuseRun(j.run, problem.New(problem.NoEndpoint, cause.Error()).At(string(event.Send), peerName))
 		return
 	}
-	if j.held {
+	if j.holderKnows {
 		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record})
 	}
 	p := problem.New(problem.EndpointFailed, cause.Error()).At(string(event.Send), peerName)
--- a/fleet/entry/refuse.go
+++ b/fleet/entry/refuse.go
@@ -13,7 +13,7 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// The headers of callers.
+// The headers of calls and answers.
 const (
 	headerRequest  = "Lynxshed-Request-Id"
 	headerBudget   = "Lynxshed-Budget"
@@ -30,16 +30,16 @@
 	bearerPrefix = "Bearer "
 )
 
-// headers are what a caller said beside the body.
+// headers holds the values of a call's headers.
 type headers struct {
-	customer catalog.Customer
-	budget   string
-	key      string
-	try      int
-	deadline time.Duration // 0 where the caller named none
+	customer      catalog.Customer
+	budget        string
+	key           string
+	attemptNumber int
+	deadline      time.Duration // 0 if not given
 }
 
-// readHeaders authenticates the caller and reads its headers.
+// readHeaders authenticates the caller and parses the headers.
 func (e *Entry) readHeaders(r *http.Request) (headers, *problem.Problem) {
 	customer, refusal := e.authenticate(r)
 	if refusal != nil {
@@ -49,19 +49,19 @@
 	if len(h.key) > maxKeyBytes || !utf8.ValidString(h.key) {
 		return h, badHeader(headerKey, "at most 256 bytes of UTF-8")
 	}
-	try, refusal := wholeHeader(r, headerAttempt, maxAttempt)
+	number, refusal := intHeader(r, headerAttempt, maxAttempt)
 	if refusal != nil {
 		return h, refusal
 	}
-	deadline, refusal := wholeHeader(r, headerDeadline, maxDeadline.Milliseconds())
+	deadline, refusal := intHeader(r, headerDeadline, maxDeadline.Milliseconds())
 	if refusal != nil {
 		return h, refusal
 	}
-	h.try, h.deadline = int(try), time.Duration(deadline)*time.Millisecond
+	h.attemptNumber, h.deadline = int(number), time.Duration(deadline)*time.Millisecond
 	return h, nil
 }
 
-func wholeHeader(r *http.Request, name string, limit int64) (int64, *problem.Problem) {
+func intHeader(r *http.Request, name string, limit int64) (int64, *problem.Problem) {
 	text := r.Header.Get(name)
 	if text == "" {
 		return 0, nil
@@ -93,8 +93,8 @@
 	return customer, nil
 }
 
-// named gives every answer a request's id; one that comes to run replaces it by its own.
-func (e *Entry) named(next http.HandlerFunc) http.HandlerFunc {
+// withRequestID sets a request id on every answer. A request that runs replaces it by its own.
+func (e *Entry) withRequestID(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerRequest, string(ident.NewRequest(e.Self.Zone, 0, e.NewSerial())))
 		next(w, r)
--- a/fleet/entry/run.go
+++ b/fleet/entry/run.go
@@ -10,28 +10,28 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// run is one request at this node: what came of it so far, for any number of readers.
+// run is a request at this node with its answer so far, for any number of readers.
 type run struct {
 	customer ident.Customer
 	cancel   context.CancelFunc
 	keyed    bool
 
-	mu      sync.Mutex
-	id      ident.Request
-	record  holder.Record
-	chunks  []string // data of the events, in order; the index is the event's id
-	usage   holder.Usage
-	answer  *holder.Answer
-	problem *problem.Problem
-	state   RunState
-	started bool // id is final and the answer has begun
-	changed chan struct{}
-	readers int
-	idle    time.Time // since when nobody reads
-	ended   time.Time
+	mu        sync.Mutex
+	id        ident.Request
+	record    holder.Record
+	chunks    []string // data of the events in order; the index is the event id
+	usage     holder.Usage
+	answer    *holder.Answer
+	problem   *problem.Problem
+	state     RunState
+	started   bool // id is final and the answer has begun
+	changed   chan struct{}
+	readers   int
+	idleSince time.Time // when the number of readers became 0, or the start
+	ended     time.Time
 }
 
-// RunState is where a request stands, as callers see it.
+// RunState is the state of a request as reported to callers.
 type RunState string
 
 // The states of a request.
@@ -44,14 +44,14 @@
 	RunCancelled RunState = "cancelled"
 )
 
-// Ended reports whether nothing more will come.
+// Ended reports whether the state is final.
 func (s RunState) Ended() bool { return s != RunWaiting && s != RunRunning }
 
 func newRun(id ident.Request, customer ident.Customer, keyed bool, cancel context.CancelFunc, now time.Time) *run {
-	return &run{id: id, customer: customer, keyed: keyed, cancel: cancel, state: RunWaiting, changed: make(chan struct{}), idle: now}
+	return &run{id: id, customer: customer, keyed: keyed, cancel: cancel, state: RunWaiting, changed: make(chan struct{}), idleSince: now}
 }
 
-// view is a run as a reader sees it at one moment.
+// view is a snapshot of a run.
 type view struct {
 	id      ident.Request
 	chunks  []string
@@ -64,8 +64,8 @@
 	changed chan struct{}
 }
 
-// look returns the run from a chunk on.
-func (r *run) look(from int) view {
+// view returns a snapshot of the run with the chunks from a given number on.
+func (r *run) view(from int) view {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := view{id: r.id, usage: r.usage, answer: r.answer, problem: r.problem, state: r.state, started: r.started, budget: r.record.Budget, changed: r.changed}
@@ -105,7 +105,7 @@
 	})
 }
 
-// fail ends the run with a refusal, at a cost of what ran.
+// fail ends the run with a problem and the cost of what ran.
 func (r *run) fail(p *problem.Problem, state RunState, usage holder.Usage, now time.Time) {
 	r.update(func() {
 		r.usage = usage
@@ -122,18 +122,18 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.readers--
-		r.idle = now()
+		r.idleSince = now()
 	}
 }
 
-// abandoned reports whether nobody has read for a while.
+// abandoned reports whether a run without idempotency key has had no reader for the grace period.
 func (r *run) abandoned(at time.Time, grace time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers == 0 && !r.keyed && !r.state.Ended() && at.Sub(r.idle) >= grace
+	return r.readers == 0 && !r.keyed && !r.state.Ended() && at.Sub(r.idleSince) >= grace
 }
 
-// wait blocks until the run changes after a view, or the context ends.
+// wait blocks until the run has changed since the view, and returns false if the context ends first.
 func (v view) wait(ctx context.Context) bool {
 	select {
 	case <-v.changed:
--- a/fleet/entry/serve.go
+++ b/fleet/entry/serve.go
@@ -22,34 +22,34 @@
 	ctx, span := e.Tracer.Start(traceOf(r), "entry chat")
 	defer span.End()
 	call, refusal := e.readChat(w, r)
-	if e.turnedAway(w, r, refusal) {
+	if e.rejected(w, r, refusal) {
 		return
 	}
 	e.Metrics.Arrived(ctx, string(call.service.Name))
 	run := e.startChat(ctx, call)
 	defer run.attach(e.Clock.Now)()
 	if call.stream {
-		e.stream(w, r, run, 0)
+		e.respondStream(w, r, run, 0)
 		return
 	}
-	e.whole(w, r, run)
+	e.respond(w, r, run)
 }
 
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) {
 	ctx, span := e.Tracer.Start(traceOf(r), "entry service")
 	defer span.End()
 	call, refusal := e.readPlain(w, r)
-	if e.turnedAway(w, r, refusal) {
+	if e.rejected(w, r, refusal) {
 		return
 	}
 	e.Metrics.Arrived(ctx, string(call.service.Name))
 	run := e.startPlain(ctx, call)
 	defer run.attach(e.Clock.Now)()
-	e.whole(w, r, run)
+	e.respond(w, r, run)
 }
 
-// turnedAway answers a call that is wrong, or that comes while the node stops.
-func (e *Entry) turnedAway(w http.ResponseWriter, r *http.Request, refusal *problem.Problem) bool {
+// rejected answers a call that is invalid or comes while the node stops. It reports whether it did.
+func (e *Entry) rejected(w http.ResponseWriter, r *http.Request, refusal *problem.Problem) bool {
 	if refusal == nil && e.isDraining() {
 		refusal = problem.New(problem.Draining, "this node is stopping; ask another")
 	}
@@ -63,12 +63,12 @@
 	return propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 }
 
-// whole answers once the run has ended.
-func (e *Entry) whole(w http.ResponseWriter, r *http.Request, run *run) {
+// respond waits for the end of the run and writes its answer.
+func (e *Entry) respond(w http.ResponseWriter, r *http.Request, run *run) {
 	for {
-		v := run.look(0)
+		v := run.view(0)
 		if v.state.Ended() {
-			e.writeWhole(w, r, v)
+			e.writeAnswer(w, r, v)
 			return
 		}
 		if !v.wait(r.Context()) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (e *Entry) writeWhole(w http.ResponseWriter, r *http.Request, v view) {
+func (e *Entry) writeAnswer(w http.ResponseWriter, r *http.Request, v view) {
 	w.Header().Set(headerRequest, string(v.id))
 	if v.problem != nil {
 		e.refuse(w, r, v.problem)
@@ -94,13 +94,13 @@
 	writeJSON(w, http.StatusOK, assemble(v))
 }
 
-// stream answers with server-sent events from an event's id on.
-func (e *Entry) stream(w http.ResponseWriter, r *http.Request, run *run, from int) {
+// respondStream writes the answer as server-sent events from a given event id on.
+func (e *Entry) respondStream(w http.ResponseWriter, r *http.Request, run *run, from int) {
 	open := false
 	for {
-		v := run.look(from)
+		v := run.view(from)
 		if !open && v.state.Ended() && v.problem != nil && !v.started {
-			e.writeWhole(w, r, v)
+			e.writeAnswer(w, r, v)
 			return
 		}
 		if !open && (v.started || v.state.Ended()) {
@@ -133,15 +133,15 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-const endMark = "[DONE]"
+const endMarker = "[DONE]"
 
-// closeStream sends the end mark, or why the answer is not whole.
+// closeStream sends the end marker, or the problem that made the answer incomplete.
 func closeStream(w http.ResponseWriter, v view, from int) {
 	if v.problem != nil {
 		data, _ := json.Marshal(v.problem)
 		send(w, strconv.Itoa(from), "error", string(data))
 	} else {
-		send(w, strconv.Itoa(from), "", endMark)
+		send(w, strconv.Itoa(from), "", endMarker)
 	}
 	flush(w)
 }
@@ -156,12 +156,12 @@
 	return err == nil
 }
 
-// writeTime is how long a reader may take to accept what is flushed.
-const writeTime = 30 * time.Second
+// writeTimeout is how long a reader may take to accept flushed data.
+const writeTimeout = 30 * time.Second
 
 func flush(w http.ResponseWriter) {
 	c := http.NewResponseController(w)
-	_ = c.SetWriteDeadline(time.Now().Add(writeTime))
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_ = c.Flush()
 }
 
@@ -191,9 +191,9 @@
 	return &completionUsage{PromptTokens: u.Prompt, CompletionTokens: u.Output, TotalTokens: u.Tokens()}
 }
 
-// assemble puts the chunks of a stream together to one answer.
+// assemble combines the chunks of a stream into one completion.
 func assemble(v view) completion {
-	whole := completion{ID: string(v.id), Object: "chat.completion", Usage: usageOf(v.usage)}
+	answer := completion{ID: string(v.id), Object: "chat.completion", Usage: usageOf(v.usage)}
 	var text strings.Builder
 	finish := "stop"
 	for _, data := range v.chunks {
@@ -201,7 +201,7 @@
 		if json.Unmarshal([]byte(data), &c) != nil {
 			continue
 		}
-		whole.Created, whole.Model = c.Created, c.Model
+		answer.Created, answer.Model = c.Created, c.Model
 		for _, ch := range c.Choices {
 			if ch.Delta != nil {
 				text.WriteString(ch.Delta.Content)
@@ -211,11 +211,11 @@
 			}
 		}
 	}
-	whole.Choices = []choice{{Message: &backend.Message{Role: "assistant", Content: text.String()}, FinishReason: &finish}}
-	return whole
+	answer.Choices = []choice{{Message: &backend.Message{Role: "assistant", Content: text.String()}, FinishReason: &finish}}
+	return answer
 }
 
-// requestState is what GET /v1/requests/{id} answers.
+// requestState is the answer to GET /v1/requests/{id}.
 type requestState struct {
 	Request  ident.Request    `json:"requestId"`
 	Customer ident.Customer   `json:"customer"`
@@ -242,23 +242,23 @@
 	return s
 }
 
-// own finds a run here that belongs to the caller, or a record of it elsewhere.
-func (e *Entry) own(r *http.Request) (*run, *holder.Record, *problem.Problem) {
+// findOwn returns the caller's run on this node, or the record of its request on another.
+func (e *Entry) findOwn(r *http.Request) (*run, *holder.Record, *problem.Problem) {
 	customer, refusal := e.authenticate(r)
 	if refusal != nil {
 		return nil, nil, refusal
 	}
 	id := ident.Request(r.PathValue("id"))
-	missing := problem.New(problem.UnknownRequest, "this customer has no request "+quote(string(id))).WithOutcome(problem.Unknown)
+	notFound := problem.New(problem.UnknownRequest, "this customer has no request "+quote(string(id))).WithOutcome(problem.Unknown)
 	if run, ok := e.find(id); ok {
 		if run.customer != customer.Name {
-			return nil, nil, missing
+			return nil, nil, notFound
 		}
 		return run, nil, nil
 	}
 	record, ok := e.locate(r.Context(), id)
 	if !ok || record.Customer != customer.Name {
-		return nil, nil, missing
+		return nil, nil, notFound
 	}
 	return nil, &record, nil
 }
@@ -271,12 +271,12 @@
 			return
 		}
 	}
-	run, record, refusal := e.own(r)
+	run, record, refusal := e.findOwn(r)
 	switch {
 	case refusal != nil:
 		e.refuse(w, r, refusal)
 	case run != nil:
-		v := run.look(0)
+		v := run.view(0)
 		w.Header().Set(headerRequest, string(v.id))
 		writeJSON(w, http.StatusOK, stateOf(v, run.customer))
 	default:
@@ -299,7 +299,7 @@
 		e.refuse(w, r, refusal)
 		return
 	}
-	run, record, refusal := e.own(r)
+	run, record, refusal := e.findOwn(r)
 	if refusal != nil {
 		e.refuse(w, r, refusal)
 		return
@@ -308,7 +308,7 @@
 		run = e.startFollow(r.Context(), *record)
 	}
 	defer run.attach(e.Clock.Now)()
-	e.stream(w, r, run, from)
+	e.respondStream(w, r, run, from)
 }
 
 func lastEventID(r *http.Request) (int, *problem.Problem) {
@@ -324,7 +324,7 @@
 }
 
 func (e *Entry) serveCancel(w http.ResponseWriter, r *http.Request) {
-	run, record, refusal := e.own(r)
+	run, record, refusal := e.findOwn(r)
 	if refusal != nil {
 		e.refuse(w, r, refusal)
 		return
@@ -332,25 +332,25 @@
 	if run != nil {
 		run.cancel()
 		e.awaitEnd(r.Context(), run)
-		writeJSON(w, http.StatusOK, stateOf(run.look(0), run.customer))
+		writeJSON(w, http.StatusOK, stateOf(run.view(0), run.customer))
 		return
 	}
-	e.cancelElsewhere(r.Context(), *record)
+	e.cancelRemote(r.Context(), *record)
 	writeJSON(w, http.StatusAccepted, stateOf(recordView(*record), record.Customer))
 }
 
 func (e *Entry) awaitEnd(ctx context.Context, run *run) {
-	ctx, cancel := context.WithTimeout(ctx, e.options.AnswerTime)
+	ctx, cancel := context.WithTimeout(ctx, e.options.AnswerTimeout)
 	defer cancel()
 	for {
-		v := run.look(0)
+		v := run.view(0)
 		if v.state.Ended() || !v.wait(ctx) {
 			return
 		}
 	}
 }
 
-func (e *Entry) cancelElsewhere(ctx context.Context, record holder.Record) {
+func (e *Entry) cancelRemote(ctx context.Context, record holder.Record) {
 	if to, ok := e.View().Member(record.Entry.Node()); ok && to.Incarnation == record.Entry {
 		_, _ = peer.Call[peer.Nothing](ctx, e.Caller, to, peer.VerbCancel, peer.Known{Record: record})
 		return
@@ -360,7 +360,7 @@
 	}
 }
 
-// Cancel ends a run on behalf of another node.
+// Cancel cancels a run on behalf of another node.
 func (e *Entry) Cancel(id ident.Request) {
 	if run, ok := e.find(id); ok {
 		run.cancel()
--- a/fleet/entry/service.go
+++ b/fleet/entry/service.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// plainCall is a call of a plain service that may be run.
+// plainCall is a validated call of a plain service.
 type plainCall struct {
 	headers
 	service    catalog.Service
--- a/fleet/routing/pace.go
+++ b/fleet/routing/pace.go
@@ -25,15 +25,15 @@
 // With returns the estimate after a stream with a mean time between tokens, observed while
 // the given number of calls were at the endpoint.
 func (e IntervalEstimate) With(calls float64, interval time.Duration) IntervalEstimate {
-	g := interval.Seconds()
-	if g <= 0 || calls < 1 {
+	seconds := interval.Seconds()
+	if seconds <= 0 || calls < 1 {
 		return e
 	}
 	if e.baseline == 0 {
-		return IntervalEstimate{baseline: g, interval: g, calls: calls}
+		return IntervalEstimate{baseline: seconds, interval: seconds, calls: calls}
 	}
-	e.baseline = min(e.baseline*baselineDrift, g)
-	e.interval += (g - e.interval) * intervalSmoothing
+	e.baseline = min(e.baseline*baselineDrift, seconds)
+	e.interval += (seconds - e.interval) * intervalSmoothing
 	e.calls += (calls - e.calls) * intervalSmoothing
 	return e
 }
