--- a/fleet/entry/entry.go
+++ b/fleet/entry/entry.go
@@ -84,19 +84,19 @@
 	base    context.Context
 	stop    context.CancelFunc
 
-	mu        sync.Mutex
-	runs      map[ident.Request]*run
-	summaries summaries
-	retries   attempt.Budget
-	outbox    []peer.Ending
-	draining  bool
-	active    int
+	mu       sync.Mutex
+	runs     map[ident.Request]*run
+	evicted  summaries
+	retries  attempt.Budget
+	outbox   []peer.Ending
+	draining bool
+	active   int
 }
 
 // New returns an entry without runs. When base is cancelled, all runs end.
 func New(base context.Context, p Parts, o Options) *Entry {
 	base, stop := context.WithCancel(base)
-	return &Entry{Parts: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, summaries: newSummaries()}
+	return &Entry{Parts: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, evicted: newSummaries()}
 }
 
 // Routes registers the handlers of callers' requests.
@@ -203,7 +203,7 @@
 		r.mu.Unlock()
 		if old {
 			delete(e.runs, id)
-			e.summaries.add(id, stateOf(r.view(0), r.customer), e.options.MaxSummaries)
+			e.evicted.add(id, stateOf(r.viewFrom(0), r.customer), e.options.MaxSummaries)
 			over--
 		}
 	}
@@ -231,6 +231,6 @@
 func (e *Entry) summary(id ident.Request) (requestState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s, ok := e.summaries.states[id]
+	s, ok := e.evicted.states[id]
 	return s, ok
 }
--- a/fleet/entry/follow.go
+++ b/fleet/entry/follow.go
@@ -50,10 +50,10 @@
 	}
 	defer run.attach(e.Clock.Now)()
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	openStream(w, run.view(0).id)
+	openStream(w, run.viewFrom(0).id)
 	flush(w)
 	for {
-		v := run.view(from)
+		v := run.viewFrom(from)
 		for _, chunk := range v.chunks {
 			if !send(w, strconv.Itoa(from), "", chunk) {
 				return
@@ -97,7 +97,7 @@
 			record = current
 		}
 	}
-	if v := r.view(0); !v.state.Ended() {
+	if v := r.viewFrom(0); !v.state.Ended() {
 		p := problem.New(problem.KeyInterrupted, "the request's first try can't be reached").WithOutcome(problem.Unknown)
 		r.fail(p.At(string(event.Resume), string(record.Entry.Node())), RunFailed, holder.Usage{}, e.Clock.Now())
 	}
@@ -132,7 +132,7 @@
 func (e *Entry) mirrorLocal(ctx context.Context, r, from *run) (bool, error) {
 	defer from.attach(e.Clock.Now)()
 	for {
-		v := from.view(r.relayed())
+		v := from.viewFrom(r.relayed())
 		for _, chunk := range v.chunks {
 			r.relay(chunk)
 		}
--- a/fleet/entry/run.go
+++ b/fleet/entry/run.go
@@ -64,8 +64,8 @@
 	changed chan struct{}
 }
 
-// view returns a snapshot of the run with the chunks from a given number on.
-func (r *run) view(from int) view {
+// viewFrom returns a snapshot of the run with the chunks from a given number on.
+func (r *run) viewFrom(from int) view {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := view{id: r.id, usage: r.usage, answer: r.answer, problem: r.problem, state: r.state, started: r.started, budget: r.record.Budget, changed: r.changed}
--- a/fleet/entry/serve.go
+++ b/fleet/entry/serve.go
@@ -66,7 +66,7 @@
 // respond waits for the end of the run and writes its answer.
 func (e *Entry) respond(w http.ResponseWriter, r *http.Request, run *run) {
 	for {
-		v := run.view(0)
+		v := run.viewFrom(0)
 		if v.state.Ended() {
 			e.writeAnswer(w, r, v)
 			return
@@ -98,7 +98,7 @@
 func (e *Entry) respondStream(w http.ResponseWriter, r *http.Request, run *run, from int) {
 	open := false
 	for {
-		v := run.view(from)
+		v := run.viewFrom(from)
 		if !open && v.state.Ended() && v.problem != nil && !v.started {
 			e.writeAnswer(w, r, v)
 			return
@@ -276,7 +276,7 @@
 	case refusal != nil:
 		e.refuse(w, r, refusal)
 	case run != nil:
-		v := run.view(0)
+		v := run.viewFrom(0)
 		w.Header().Set(headerRequest, string(v.id))
 		writeJSON(w, http.StatusOK, stateOf(v, run.customer))
 	default:
@@ -332,7 +332,7 @@
 	if run != nil {
 		run.cancel()
 		e.awaitEnd(r.Context(), run)
-		writeJSON(w, http.StatusOK, stateOf(run.view(0), run.customer))
+		writeJSON(w, http.StatusOK, stateOf(run.viewFrom(0), run.customer))
 		return
 	}
 	e.cancelRemote(r.Context(), *record)
@@ -343,7 +343,7 @@
 	ctx, cancel := context.WithTimeout(ctx, e.options.AnswerTimeout)
 	defer cancel()
 	for {
-		v := run.view(0)
+		v := run.viewFrom(0)
 		if v.state.Ended() || !v.wait(ctx) {
 			return
 		}
