--- a/fleet/holder/admit.go
+++ b/fleet/holder/admit.go
@@ -10,11 +10,11 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// admit lets a request in once its key is free everywhere, its limits have room
+// admit admits a request once its key is free in all zones, its limits have room
 // and a budget covers its worst case.
 func (s State) admit(m Admit) (State, Effect) {
 	if old, ok := s.records.Get(m.Record.Request); ok && old.Phase != Pending {
-		return s, s.known(old, m.Record)
+		return s, s.answerExisting(old, m.Record)
 	}
 	if m.Record.Key == "" {
 		return s.reserve(m)
@@ -24,20 +24,20 @@
 	case !ok:
 		return s.register(m.Record)
 	case old.Request != m.Record.Request:
-		return s, s.known(old, m.Record)
+		return s, s.answerExisting(old, m.Record)
 	case !m.Claimed:
 		return s, MustClaim{Record: m.Record}
 	}
-	if p := cutOff(m); p != nil {
-		return s.dropped(m.Record), Refused{Problem: p}
+	if p := unverifiedRetry(m); p != nil {
+		return s.withoutRequest(m.Record), Refused{Problem: p}
 	}
 	m.Record.Unasked = m.Unreachable
 	return s.reserve(m)
 }
 
-// known answers a request whose key or id has a record.
-func (s State) known(old, asked Record) Effect {
-	if old.BodyHash != asked.BodyHash {
+// answerExisting answers a request whose key or id already has a record.
+func (s State) answerExisting(old, requested Record) Effect {
+	if old.BodyHash != requested.BodyHash {
 		return Refused{Problem: problem.New(problem.KeyReused, "the key was first used with another body")}
 	}
 	return Existing{Record: old}
@@ -49,10 +49,10 @@
 	return s, MustClaim{Record: r}
 }
 
-// cutOff refuses a call that may not be repeated and whose first try may sit in
-// a zone that can't be asked.
-func cutOff(m Admit) *problem.Problem {
-	if len(m.Unreachable) == 0 || m.Record.Repeatable || m.Record.Model || m.Try == 1 {
+// unverifiedRetry refuses a call that is not repeatable and whose first attempt may have run in
+// an unreachable zone.
+func unverifiedRetry(m Admit) *problem.Problem {
+	if len(m.Unreachable) == 0 || m.Record.Repeatable || m.Record.Model || m.CallerAttempt == 1 {
 		return nil
 	}
 	detail := fmt.Sprintf("zones %v can't be asked whether the call has run; send Lynxshed-Attempt: 1 on a first try", m.Unreachable)
@@ -60,20 +60,21 @@
 }
 
 func (s State) reserve(m Admit) (State, Effect) {
-	next, refusal := s.limited(m)
+	next, refusal := s.applyLimits(m)
 	if refusal != nil {
-		return s.dropped(m.Record), Refused{Problem: refusal}
+		return s.withoutRequest(m.Record), Refused{Problem: refusal}
 	}
 	if len(m.Budgets) == 0 {
 		r := m.Record
 		r.Phase, r.Holder = Open, s.self
 		return next.withRecord(r), Admitted{Record: r}
 	}
-	return next.pay(s, m)
+	return next.reserveTokens(s, m)
 }
 
-// pay reserves the worst case from the first budget that covers it.
-func (s State) pay(before State, m Admit) (State, Effect) {
+// reserveTokens reserves the worst case from the first budget that covers it. s has the request counted
+// against its limits; before has not and is returned when the request is not admitted.
+func (s State) reserveTokens(before State, m Admit) (State, Effect) {
 	for _, line := range m.Budgets {
 		a := before.accountOf(m.Record, line)
 		a.demand = a.demand.with(m.Record.Bound, m.At)
@@ -85,7 +86,7 @@
 		if a.leaving {
 			return before, Refused{Problem: problem.New(problem.NoHolder, "the slot is moving to another holder")}
 		}
-		if a.spendable() < m.Record.Bound+a.kept(m.Weight) {
+		if a.spendable() < m.Record.Bound+a.headroom(m.Weight) {
 			continue
 		}
 		a.reserved += m.Record.Bound
@@ -94,7 +95,7 @@
 		return s.withAccount(a).withRecord(r), Admitted{Record: r}
 	}
 	first, _ := before.accounts.Get(m.Budgets[0].Name)
-	return before, Short{Slot: m.Record.Slot, Budget: m.Budgets[0].Name, Need: m.Record.Bound + first.kept(m.Weight) - max(0, first.spendable())}
+	return before, Short{Slot: m.Record.Slot, Budget: m.Budgets[0].Name, Need: m.Record.Bound + first.headroom(m.Weight) - max(0, first.spendable())}
 }
 
 func (s State) accountOf(r Record, line BudgetLine) account {
@@ -108,7 +109,8 @@
 	return a
 }
 
-func (s State) limited(m Admit) (State, *problem.Problem) {
+// applyLimits counts the request against each of its limits, or returns why one of them refuses it.
+func (s State) applyLimits(m Admit) (State, *problem.Problem) {
 	for _, line := range m.Limits {
 		usage, _ := s.limits.Get(line.Name)
 		next, wait, err := usage.With(line, s.shareOf(line.Name, m.Share.of(line), m.At), m.Record.Bound, m.At)
@@ -125,8 +127,8 @@
 	return s, nil
 }
 
-// dropped forgets a request that was not let in.
-func (s State) dropped(r Record) State {
+// withoutRequest removes a request that was not admitted, and its key.
+func (s State) withoutRequest(r Record) State {
 	if old, ok := s.keyed.Get(r.Key); ok && old.Request == r.Request {
 		s.keyed = s.keyed.Delete(r.Key)
 	}
@@ -134,13 +136,13 @@
 	return s
 }
 
-// claim answers another holder that wants a key. Of two that claim it at once
-// the one with the lower rank gives way.
+// claim answers another holder that claims a key. If two holders claim it at the same time,
+// the one with the lower rank gives it up.
 func (s State) claim(m Claim) (State, Effect) {
 	old, ok := s.keyed.Get(m.Record.Key)
 	if ok && old.Request != m.Record.Request {
 		if old.BodyHash != m.Record.BodyHash || old.Phase != Pending || old.Elsewhere || s.outranks(m.Record) {
-			return s, s.known(old, m.Record)
+			return s, s.answerExisting(old, m.Record)
 		}
 		r := m.Record
 		r.Elsewhere = true
@@ -155,7 +157,8 @@
 	return s, None{}
 }
 
-// outranks orders two holders that claim a key at once, by zone and incarnation.
+// outranks reports whether this holder goes first when two claim a key at the same time.
+// They are ordered by zone and then by incarnation.
 func (s State) outranks(r Record) bool {
 	zone, _, err := r.Request.Parse()
 	if err != nil {
--- a/fleet/holder/holder_test.go
+++ b/fleet/holder/holder_test.go
@@ -23,7 +23,7 @@
 	return holder.Record{Request: ident.NewRequest(zone, 0, unique), Customer: "c", Key: holder.NewKeyID("c", "k"), BodyHash: "h", At: start}
 }
 
-// funded is a holder with so many tokens of the budget.
+// funded returns a holder with the given tokens of the budget.
 func funded(tokens int64) holder.State {
 	s := holder.New("n@1", "a")
 	s, _ = s.Handle(holder.Opened{At: start, Budgets: []holder.BudgetLine{{Name: budget, Limit: tokens, Version: 1}}})
@@ -62,8 +62,8 @@
 		want  int64
 	}{
 		{"within", holder.Usage{Prompt: 10, Output: 20}, 30},
-		{"an engine that counts too much", holder.Usage{Prompt: 10, Output: 10_000}, 100},
-		{"a prompt beyond the bound", holder.Usage{Prompt: 10_000, Output: 1}, 100},
+		{"output above the bound", holder.Usage{Prompt: 10, Output: 10_000}, 100},
+		{"prompt above the bound", holder.Usage{Prompt: 10_000, Output: 1}, 100},
 		{"negative counts", holder.Usage{Prompt: -5, Output: -5}, 0},
 	}
 	for _, c := range cases {
@@ -75,28 +75,28 @@
 	}
 }
 
-func TestReleaseGivesAllBack(t *testing.T) {
+func TestReleaseReturnsTheWholeReservation(t *testing.T) {
 	s, effect := admit(funded(1000), "1", 600)
 	s, _ = s.Handle(holder.Release{Request: effect.(holder.Admitted).Record.Request})
 	assert.Equal(t, int64(1000), s.Spendable(budget))
 }
 
-func TestSurrenderKeepsWhatIsReserved(t *testing.T) {
+func TestSurrenderKeepsReservedTokens(t *testing.T) {
 	s, _ := admit(funded(1000), "1", 600)
 	_, effect := s.Handle(holder.Surrender{Budget: budget, Need: 900})
 	assert.Equal(t, holder.Surrendered{Tokens: 400}, effect)
 }
 
-// claim is a holder's question to another.
+// claim lets another holder claim the key of a record.
 func claim(s holder.State, r holder.Record) (holder.State, holder.Effect) {
 	return s.Handle(holder.Claim{Record: r, At: start})
 }
 
-func TestOfTwoZonesThatClaimAtOnceOneWins(t *testing.T) {
+func TestOneOfTwoConcurrentClaimsWins(t *testing.T) {
 	cases := []struct {
-		name        string
-		firstStarts bool // zone b has started before a asks
-		wantWinner  ident.Zone
+		name         string
+		startedFirst bool // zone b starts the request before zone a claims the key
+		wantWinner   ident.Zone
 	}{
 		{"both pending: the lower zone", false, "a"},
 		{"one has started", true, "b"},
@@ -107,54 +107,54 @@
 			ra, rb := keyed("a", "1"), keyed("b", "2")
 			a, _ = a.Handle(holder.Admit{At: start, Record: ra})
 			b, _ = b.Handle(holder.Admit{At: start, Record: rb})
-			if c.firstStarts {
+			if c.startedFirst {
 				b, _ = b.Handle(holder.Admit{At: start, Record: rb, Claimed: true})
 			}
 			b, toA := claim(b, ra)
 			a, toB := claim(a, rb)
-			started := map[ident.Zone]bool{"b": c.firstStarts}
+			started := map[ident.Zone]bool{"b": c.startedFirst}
 			if _, lost := toA.(holder.Existing); !lost {
 				_, effect := a.Handle(holder.Admit{At: start, Record: ra, Claimed: true})
 				_, started["a"] = effect.(holder.Admitted)
 			}
-			if _, lost := toB.(holder.Existing); !lost && !c.firstStarts {
+			if _, lost := toB.(holder.Existing); !lost && !c.startedFirst {
 				_, effect := b.Handle(holder.Admit{At: start, Record: rb, Claimed: true})
 				_, started["b"] = effect.(holder.Admitted)
 			}
 			assert.True(t, started[c.wantWinner])
-			assert.NotEqual(t, started["a"], started["b"], "exactly one runs")
+			assert.NotEqual(t, started["a"], started["b"], "exactly one of them runs")
 		})
 	}
 }
 
-func TestCutOffRetries(t *testing.T) {
+func TestRetryIsRefusedWhileAZoneIsUnreachable(t *testing.T) {
 	cases := []struct {
 		name       string
-		try        int
+		attempt    int
 		repeatable bool
 		model      bool
-		want       problem.Outcome // of the refusal; "" runs
+		want       problem.Outcome // of the refusal; "" if the call is admitted
 	}{
-		{"a first try runs", 1, false, false, ""},
+		{"a first attempt runs", 1, false, false, ""},
 		{"a retry may have run elsewhere", 2, false, false, problem.Unknown},
-		{"one that does not say", 0, false, false, problem.Unknown},
-		{"what may be repeated runs", 2, true, false, ""},
+		{"an attempt without a number", 0, false, false, problem.Unknown},
+		{"a repeatable call runs", 2, true, false, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := keyed("a", "1")
 			r.Repeatable, r.Model = c.repeatable, c.model
-			s, effect := holder.New("n@1", "a").Handle(holder.Admit{At: start, Record: r, Try: c.try})
+			s, effect := holder.New("n@1", "a").Handle(holder.Admit{At: start, Record: r, CallerAttempt: c.attempt})
 			require.IsType(t, holder.MustClaim{}, effect)
-			s, effect = s.Handle(holder.Admit{At: start, Record: r, Try: c.try, Claimed: true, Unreachable: []ident.Zone{"b"}})
+			s, effect = s.Handle(holder.Admit{At: start, Record: r, CallerAttempt: c.attempt, Claimed: true, Unreachable: []ident.Zone{"b"}})
 			if c.want == "" {
 				assert.IsType(t, holder.Admitted{}, effect)
 				return
 			}
 			require.IsType(t, holder.Refused{}, effect)
 			assert.Equal(t, c.want, effect.(holder.Refused).Problem.Outcome)
-			_, again := s.Handle(holder.Admit{At: start, Record: r, Try: 1})
-			assert.IsType(t, holder.MustClaim{}, again, "a refused call's key is free again")
+			_, retried := s.Handle(holder.Admit{At: start, Record: r, CallerAttempt: 1})
+			assert.IsType(t, holder.MustClaim{}, retried, "the key of a refused call is free again")
 		})
 	}
 }
@@ -168,7 +168,7 @@
 	assert.Equal(t, problem.KeyReused, effect.(holder.Refused).Problem.Reason)
 }
 
-func TestRefusedByALimitCostsNothing(t *testing.T) {
+func TestRefusalByALimitReservesNothing(t *testing.T) {
 	s := funded(1000)
 	lines := []limit.Line{{Name: "l", MaxInFlight: 1}}
 	for i, unique := range []string{"1", "2"} {
@@ -183,9 +183,7 @@
 	assert.Equal(t, int64(900), s.Spendable(budget))
 }
 
-// TestLentLimitsAreNeverUsedTwice lets one of two zones have all the demand, and
-// counts what both let through.
-func TestTheLastTokensGoToTheHeaviestUse(t *testing.T) {
+func TestLastTokensAreKeptForTheGreatestWeight(t *testing.T) {
 	ask := func(s holder.State, unique string, weight, bound int64, at time.Time) (holder.State, bool) {
 		r := holder.Record{Request: ident.NewRequest("a", 0, unique), Bound: bound, At: at}
 		s, effect := s.Handle(holder.Admit{At: at, Record: r, Weight: weight, Budgets: []holder.BudgetLine{{Name: budget, Limit: 1000, Version: 1}}})
@@ -195,21 +193,23 @@
 	s, ok := ask(funded(1000), "heavy", 4, 940, start)
 	require.True(t, ok)
 	s, ok = ask(s, "light", 1, 30, start)
-	assert.False(t, ok, "60 tokens are left, 37 of them kept for the weight of 4")
+	assert.False(t, ok, "60 tokens are left, 37 of them kept for requests with a weight of 4")
 	s, ok = ask(s, "small", 1, 20, start)
 	assert.True(t, ok)
 	s, ok = ask(s, "heavy again", 4, 30, start)
 	assert.True(t, ok)
 	_, ok = ask(s, "light later", 1, 10, start.Add(2*time.Minute))
-	assert.True(t, ok, "after a minute without heavier use nothing is kept")
+	assert.True(t, ok, "nothing is kept after a minute without heavier requests")
 }
 
+// A lent share counted by both zones would admit more than the limit. One of two zones has nearly
+// all the demand; the test counts what both admit.
 func TestLentLimitsAreNeverUsedTwice(t *testing.T) {
 	line := limit.Line{Name: "l", RequestsPerSecond: 100}
 	busy, idle := holder.New("n@1", "a"), holder.New("m@1", "b")
 	const seconds, perSecond, even = 30, 400, 0.5
-	let, unique := 0, 0
-	try := func(s holder.State, at time.Time) (holder.State, bool) {
+	admitted, unique := 0, 0
+	attempt := func(s holder.State, at time.Time) (holder.State, bool) {
 		unique++
 		r := holder.Record{Request: ident.NewRequest("a", 0, fmt.Sprint(unique)), Limits: []string{"l"}, At: at}
 		s, effect := s.Handle(holder.Admit{At: at, Record: r, Limits: []limit.Line{line}, Share: holder.Shares{Zone: even}})
@@ -219,28 +219,28 @@
 	for tick := range seconds * perSecond {
 		at := start.Add(time.Duration(tick) * time.Second / perSecond)
 		var ok bool
-		if busy, ok = try(busy, at); ok {
-			let++
+		if busy, ok = attempt(busy, at); ok {
+			admitted++
 		}
 		if tick%perSecond == 0 {
 			var effect holder.Effect
 			idle, effect = idle.Handle(holder.Lend{At: at, Line: line, Share: holder.Shares{Zone: even}})
-			if part := effect.(holder.Lent).Part; part > 0 {
-				busy, _ = busy.Handle(holder.Borrowed{At: at, Line: line, Part: part, Until: at.Add(holder.LoanTime)})
+			if share := effect.(holder.Lent).Share; share > 0 {
+				busy, _ = busy.Handle(holder.Borrowed{At: at, Line: line, Share: share, Until: at.Add(holder.LoanDuration)})
 			}
 		}
 		if tick > seconds*perSecond/2 && tick%7 == 0 {
-			if idle, ok = try(idle, at); ok {
-				let++
+			if idle, ok = attempt(idle, at); ok {
+				admitted++
 			}
 		}
 	}
-	whole := int(line.RequestsPerSecond) * (seconds + 1)
-	assert.LessOrEqual(t, let, whole, "never more than the limit and one second's burst")
-	assert.Greater(t, let, whole*3/4, "and not half of it, as even shares alone would")
+	limitTotal := int(line.RequestsPerSecond) * (seconds + 1)
+	assert.LessOrEqual(t, admitted, limitTotal, "at most the limit and one second's burst")
+	assert.Greater(t, admitted, limitTotal*3/4, "even shares alone would admit half")
 }
 
-func TestALeavingSlotAdmitsNothing(t *testing.T) {
+func TestLeavingSlotAdmitsNothing(t *testing.T) {
 	s, effect := admit(funded(1000), "1", 100)
 	_, busy := s.Handle(holder.Leave{})
 	assert.IsType(t, holder.Missing{}, busy, "not while a reservation is open")
@@ -251,14 +251,14 @@
 	assert.Equal(t, problem.NoHolder, effect.(holder.Refused).Problem.Reason)
 }
 
-func TestATakenBackBillCostsNothing(t *testing.T) {
+func TestVoidedBillCostsNothing(t *testing.T) {
 	cases := []struct {
 		name     string
 		durable  bool
-		wantLine int64 // tokens of the line that is still to be written
+		wantBill int64 // tokens of the bill that is still to be written
 	}{
-		{"before it is durable no line is written", false, 0},
-		{"after that a line takes it back", true, -100},
+		{"not durable: no bill is written", false, 0},
+		{"durable: a negative bill reverses it", true, -100},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -269,24 +269,24 @@
 			ask.Claimed, ask.Unreachable = true, []ident.Zone{"b"}
 			s, _ = s.Handle(ask)
 			s, _ = s.Handle(holder.Settle{At: start, Request: r.Request, Usage: holder.Usage{Prompt: 10, Output: 90}})
-			require.Len(t, s.Doubtful(), 1)
+			require.Len(t, s.Unverified(), 1)
 			if c.durable {
 				s, _ = s.Handle(holder.Durable{Requests: []ident.Request{r.Request}})
 			}
 			s, _ = s.Handle(holder.Void{Key: r.Key})
-			s, again := s.Handle(holder.Void{Key: r.Key})
-			assert.Equal(t, holder.None{}, again, "it is taken back once")
+			s, repeated := s.Handle(holder.Void{Key: r.Key})
+			assert.Equal(t, holder.None{}, repeated, "a bill is voided once")
 			assert.Equal(t, int64(1000), s.Spendable(budget))
-			assert.Empty(t, s.Doubtful())
-			var line int64
-			for _, left := range s.Records() {
-				if left.Billable() {
-					line += left.Bill().Tokens
+			assert.Empty(t, s.Unverified())
+			var billed int64
+			for _, remaining := range s.Records() {
+				if remaining.Billable() {
+					billed += remaining.Bill().Tokens
 				}
 			}
-			assert.Equal(t, c.wantLine, line)
+			assert.Equal(t, c.wantBill, billed)
 			s, _ = s.Handle(holder.Durable{Requests: []ident.Request{r.Request}})
-			assert.Zero(t, s.Post(0, nil, holder.Credit{}, 1, start).Lines[0].Settled, "the ledger's counter falls with it")
+			assert.Zero(t, s.Post(0, nil, holder.Credit{}, 1, start).Lines[0].Settled, "the posted counter falls as well")
 		})
 	}
 }
--- a/fleet/holder/loan.go
+++ b/fleet/holder/loan.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// LoanTime is how long a part of a limit is lent.
-const LoanTime = 5 * time.Second
+// LoanDuration is how long a share of a limit is lent.
+const LoanDuration = 5 * time.Second
 
 // loanMargin is how much longer the lender counts a loan than the borrower, so
-// that both never use the part at once.
+// that they never use the share at the same time.
 const loanMargin = time.Second
 
-// loan is a part of a limit that was borrowed (over 0) or lent (under 0).
+// loan is a share of a limit that was borrowed (positive) or lent (negative).
 type loan struct {
-	part  float64
+	share float64
 	until time.Time
 }
 
-// shareOf is what this holder may use of a limit now: the zone's even share with
-// the loans that run. A zone that is cut off keeps its even share.
+// shareOf returns the share of a limit that this holder may use now: its even share
+// plus the current loans. An unreachable zone keeps its even share.
 func (s State) shareOf(name string, even float64, at time.Time) float64 {
 	loans, _ := s.loans.Get(name)
 	for _, l := range loans {
 		if at.Before(l.until) {
-			even += l.part
+			even += l.share
 		}
 	}
 	return max(0, even)
 }
 
-// withLoan adds a loan and forgets those that have run out.
+// withLoan adds a loan and removes the expired ones.
 func (s State) withLoan(name string, l loan, at time.Time) State {
 	old, _ := s.loans.Get(name)
 	loans := []loan{l}
@@ -40,19 +40,19 @@
 	return s
 }
 
-// lend gives most of what goes unused of a limit here to a zone that is short.
+// lend lends most of the unused share of a limit to a zone that needs more.
 func (s State) lend(m Lend) (State, Effect) {
 	usage, _ := s.limits.Get(m.Line.Name)
-	usage, part := usage.Lent(m.Line, s.shareOf(m.Line.Name, m.Share.of(m.Line), m.At), m.At)
-	if part == 0 {
+	usage, share := usage.Lent(m.Line, s.shareOf(m.Line.Name, m.Share.of(m.Line), m.At), m.At)
+	if share == 0 {
 		return s, Lent{}
 	}
 	s.limits = s.limits.Set(m.Line.Name, usage)
-	return s.withLoan(m.Line.Name, loan{part: -part, until: m.At.Add(LoanTime + loanMargin)}, m.At), Lent{Part: part}
+	return s.withLoan(m.Line.Name, loan{share: -share, until: m.At.Add(LoanDuration + loanMargin)}, m.At), Lent{Share: share}
 }
 
 func (s State) borrowed(m Borrowed) State {
 	usage, _ := s.limits.Get(m.Line.Name)
-	s.limits = s.limits.Set(m.Line.Name, usage.WithBurst(m.Line, m.Part))
-	return s.withLoan(m.Line.Name, loan{part: m.Part, until: m.Until}, m.At)
+	s.limits = s.limits.Set(m.Line.Name, usage.WithBurst(m.Line, m.Share))
+	return s.withLoan(m.Line.Name, loan{share: m.Share, until: m.Until}, m.At)
 }
--- a/fleet/holder/message.go
+++ b/fleet/holder/message.go
@@ -10,20 +10,20 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// BudgetLine is a budget that may pay for a request, best first.
+// BudgetLine is a budget that may pay for a request. Lists of them are in order of preference.
 type BudgetLine struct {
 	Name    ident.Budget  `json:"name"`
 	Limit   int64         `json:"limit"`
 	Version table.Version `json:"version"`
 }
 
-// Message is something that happened to a holder.
+// Message is an event or a request that State.Handle applies to a holder.
 type Message interface{ message() }
 
-// Shares are the even parts of the limits that fall to this holder, 0 to 1.
+// Shares are this holder's even shares of the limits, 0 to 1.
 type Shares struct {
-	Zone float64 // of a customer's limit: one holder in each zone
-	Node float64 // of a common limit: every node
+	Zone float64 // of a customer's limit, which one holder in each zone uses
+	Node float64 // of a common limit, which every node uses
 }
 
 func (s Shares) of(l limit.Line) float64 {
@@ -33,7 +33,7 @@
 	return s.Zone
 }
 
-// Admit asks to let a request in.
+// Admit asks to admit a request.
 type Admit struct {
 	At      time.Time
 	Record  Record // with Bound, Entry and the first Attempt filled in
@@ -43,18 +43,18 @@
 	// Weight is the operator's weight of this customer's use of the service; it
 	// decides who gets a budget's last tokens.
 	Weight int64
-	// Try is the caller's count of its tries; 0 where it gave none.
-	Try int
-	// Claimed is set once the other zones have been asked for the key.
+	// CallerAttempt is the caller's own attempt number, or 0 if it sent none.
+	CallerAttempt int
+	// Claimed is set once the other zones were asked for the key.
 	Claimed bool
-	// Unreachable names the zones that could not be asked.
+	// Unreachable lists the zones that could not be asked for the key.
 	Unreachable []ident.Zone
 }
 
-// Claim is another holder's question whether a key is known here.
+// Claim asks on behalf of another holder whether a key is known here.
 type Claim struct {
 	Record Record
-	// Store asks to keep a copy, as the runner-up does.
+	// Store asks to keep a copy. It is set for the nodes that rank next for the slot.
 	Store bool
 	At    time.Time
 }
@@ -63,19 +63,19 @@
 type Noted struct {
 	Request ident.Request
 	Attempt Attempt
-	// Extra is how many tokens must be reserved besides, since an earlier attempt
+	// Extra is how many more tokens must be reserved, since an earlier attempt
 	// cost some or may have.
 	Extra int64
 }
 
-// Await ends a request for its entry while the cost of some attempts is not known.
+// Await ends a request for its entry VM while the cost of some attempts is not known.
 type Await struct {
 	Request  ident.Request
-	Usage    Usage // known so far
+	Usage    Usage // as far as known
 	Attempts []Attempt
 }
 
-// Settle ends a request at a cost.
+// Settle ends a request and charges its cost.
 type Settle struct {
 	At      time.Time
 	Request ident.Request
@@ -86,31 +86,31 @@
 // Release ends a request that did not run.
 type Release struct{ Request ident.Request }
 
-// Lend asks for the part of a limit that goes unused here.
+// Lend asks for the unused share of a limit.
 type Lend struct {
 	At    time.Time
 	Line  limit.Line
 	Share Shares
 }
 
-// Borrowed is a part of a limit that other zones lent until a time.
+// Borrowed is the share of a limit that other nodes lent, and when the loan expires.
 type Borrowed struct {
 	At    time.Time
 	Line  limit.Line
-	Part  float64
+	Share  float64
 	Until time.Time
 }
 
-// Asked notes that a zone has been asked for a key after all.
+// Asked records that a zone which was unreachable at first has now been asked for a key.
 type Asked struct {
 	Key  KeyID
 	Zone ident.Zone
 }
 
-// Void takes the bill of a request back; the same one ran earlier elsewhere.
+// Void reverses the bill of a request, because the same request ran earlier in another zone.
 type Void struct{ Key KeyID }
 
-// Forget drops the copy of a key whose request did not run.
+// Forget removes the copy of a key whose request did not run.
 type Forget struct {
 	Key     KeyID
 	Request ident.Request
@@ -123,13 +123,13 @@
 	EntryURL string
 }
 
-// Witnessed notes which other VM knows a record.
+// Witnessed records which other VM keeps a copy of a record.
 type Witnessed struct {
 	Request ident.Request
 	By      ident.Incarnation
 }
 
-// Opened registers the budgets of a slot, so that they are held before demand comes.
+// Opened opens accounts for the budgets of a slot, so that tokens are held before there is demand.
 type Opened struct {
 	At      time.Time
 	Slot    ident.Slot
@@ -142,7 +142,7 @@
 	Slot ledger.Slot
 }
 
-// Durable says that the bills of requests lie in the platform.
+// Durable reports that the bills of the requests are stored in the platform.
 type Durable struct{ Requests []ident.Request }
 
 // Surrender asks for tokens of a budget that another holder lacks.
@@ -152,23 +152,23 @@
 	Need   int64
 }
 
-// Renew starts a new incarnation after the old one's accounts were closed.
+// Renew starts a new incarnation after the accounts of the old one were closed.
 type Renew struct{ Incarnation ident.Incarnation }
 
-// Expire drops kept answers and keys that are older than the retention.
+// Expire removes stored answers and keys that are older than the retention time.
 type Expire struct{ Before time.Time }
 
-// Leave stops admitting in a slot that the node no longer holds; it is
-// answered with Missing while reservations are open.
+// Leave stops admitting in a slot that the node no longer holds. The effect is
+// Missing while reservations are open.
 type Leave struct{ Slot ident.Slot }
 
-// Deny forgets a request that was refused after its key was registered.
+// Deny removes a request that was refused after its key was registered.
 type Deny struct{ Record Record }
 
-// Yield points a key to the request that another holder let in first.
+// Yield points a key to the request that another holder admitted first.
 type Yield struct{ Own, Other Record }
 
-// Left closes the books of a slot that the node no longer holds.
+// Left removes the accounts of a slot that the node no longer holds.
 type Left struct{ Slot ident.Slot }
 
 func (Admit) message()     {}
@@ -195,25 +195,25 @@
 func (Yield) message()     {}
 func (Left) message()      {}
 
-// Effect is what a decision asks of the runtime or answers to the asker.
+// Effect is the result of a message: an answer to the sender or an action for the runtime.
 type Effect interface{ effect() }
 
-// None asks for nothing.
+// None requires no action.
 type None struct{}
 
-// Admitted lets a request in; its record must be known to a second VM first.
+// Admitted admits a request. A second VM must store the record before the request runs.
 type Admitted struct{ Record Record }
 
-// Existing points to the request that holds the key already.
+// Existing returns the request that already has the key.
 type Existing struct{ Record Record }
 
-// Refused turns a request away; it has not run.
+// Refused refuses a request, which has not run.
 type Refused struct{ Problem *problem.Problem }
 
-// MustClaim asks for the key in the other zones and at the runner-up.
+// MustClaim asks to claim the key in the other zones and at the nodes that rank next in this one.
 type MustClaim struct{ Record Record }
 
-// Short asks for tokens before the request can be admitted.
+// Short asks for more tokens, without which the request can't be admitted.
 type Short struct {
 	Slot   ident.Slot
 	Budget ident.Budget
@@ -223,13 +223,13 @@
 // Ended confirms the end of a request.
 type Ended struct{ Record Record }
 
-// Missing says that the holder does not know the request.
+// Missing reports that the holder does not know the request.
 type Missing struct{ Request ident.Request }
 
-// Lent is the part of a limit that was lent.
-type Lent struct{ Part float64 }
+// Lent is the share of a limit that was lent.
+type Lent struct{ Share float64 }
 
-// Surrendered says how many tokens are on their way back to the pool.
+// Surrendered returns how many tokens are being returned to the pool.
 type Surrendered struct{ Tokens int64 }
 
 func (None) effect()        {}
--- a/fleet/holder/settle.go
+++ b/fleet/holder/settle.go
@@ -31,7 +31,7 @@
 
 // settle ends a request once; a second settlement changes nothing.
 //
-// What an endpoint reports over the reserved worst case is not charged.
+// Usage that an endpoint reports above the reserved worst case is not charged.
 func (s State) settle(m Settle) (State, Effect) {
 	r, ok := s.Record(m.Request)
 	switch {
@@ -40,13 +40,14 @@
 	case r.Phase == Settled:
 		return s, Ended{Record: r}
 	}
-	usage := bounded(m.Usage, r)
-	s = s.freed(r, usage.Tokens())
+	usage := clampUsage(m.Usage, r)
+	s = s.withCost(r, usage.Tokens())
 	r = r.WithEnd(usage, m.Answer, m.At)
 	return s.withRecord(r), Ended{Record: r}
 }
 
-func bounded(u Usage, r Record) Usage {
+// clampUsage limits a reported usage to the tokens reserved for the request.
+func clampUsage(u Usage, r Record) Usage {
 	if r.Budget == "" {
 		return Usage{}
 	}
@@ -55,8 +56,8 @@
 	return u
 }
 
-// freed gives a reservation back and books the cost.
-func (s State) freed(r Record, cost int64) State {
+// withCost releases the request's reservation and charges its cost.
+func (s State) withCost(r Record, cost int64) State {
 	if a, ok := s.accounts.Get(r.Budget); ok && r.Budget != "" {
 		a.reserved -= r.Bound
 		a.settled += cost
@@ -70,7 +71,7 @@
 	return s
 }
 
-// release ends a request that did not run; its key is free again.
+// release ends a request that did not run and frees its key.
 func (s State) release(m Release) (State, Effect) {
 	r, ok := s.records.Get(m.Request)
 	if !ok {
@@ -79,7 +80,7 @@
 	if r.Phase != Open {
 		return s, Ended{Record: r}
 	}
-	s = s.freed(r, 0).dropped(r)
+	s = s.withCost(r, 0).withoutRequest(r)
 	r.Phase = Released
 	return s, Ended{Record: r}
 }
@@ -91,9 +92,9 @@
 	return s
 }
 
-// yield keeps a pointer to the request that holds the key in another place.
+// yield replaces the holder's own request by a copy of the one that has the key elsewhere.
 func (s State) yield(m Yield) State {
-	s = s.dropped(m.Own)
+	s = s.withoutRequest(m.Own)
 	other := m.Other
 	other.Elsewhere = true
 	s.keyed = s.keyed.Set(m.Own.Key, other)
@@ -119,7 +120,7 @@
 	return s
 }
 
-// durable drops the records whose bills lie in the platform; their keys are kept.
+// durable removes the records whose bills are stored in the platform; their keys are kept.
 func (s State) durable(m Durable) State {
 	for _, id := range m.Requests {
 		r, ok := s.records.Get(id)
@@ -135,16 +136,16 @@
 func (s State) expired(m Expire) State {
 	for it := s.keyed.Iterator(); !it.Done(); {
 		key, r, _ := it.Next()
-		_, live := s.records.Get(r.Request)
-		if !live && r.At.Before(m.Before) && r.Phase != Pending {
+		_, recorded := s.records.Get(r.Request)
+		if !recorded && r.At.Before(m.Before) && r.Phase != Pending {
 			s.keyed = s.keyed.Delete(key)
 		}
 	}
 	return s
 }
 
-// leave stops a slot that has no open reservation; until the books are closed
-// in the ledger the slot admits nothing more.
+// leave stops admitting in a slot that has no open reservation, until its accounts
+// are closed in the ledger.
 func (s State) leave(m Leave) (State, Effect) {
 	if len(s.Unsettled(m.Slot)) > 0 {
 		return s, Missing{}
@@ -163,7 +164,7 @@
 	return s
 }
 
-// Unsettled lists the records of a slot that are open here.
+// Unsettled returns the open records of a slot.
 func (s State) Unsettled(slot ident.Slot) []Record {
 	var open []Record
 	for _, r := range s.Records() {
--- a/fleet/holder/state.go
+++ b/fleet/holder/state.go
@@ -12,71 +12,71 @@
 	"github.com/lynxshed/lynxshed/fleet/limit"
 )
 
-// account is the holder's own book of one budget.
+// account is the holder's own account of one budget, in tokens.
 type account struct {
 	slot     ident.Slot
 	line     BudgetLine
-	drawn    int64 // as seen in the ledger
-	returned int64 // decided; the ledger follows
+	drawn    int64 // as read from the ledger
+	returned int64 // decided here; posted to the ledger later
 	settled  int64
-	durable  int64 // the part of settled whose bills lie in the platform
+	durable  int64 // the portion of settled whose bills are stored in the platform
 	reserved int64
-	leaving  bool // the books are being closed; nothing more is admitted
+	leaving  bool // the account is being closed; nothing more is admitted
 	demand   demand
 	heaviest heaviest
-	seen     ledger.Budget // the line as last seen
+	posted   ledger.Budget // the ledger's entry as last read or written
 }
 
-// spendable is what a new reservation may take.
+// spendable returns the tokens that a new reservation may take.
 func (a account) spendable() int64 { return a.drawn - a.returned - a.settled - a.reserved }
 
-// The last tokens of a budget are kept for the heaviest use seen lately.
+// The last tokens of a budget are kept free for the requests with the greatest recent weight.
 const (
-	lastPart       = 0.05 // of the limit
-	heaviestMemory = time.Minute
+	reserveShare   = 0.05        // of the limit
+	heaviestWindow = time.Minute // how long a weight counts as recent
 )
 
-// heaviest is the greatest weight of late requests.
+// heaviest is the greatest weight of recent requests.
 type heaviest struct {
 	weight int64
 	at     time.Time
 }
 
 func (h heaviest) with(weight int64, at time.Time) heaviest {
-	if weight >= h.weight || at.Sub(h.at) > heaviestMemory {
+	if weight >= h.weight || at.Sub(h.at) > heaviestWindow {
 		return heaviest{weight: weight, at: at}
 	}
 	return h
 }
 
-// kept is how many free tokens a request of a weight must leave here for heavier ones.
-func (a account) kept(weight int64) int64 {
+// headroom returns how many free tokens a request of this weight must leave for heavier ones.
+func (a account) headroom(weight int64) int64 {
 	if weight >= a.heaviest.weight || weight <= 0 {
 		return 0
 	}
-	part := 1 - float64(weight)/float64(a.heaviest.weight)
-	return int64(part * lastPart * float64(a.line.Limit) / float64(max(1, len(a.seen.Accounts))))
+	share := 1 - float64(weight)/float64(a.heaviest.weight)
+	return int64(share * reserveShare * float64(a.line.Limit) / float64(max(1, len(a.posted.Accounts))))
 }
 
-// demandMemory is how long past demand counts. It is long, since what is placed
-// must last through a cut; short moves are met by calling tokens back.
-const demandMemory = 30 * time.Minute
+// demandDecay is the time constant with which past demand decays. It is long because placed tokens
+// must last through a network partition; short shifts of demand are met by recalling tokens.
+const demandDecay = 30 * time.Minute
 
-// demand is the smoothed rate of asked-for tokens and the size of a typical reservation.
+// demand is the smoothed rate of requested tokens and the size of a typical reservation.
 type demand struct {
 	since time.Time
 	at    time.Time
 	sum   float64 // tokens, decaying
-	lump  float64
+	size  float64 // of a typical reservation, in tokens
 }
 
 func (d demand) with(tokens int64, at time.Time) demand {
 	d = d.decayed(at)
 	d.sum += float64(tokens)
-	if d.lump == 0 {
-		d.lump = float64(tokens)
+	if d.size == 0 {
+		d.size = float64(tokens)
 	}
-	d.lump += (float64(tokens) - d.lump) / 16
+	d.size += (float64(tokens) - d.size) / 16
 	return d
 }
 
@@ -85,23 +85,24 @@
 		d.since = at
 	}
 	if passed := at.Sub(d.at); passed > 0 && !d.at.IsZero() {
-		d.sum *= math.Exp(-passed.Seconds() / demandMemory.Seconds())
+		d.sum *= math.Exp(-passed.Seconds() / demandDecay.Seconds())
 	}
 	d.at = at
 	return d
 }
 
-// shortestAge keeps the first requests of a new holder from counting as a flood.
-const shortestAge = 10 * time.Second
+// minDemandAge is the least age used to compute a rate, so that the first requests
+// of a new holder do not count as a burst of demand.
+const minDemandAge = 10 * time.Second
 
-// perSecond is the rate over the time that is remembered.
+// perSecond returns the demand in tokens per second, corrected for a history shorter than the decay time.
 func (d demand) perSecond() float64 {
-	age := max(shortestAge, d.at.Sub(d.since)).Seconds()
-	memory := demandMemory.Seconds()
-	return d.sum / (memory * (1 - math.Exp(-age/memory)))
+	age := max(minDemandAge, d.at.Sub(d.since)).Seconds()
+	decay := demandDecay.Seconds()
+	return d.sum / (decay * (1 - math.Exp(-age/decay)))
 }
 
-// State is what a node knows as a holder; it is not changed in place.
+// State is the state of a node as a holder. It is immutable.
 type State struct {
 	self     ident.Incarnation
 	zone     ident.Zone
@@ -112,7 +113,7 @@
 	loans    *immutable.Map[string, []loan] // by limit
 }
 
-// New is a holder without books.
+// New returns a holder without accounts.
 func New(self ident.Incarnation, zone ident.Zone) State {
 	return State{
 		self:     self,
@@ -125,10 +126,10 @@
 	}
 }
 
-// Self is the holder's incarnation.
+// Self returns the holder's incarnation.
 func (s State) Self() ident.Incarnation { return s.self }
 
-// Handle takes a message and returns the next state and what to do.
+// Handle applies a message and returns the next state and the effect to carry out.
 func (s State) Handle(m Message) (State, Effect) {
 	switch m := m.(type) {
 	case Admit:
@@ -172,7 +173,7 @@
 	case Leave:
 		return s.leave(m)
 	case Deny:
-		return s.dropped(m.Record), None{}
+		return s.withoutRequest(m.Record), None{}
 	case Yield:
 		return s.yield(m), None{}
 	case Left:
@@ -186,7 +187,7 @@
 	return s
 }
 
-// withRecord puts a record in, by its key as well.
+// withRecord adds or replaces a record, under its key as well.
 func (s State) withRecord(r Record) State {
 	s.records = s.records.Set(r.Request, r)
 	if r.Key != "" {
@@ -195,13 +196,13 @@
 	return s
 }
 
-// withKeys keeps the keys of an earlier incarnation, so that a retry is still known.
+// withKeys keeps the keys of an earlier incarnation, so that retries are still recognized.
 func (s State) withKeys(old State) State {
 	s.keyed = old.keyed
 	return s
 }
 
-// Record finds a request that is open, not durable yet, or kept by its key.
+// Record returns a request that is open, not durable yet, or kept under its key.
 func (s State) Record(id ident.Request) (Record, bool) {
 	if r, ok := s.records.Get(id); ok {
 		return r, true
@@ -214,7 +215,7 @@
 	return Record{}, false
 }
 
-// Records lists the records that are open or not durable, by request.
+// Records returns the records that are open or not durable, sorted by request.
 func (s State) Records() []Record {
 	records := make([]Record, 0, s.records.Len())
 	for it := s.records.Iterator(); !it.Done(); {
@@ -230,7 +231,7 @@
 	return records
 }
 
-// Keyed lists the records that are kept by key, for a hand-over.
+// Keyed returns the records that are kept by key, for a handover.
 func (s State) Keyed() []Record {
 	records := make([]Record, 0, s.keyed.Len())
 	for it := s.keyed.Iterator(); !it.Done(); {
@@ -240,7 +241,7 @@
 	return records
 }
 
-// Slots lists the slots in which the holder has accounts.
+// Slots returns the slots in which the holder has accounts.
 func (s State) Slots() []ident.Slot {
 	var slots []ident.Slot
 	for it := s.accounts.Iterator(); !it.Done(); {
--- a/fleet/holder/sync.go
+++ b/fleet/holder/sync.go
@@ -25,19 +25,19 @@
 	return accounts
 }
 
-// Credit is tokens on their way to another holder that lacks them.
+// Credit is an amount of tokens being transferred to another holder that needs them.
 type Credit struct {
 	Budget ident.Budget
 	To     ident.Incarnation
 	Tokens int64
 }
 
-// Wants is how many tokens of each budget should be free here.
+// Wants maps each budget to the number of tokens that should be free here.
 type Wants map[ident.Budget]int64
 
-// Post is what the holder writes to the ledger of a slot next, so that the
-// wanted tokens are free here and the holding moves towards the plan. Segment
-// is the last segment of bills that lies in the platform.
+// Post returns the holder's next update of a slot's ledger. It draws the wanted tokens
+// and moves the holding towards its planned share. segment is the last segment of
+// bills that is stored in the platform.
 func (s State) Post(slot ident.Slot, wants Wants, credit Credit, segment int64, at time.Time) ledger.Post {
 	p := ledger.Post{Holder: s.self, Zone: s.zone, Segment: segment}
 	for _, a := range s.accountsOf(slot) {
@@ -51,7 +51,7 @@
 			Settled:  a.durable,
 			Reserved: a.reserved + a.settled - a.durable,
 			Rate:     d.perSecond(),
-			Lump:     int64(d.lump),
+			Lump:     int64(d.size),
 			Need:     max(0, wants[a.line.Name]-a.spendable()),
 			Place:    true,
 		}
@@ -63,10 +63,10 @@
 	return p
 }
 
-// held is what the holder counts as its own.
+// held returns the tokens that the holder counts as its own.
 func (a account) held() int64 { return a.drawn - a.returned }
 
-// opened makes the books of a slot's budgets.
+// opened opens accounts for a slot's budgets.
 func (s State) opened(m Opened) State {
 	for _, line := range m.Budgets {
 		a := s.accountOf(Record{Slot: m.Slot}, line)
@@ -76,8 +76,8 @@
 	return s
 }
 
-// synced takes the ledger as the truth about what was drawn, and decides what
-// to return: what a lowered limit or the plan does not leave here.
+// synced takes the drawn tokens from the ledger, and decides how many to return
+// because of a lowered limit or the planned share.
 func (s State) synced(m Synced) State {
 	for _, b := range m.Slot.Budgets {
 		a, ok := s.accounts.Get(b.Name)
@@ -86,14 +86,14 @@
 		}
 		own, _ := b.Account(s.self)
 		a.drawn = max(a.drawn, own.Drawn)
-		a.seen = b
+		a.posted = b
 		a.returned += b.Surplus(s.self, a.held(), a.spendable())
 		s = s.withAccount(a)
 	}
 	return s
 }
 
-// surrender returns tokens that another holder lacks, as far as they are free here.
+// surrender returns tokens that another holder needs, as far as they are free here.
 func (s State) surrender(m Surrender) (State, Effect) {
 	a, ok := s.accounts.Get(m.Budget)
 	if !ok || a.slot != m.Slot {
@@ -102,24 +102,24 @@
 	if a.leaving {
 		return s, Surrendered{}
 	}
-	give := max(0, min(m.Need, a.spendable()))
-	a.returned += give
-	return s.withAccount(a), Surrendered{Tokens: give}
+	surrendered := max(0, min(m.Need, a.spendable()))
+	a.returned += surrendered
+	return s.withAccount(a), Surrendered{Tokens: surrendered}
 }
 
-// Spendable is how many tokens of a budget are free here.
+// Spendable returns how many tokens of a budget are free here.
 func (s State) Spendable(name ident.Budget) int64 {
 	a, _ := s.accounts.Get(name)
 	return a.spendable()
 }
 
-// Seen is a budget's line of the ledger as last seen by this holder.
-func (s State) Seen(name ident.Budget) (ledger.Budget, bool) {
+// LedgerBudget returns a budget's entry in the ledger as this holder last read or wrote it.
+func (s State) LedgerBudget(name ident.Budget) (ledger.Budget, bool) {
 	a, ok := s.accounts.Get(name)
-	return a.seen, ok
+	return a.posted, ok
 }
 
-// Holding is what this holder has of a budget, in tokens.
+// Holding is this holder's state of a budget, in tokens.
 type Holding struct {
 	Budget   ident.Budget `json:"budget"`
 	Slot     ident.Slot   `json:"slot"`
@@ -128,7 +128,7 @@
 	Reserved int64        `json:"reserved"`
 }
 
-// Holdings lists what this holder has of every budget.
+// Holdings returns the holder's state of every budget, sorted by name.
 func (s State) Holdings() []Holding {
 	var holdings []Holding
 	for it := s.accounts.Iterator(); !it.Done(); {
--- a/fleet/holder/void.go
+++ b/fleet/holder/void.go
@@ -8,15 +8,15 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// Doubtful lists the settled records whose key some zone has not been asked for.
-func (s State) Doubtful() []Record {
+// Unverified returns the settled records whose key has not yet been checked in every zone.
+func (s State) Unverified() []Record {
 	return lo.Filter(s.Keyed(), func(r Record, _ int) bool {
 		return len(r.Unasked) > 0 && r.Phase == Settled && !r.Elsewhere && !r.Voided
 	})
 }
 
-// Before orders two runs of the same request that zones cut off from each other
-// let in: the later is taken back, and of two at the same time the higher zone's.
+// Before orders two runs of the same request that partitioned zones both admitted:
+// the later is voided, and of two at the same time the higher zone's.
 func (r Record) Before(other Record) bool {
 	if !r.At.Equal(other.At) {
 		return r.At.Before(other.At)
@@ -38,21 +38,21 @@
 	return s
 }
 
-// void takes a bill back. One that is not durable yet just costs nothing; for a
-// durable one a line with negative tokens is written with the next segment.
+// void reverses a bill. The cost of one that is not durable yet becomes zero; for a
+// durable one, a bill with negative tokens is written with the next segment.
 func (s State) void(m Void) (State, Effect) {
 	r, ok := s.keyed.Get(m.Key)
 	if !ok || r.Phase != Settled || r.Voided || r.Elsewhere {
 		return s, None{}
 	}
-	a, held := s.accounts.Get(r.Budget)
-	if !held {
+	a, found := s.accounts.Get(r.Budget)
+	if !found {
 		return s, Missing{Request: r.Request}
 	}
 	a.settled -= r.Usage.Tokens()
 	s = s.withAccount(a)
 	r.Voided, r.Unasked = true, nil
-	if _, fresh := s.records.Get(r.Request); fresh {
+	if _, undurable := s.records.Get(r.Request); undurable {
 		r.Usage = Usage{}
 	}
 	return s.withRecord(r), Ended{Record: r}
--- a/fleet/keeper/admit.go
+++ b/fleet/keeper/admit.go
@@ -26,7 +26,7 @@
 
 // Admit lets a request in, points to the one that holds its key, or refuses it.
 func (k *Keeper) Admit(ctx context.Context, a peer.Admission) peer.Verdict {
-	m := holder.Admit{At: k.Clock.Now(), Record: a.Record, Budgets: a.Budgets, Limits: a.Limits, Share: k.share(), Weight: a.Weight, Try: a.Try}
+	m := holder.Admit{At: k.Clock.Now(), Record: a.Record, Budgets: a.Budgets, Limits: a.Limits, Share: k.share(), Weight: a.Weight, CallerAttempt: a.Try}
 	verdict := k.admit(ctx, m)
 	k.explain(a.Record, verdict)
 	return verdict
--- a/fleet/keeper/borrow.go
+++ b/fleet/keeper/borrow.go
@@ -49,7 +49,7 @@
 	if part <= 0 {
 		return false
 	}
-	k.handle(holder.Borrowed{At: k.Clock.Now(), Line: line, Part: part, Until: asked.Add(holder.LoanTime)})
+	k.handle(holder.Borrowed{At: k.Clock.Now(), Line: line, Share: part, Until: asked.Add(holder.LoanDuration)})
 	return true
 }
 
@@ -79,5 +79,5 @@
 // Lend gives another zone the unused part of a limit.
 func (k *Keeper) Lend(in peer.Lending) peer.Lent {
 	lent, _ := k.handle(holder.Lend{At: k.Clock.Now(), Line: in.Line, Share: k.share()}).(holder.Lent)
-	return peer.Lent{Part: lent.Part}
+	return peer.Lent{Part: lent.Share}
 }
--- a/fleet/keeper/reconcile.go
+++ b/fleet/keeper/reconcile.go
@@ -15,7 +15,7 @@
 // Where the same request has run there too, the later one's bill is taken back,
 // each by its own holder.
 func (k *Keeper) reconcile(ctx context.Context) {
-	for _, r := range k.Holding().Doubtful() {
+	for _, r := range k.Holding().Unverified() {
 		for _, zone := range r.Unasked {
 			if !k.askLate(ctx, r, zone) {
 				break
--- a/fleet/keeper/sync.go
+++ b/fleet/keeper/sync.go
@@ -183,7 +183,7 @@
 
 // donors are the other holders of a budget, the one with the most unspent first.
 func (k *Keeper) donors(s holder.Short) []membership.Member {
-	seen, _ := k.Holding().Seen(s.Budget)
+	seen, _ := k.Holding().LedgerBudget(s.Budget)
 	accounts := lo.Filter(seen.Accounts, func(a ledger.Account, _ int) bool {
 		return a.Holder != k.Incarnation() && !a.Frozen && a.Unspent()-a.Reserved > 0
 	})
