--- a/fleet/holder/message.go
+++ b/fleet/holder/message.go
@@ -97,7 +97,7 @@
 type Borrowed struct {
 	At    time.Time
 	Line  limit.Line
-	Share  float64
+	Share float64
 	Until time.Time
 }
 
--- a/fleet/ledger/ledger.go
+++ b/fleet/ledger/ledger.go
@@ -1,10 +1,11 @@
-// Package ledger holds the money of one slot: for each budget the limit, and for
-// each holder incarnation what it has drawn, returned and settled, in tokens.
+// Package ledger records the budgets of one slot: the limit of each, and the tokens
+// that each holder incarnation has drawn, returned and settled.
 //
-// Counters only grow, so that an update whose answer was lost is resolved by
-// reading again. The invariant after every operation is
+// Drawn and returned tokens are counters that only grow, so that an update whose
+// answer was lost is resolved by reading the ledger again. The invariant after every
+// operation is
 //
-//	spent by closed accounts + sum of what open accounts hold <= limit.
+//	spent by closed accounts + held by open accounts <= limit.
 package ledger
 
 import (
@@ -18,16 +19,16 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// ErrClosed means that a holder's account was closed: its incarnation is over.
+// ErrClosed means that a holder's account was closed because its incarnation has ended.
 var ErrClosed = errors.New("the holder's account is closed")
 
-// Key is the platform's key of a slot's ledger.
+// Key returns the platform key of a slot's ledger.
 func Key(s ident.Slot) string { return "ledger/" + strconv.Itoa(int(s)) }
 
-// Prefix is the platform's prefix of every ledger.
+// Prefix is the prefix of the platform keys of all ledgers.
 const Prefix = "ledger/"
 
-// Account is what one holder incarnation has of a budget.
+// Account is the account of one holder incarnation in a budget. Amounts are in tokens.
 type Account struct {
 	Holder   ident.Incarnation `json:"holder"`
 	Zone     ident.Zone        `json:"zone"`
@@ -35,46 +36,46 @@
 	Returned int64             `json:"returned"`
 	Settled  int64             `json:"settled"`
 	Reserved int64             `json:"reserved"` // as of the last update
-	Rate     float64           `json:"rate"`     // demand, tokens a second
-	Lump     int64             `json:"lump"`     // a typical reservation
-	Segment  int64             `json:"segment"`  // the last segment of bills that Settled covers
-	// Frozen marks a dead holder's account that waits for open requests to end.
+	Rate     float64           `json:"rate"`     // demand, tokens per second
+	Lump     int64             `json:"lump"`     // size of a typical reservation
+	Segment  int64             `json:"segment"`  // last segment of bills that Settled covers
+	// Frozen marks the account of a dead holder whose open requests have not all ended.
 	Frozen bool `json:"frozen,omitempty"`
 }
 
-// Held is what the account may spend in all: drawn less returned.
+// Held returns the tokens that the account may spend in total: drawn minus returned.
 func (a Account) Held() int64 { return a.Drawn - a.Returned }
 
-// Unspent is what the account holds and has not settled.
+// Unspent returns the held tokens that are not settled.
 func (a Account) Unspent() int64 { return a.Held() - a.Settled }
 
-// Target is a lower limit that is waiting for holdings to be called back.
+// Target is a lower limit that takes effect once enough holdings have been recalled.
 type Target struct {
 	Limit   int64         `json:"limit"`
 	Version table.Version `json:"version"`
 }
 
-// Budget is one budget's line of the ledger.
+// Budget is one budget's entry in the ledger.
 type Budget struct {
 	Name     ident.Budget  `json:"name"`
 	Limit    int64         `json:"limit"`
-	Version  table.Version `json:"version"` // of the row that the limit came from
+	Version  table.Version `json:"version"` // of the table row that sets the limit
 	Target   *Target       `json:"target,omitempty"`
-	Closed   int64         `json:"closed"` // spent by accounts that are closed
+	Closed   int64         `json:"closed"` // tokens spent by closed accounts
 	Accounts []Account     `json:"accounts,omitempty"`
 }
 
-// Committed is what is spent by closed accounts or held by open ones.
+// Committed returns the tokens spent by closed accounts or held by open ones.
 func (b Budget) Committed() int64 {
 	return b.Closed + lo.SumBy(b.Accounts, Account.Held)
 }
 
-// Spent is what has been settled.
+// Spent returns the settled tokens of all accounts, open and closed.
 func (b Budget) Spent() int64 {
 	return b.Closed + lo.SumBy(b.Accounts, func(a Account) int64 { return a.Settled })
 }
 
-// Ceiling is the limit that binds: the target where one is set and lower.
+// Ceiling returns the effective limit: the target if one is set and lower.
 func (b Budget) Ceiling() int64 {
 	if b.Target != nil {
 		return min(b.Limit, b.Target.Limit)
@@ -82,15 +83,15 @@
 	return b.Limit
 }
 
-// Pool is what no account holds; it is negative while holdings are called back.
+// Pool returns the tokens that no account holds. It is negative while holdings are being recalled.
 func (b Budget) Pool() int64 { return b.Ceiling() - b.Committed() }
 
-// Account finds a holder's account.
+// Account returns a holder's account.
 func (b Budget) Account(h ident.Incarnation) (Account, bool) {
 	return lo.Find(b.Accounts, func(a Account) bool { return a.Holder == h })
 }
 
-// WithAccount is the budget with a holder's account put in or replaced.
+// WithAccount returns the budget with a holder's account added or replaced.
 func (b Budget) WithAccount(a Account) Budget {
 	accounts := lo.Filter(b.Accounts, func(other Account, _ int) bool { return other.Holder != a.Holder })
 	b.Accounts = append(accounts, a)
@@ -105,7 +106,7 @@
 	return b
 }
 
-// settleTarget puts a lower limit in force once enough holdings are back.
+// settleTarget applies the target limit once enough holdings have been returned.
 func (b Budget) settleTarget() Budget {
 	if b.Target != nil && b.Committed() <= b.Target.Limit {
 		b.Limit, b.Version, b.Target = b.Target.Limit, b.Target.Version, nil
@@ -113,7 +114,8 @@
 	return b
 }
 
-// WithRow takes a newer limit from the table; a lower one waits for holdings to come back.
+// WithRow applies a newer limit from the table. A limit below the committed tokens
+// becomes the target until enough holdings have been returned.
 func (b Budget) WithRow(limit int64, version table.Version) Budget {
 	if version <= b.Version || (b.Target != nil && version <= b.Target.Version) {
 		return b
@@ -126,7 +128,7 @@
 	return b
 }
 
-// WithoutTarget gives up lowering the limit to a version's.
+// WithoutTarget cancels the target that a version of the row has set.
 func (b Budget) WithoutTarget(version table.Version) Budget {
 	if b.Target != nil && b.Target.Version == version {
 		b.Target = nil
@@ -134,18 +136,18 @@
 	return b
 }
 
-// Slot is the ledger of one slot; it is not changed in place.
+// Slot is the ledger of one slot. It is immutable.
 type Slot struct {
 	Slot    ident.Slot `json:"slot"`
 	Budgets []Budget   `json:"budgets"`
 }
 
-// Budget finds a budget's line.
+// Budget returns a budget's entry.
 func (s Slot) Budget(name ident.Budget) (Budget, bool) {
 	return lo.Find(s.Budgets, func(b Budget) bool { return b.Name == name })
 }
 
-// WithBudget is the slot with a budget's line put in or replaced.
+// WithBudget returns the slot with a budget's entry added or replaced.
 func (s Slot) WithBudget(b Budget) Slot {
 	budgets := slices.Clone(s.Budgets)
 	at, found := slices.BinarySearchFunc(budgets, b.Name, func(other Budget, name ident.Budget) int {
@@ -160,7 +162,7 @@
 	return s
 }
 
-// Holders lists the incarnations that have an open account in the slot.
+// Holders returns the incarnations that have an open account in the slot.
 func (s Slot) Holders() []ident.Incarnation {
 	holders := lo.FlatMap(s.Budgets, func(b Budget, _ int) []ident.Incarnation {
 		return lo.Map(b.Accounts, func(a Account, _ int) ident.Incarnation { return a.Holder })
--- a/fleet/ledger/ledger_test.go
+++ b/fleet/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 
 const budget = ident.Budget("b")
 
-// The property test runs the same interleavings every time; -rapid.seed tries others.
+// propertySeed makes the property test run the same interleavings every time; -rapid.seed runs others.
 const propertySeed = "20260101"
 
 func init() {
@@ -47,7 +47,7 @@
 	}{
 		{"no demand yet", 900, []float64{0, 0, 0}, 10, []int64{300, 300, 300}},
 		{"skewed demand keeps a floor", 1000, []float64{100, 0}, 10, []int64{900, 100}},
-		{"the last tokens go where they can be used", 100, []float64{30, 20, 10}, 60, []int64{100, 0, 0}},
+		{"the last tokens go to the holder with the highest demand", 100, []float64{30, 20, 10}, 60, []int64{100, 0, 0}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	b, _ = s.Budget(budget)
 	require.NotNil(t, b.Target)
 	assert.Equal(t, int64(1000), b.Limit)
-	assert.Negative(t, b.Pool(), "nothing is drawn while holdings are called back")
+	assert.Negative(t, b.Pool(), "nothing is drawn while holdings are recalled")
 
 	s = apply(t, s, post("b@1", ledger.Line{Limit: 1000, Version: 1, Need: 100}))
 	b, _ = s.Budget(budget)
@@ -85,7 +85,7 @@
 	assert.Equal(t, int64(500), b.Limit)
 }
 
-func TestClosedHolderIsToldSo(t *testing.T) {
+func TestClosedHolderIsRefused(t *testing.T) {
 	s := apply(t, ledger.Slot{}, post("a@1", ledger.Line{Limit: 1000, Version: 1, Need: 800}))
 	s, err := s.Close(ledger.Closure{Holder: "a@1", Settled: map[ident.Budget]int64{budget: 50}})
 	require.NoError(t, err)
@@ -96,20 +96,20 @@
 	assert.Equal(t, int64(950), b.Pool())
 }
 
-func TestCloseRefusesMoreThanWasHeld(t *testing.T) {
+func TestCloseRefusesMoreThanHeld(t *testing.T) {
 	s := apply(t, ledger.Slot{}, post("a@1", ledger.Line{Limit: 100, Version: 1, Need: 100}))
 	_, err := s.Close(ledger.Closure{Holder: "a@1", Open: map[ident.Budget]int64{budget: 101}})
 	assert.Error(t, err)
 }
 
-func TestCloseFreezesWhatIsOpen(t *testing.T) {
+func TestCloseFreezesOpenReservations(t *testing.T) {
 	s := apply(t, ledger.Slot{}, post("a@1", ledger.Line{Limit: 1000, Version: 1, Need: 800}))
 	s, err := s.Close(ledger.Closure{Holder: "a@1", Settled: map[ident.Budget]int64{budget: 50}, Open: map[ident.Budget]int64{budget: 30}})
 	require.NoError(t, err)
 	b, _ := s.Budget(budget)
 	assert.Equal(t, int64(80), b.Committed(), "only the open reservation stays committed")
 	_, err = s.Apply(post("a@1", ledger.Line{Limit: 1000, Version: 1, Drawn: 800, Settled: 60}))
-	assert.ErrorIs(t, err, ledger.ErrClosed, "a frozen account takes no posts")
+	assert.ErrorIs(t, err, ledger.ErrClosed, "a frozen account accepts no updates")
 
 	s, err = s.Close(ledger.Closure{Holder: "a@1", Settled: map[ident.Budget]int64{budget: 70}})
 	require.NoError(t, err)
@@ -118,10 +118,10 @@
 	assert.Empty(t, b.Accounts)
 }
 
-// modelHolder is a holder as the property test drives it: it spends only what it has seen drawn.
+// modelHolder is a holder in the property test. It spends only tokens that it has read as drawn.
 type modelHolder struct {
 	id       ident.Incarnation
-	drawn    int64 // seen
+	drawn    int64 // as last read
 	returned int64
 	settled  int64
 	reserved int64
@@ -130,15 +130,15 @@
 
 func (m *modelHolder) spendable() int64 { return m.drawn - m.returned - m.settled - m.reserved }
 
-// TestNoInterleavingOverspends runs random draws, returns, spends, lost answers,
-// deaths, closures, wakes and changes of the limit, and checks the invariant after each step.
+// A lost answer, or a holder that resumes after its account was closed, could count the same tokens
+// twice. The test interleaves these at random with draws, returns, settlements and changes of the limit.
 func TestNoInterleavingOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slot := ledger.Slot{}
 		limit, version := int64(1000), table.Version(1)
 		var spent, closedSpent int64
 		holders := []*modelHolder{{id: "a@1"}, {id: "b@1"}, {id: "c@1"}}
-		lives := 1
+		incarnations := 1
 		send := func(h *modelHolder, line ledger.Line, lost bool) {
 			line.Limit, line.Version, line.Drawn = limit, version, h.drawn
 			line.Returned, line.Settled, line.Reserved, line.Place = h.returned, h.settled, h.reserved, true
@@ -202,9 +202,9 @@
 				spent += cost
 				closing(0)
 				closedSpent += victim.settled
-				lives++
-				holders[i] = &modelHolder{id: ident.NewIncarnation(victim.id.Node(), fmt.Sprint(lives))}
-				send(victim, ledger.Line{Need: 50}, false) // it wakes and must be refused, or had nothing
+				incarnations++
+				holders[i] = &modelHolder{id: ident.NewIncarnation(victim.id.Node(), fmt.Sprint(incarnations))}
+				send(victim, ledger.Line{Need: 50}, false) // it resumes and must be refused, unless it had drawn nothing
 			},
 			"edit": func(t *rapid.T) {
 				limit = max(spent, rapid.Int64Range(200, 2000).Draw(t, "limit"))
@@ -220,7 +220,7 @@
 				for _, h := range holders {
 					usable += h.settled + h.reserved + max(0, h.spendable())
 				}
-				require.LessOrEqual(t, closedSpent+usable, b.Limit, "what can be spent never exceeds the limit")
+				require.LessOrEqual(t, closedSpent+usable, b.Limit, "the tokens that can be spent never exceed the limit")
 			},
 		})
 	})
--- a/fleet/ledger/placement.go
+++ b/fleet/ledger/placement.go
@@ -8,12 +8,12 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// idleShare is the part of the mean demand that a holder without demand counts for,
-// so that a zone that is cut off before its first request can serve some.
+// idleShare is the fraction of the mean demand that a holder without demand is credited with,
+// so that a zone which becomes unreachable before its first request can serve some.
 const idleShare = 0.25
 
-// returnSlack is how far a holding may exceed its planned share before the rest
-// is returned, as a part of the share. It keeps holdings from moving to and fro.
+// returnSlack is the fraction by which a holding may exceed its planned share before the
+// excess is returned. It keeps tokens from moving back and forth.
 const returnSlack = 0.05
 
 // share is a holder's claim on the tokens that are free.
@@ -23,11 +23,11 @@
 	lump   int64
 }
 
-// Desired is what a holder should hold: what it has settled and reserved, and a
-// share of the free tokens that evens out the time to exhaustion between holders.
+// Desired returns the tokens that a holder should hold: those it has settled and reserved,
+// and a share of the free tokens that equalizes the time to exhaustion between holders.
 //
-// Near the end, shares too small for a typical request go to the holders with
-// the most demand instead of lying idle.
+// Near exhaustion, shares too small for a typical request go to the holders with
+// the highest demand instead of staying unused.
 func (b Budget) Desired(h ident.Incarnation) int64 {
 	a, ok := b.Account(h)
 	if !ok {
@@ -38,8 +38,8 @@
 	return a.Settled + a.Reserved + shareOf(h, free, b.shares())
 }
 
-// Surplus is how much of what a holder counts as held it should return, at most
-// what it can spend freely. While a lowered limit waits, nothing is kept as slack.
+// Surplus returns how many of its held tokens a holder should return, at most its
+// spendable tokens. No slack is allowed while a lowered limit is pending.
 func (b Budget) Surplus(h ident.Incarnation, held, spendable int64) int64 {
 	a, _ := b.Account(h)
 	desired := b.Desired(h)
@@ -53,6 +53,7 @@
 	return max(0, min(held-desired, spendable))
 }
 
+// shares returns the claims of the holders that are not frozen, the largest weight first.
 func (b Budget) shares() []share {
 	total := lo.SumBy(b.Accounts, func(a Account) float64 { return a.Rate })
 	floor := 1.0
@@ -69,11 +70,12 @@
 	return shares
 }
 
-// shareOf drops the holders of least weight while their part would not cover a typical request.
+// shareOf returns a holder's share of the free tokens. It leaves out the holders with the least
+// weight while their share would not cover a typical request.
 func shareOf(h ident.Incarnation, free int64, shares []share) int64 {
 	for len(shares) > 1 {
 		last := shares[len(shares)-1]
-		if part(free, last, shares) >= last.lump {
+		if tokensOf(free, last, shares) >= last.lump {
 			break
 		}
 		shares = shares[:len(shares)-1]
@@ -82,10 +84,11 @@
 	if !ok {
 		return 0
 	}
-	return part(free, s, shares)
+	return tokensOf(free, s, shares)
 }
 
-func part(free int64, s share, shares []share) int64 {
+// tokensOf returns the free tokens in proportion to the weight of one share.
+func tokensOf(free int64, s share, shares []share) int64 {
 	total := lo.SumBy(shares, func(s share) float64 { return s.weight })
 	return int64(float64(free) * s.weight / total)
 }
--- a/fleet/ledger/placement_bench_test.go
+++ b/fleet/ledger/placement_bench_test.go
@@ -11,32 +11,32 @@
 	"github.com/lynxshed/lynxshed/fleet/ledger"
 )
 
-// The model: one budget, four zones with a holder each, one hour in steps of a
-// second. Every zone draws requests from a seeded demand; the zones are connected
-// or cut from the platform and each other for the whole hour.
+// The model has one budget and four zones with one holder each, and runs for one hour in
+// steps of a second. Requests come from a seeded demand. For the whole hour the zones are
+// either connected or partitioned from the platform and from each other.
 const (
-	modelZones    = 4
-	modelSeconds  = 3600
-	modelLimit    = int64(4_000_000)
-	modelBound    = int64(400)
-	modelCost     = int64(220)
-	modelWarm     = 3600 // seconds of connected demand before the hour
-	modelMemory   = 1800 // seconds over which demand is remembered
-	modelSyncStep = 2    // seconds between a holder's syncs
+	modelZones       = 4
+	modelSeconds     = 3600
+	modelLimit       = int64(4_000_000)
+	modelBound       = int64(400)
+	modelCost        = int64(220)
+	modelWarmup      = 3600 // seconds of connected demand before the measured hour
+	modelDemandDecay = 1800 // time constant of the demand estimate, seconds
+	modelSyncStep    = 2    // seconds between a holder's syncs
 )
 
-// policy is a way of placing a budget's tokens.
+// policy is a strategy for placing a budget's tokens.
 type policy string
 
 const (
-	planned    policy = "planned"     // this package's Desired, with call-backs
-	equalSplit policy = "equal split" // an even part for each zone, never moved
+	planned    policy = "planned"     // this package's Desired, with recalls
+	equalSplit policy = "equal split" // an even share for each zone, never moved
 	onDemand   policy = "on demand"   // small draws when a request is short
 )
 
 const smallDraw = 8 * modelBound
 
-// shape is how demand falls on the zones; it gives requests a second.
+// shape is a distribution of demand over the zones, in requests per second.
 type shape struct {
 	name string
 	rate func(zone, second int) float64
@@ -54,27 +54,27 @@
 }
 
 type modelRun struct {
-	policy  policy
-	cut     bool
-	slot    ledger.Slot
-	holders []*modelHolder
-	rates   []float64
-	random  *rand.Rand
-
-	asked, refused int
-	spent          int64
-	writes         int
+	policy      policy
+	partitioned bool
+	slot        ledger.Slot
+	holders     []*modelHolder
+	rates       []float64
+	random      *rand.Rand
+
+	requested, refused int
+	spent              int64
+	writes             int
 }
 
-// falseRefusals is the part of the requests, in percent, that were refused and
-// that one holder with the whole budget would have let in.
+// falseRefusals returns the percentage of requests that were refused although one
+// holder with the whole budget would have admitted them.
 func (r *modelRun) falseRefusals(limit int64) float64 {
 	payable := int((limit-modelBound)/modelCost) + 1
-	ideal := max(0, r.asked-payable)
-	return 100 * float64(max(0, r.refused-ideal)) / float64(max(1, r.asked))
+	ideal := max(0, r.requested-payable)
+	return 100 * float64(max(0, r.refused-ideal)) / float64(max(1, r.requested))
 }
 
-func newModelRun(p policy, cut bool, left float64, s shape, seed uint64) *modelRun {
+func newModelRun(p policy, partitioned bool, left float64, s shape, seed uint64) *modelRun {
 	r := &modelRun{policy: p, random: rand.New(rand.NewPCG(seed, 7)), rates: make([]float64, modelZones)}
 	limit := int64(float64(modelLimit) * left)
 	for zone := range modelZones {
@@ -83,24 +83,24 @@
 	for zone := range modelZones {
 		r.post(zone, limit, lo.Ternary(p == onDemand, smallDraw, 0))
 	}
-	for second := -modelWarm; second < 0; second++ {
+	for second := -modelWarmup; second < 0; second++ {
 		for zone := range modelZones {
-			r.see(zone, s.rate(zone, second+modelWarm))
+			r.observe(zone, s.rate(zone, second+modelWarmup))
 			if second%modelSyncStep == 0 && p != onDemand {
 				r.post(zone, limit, 0)
 			}
 		}
 	}
-	r.cut, r.writes = cut, 0
+	r.partitioned, r.writes = partitioned, 0
 	return r
 }
 
-// see takes a second's demand of a zone into its remembered rate.
-func (r *modelRun) see(zone int, requests float64) {
-	r.rates[zone] += (requests*float64(modelBound) - r.rates[zone]) / modelMemory
+// observe adds one second of a zone's demand to its rate estimate.
+func (r *modelRun) observe(zone int, requests float64) {
+	r.rates[zone] += (requests*float64(modelBound) - r.rates[zone]) / modelDemandDecay
 }
 
-// post syncs one holder with the ledger, as its policy has it.
+// post syncs one holder with the ledger according to the policy.
 func (r *modelRun) post(zone int, limit, need int64) {
 	h := r.holders[zone]
 	line := ledger.Line{Budget: budget, Limit: limit, Version: 1, Drawn: h.drawn, Settled: h.settled, Reserved: h.reserved, Rate: r.rates[zone], Lump: modelBound, Need: need}
@@ -126,14 +126,14 @@
 	h.drawn = a.Drawn
 }
 
-// reserve lets one request in at a zone, or refuses it.
+// reserve admits or refuses one request in a zone.
 func (r *modelRun) reserve(zone int, limit int64) {
 	h := r.holders[zone]
-	r.asked++
-	if h.spendable() < modelBound && !r.cut {
+	r.requested++
+	if h.spendable() < modelBound && !r.partitioned {
 		r.post(zone, limit, lo.Ternary(r.policy == onDemand, smallDraw, modelBound))
 		if r.policy == planned && h.spendable() < modelBound {
-			r.callBack(zone, limit)
+			r.recall(zone, limit)
 		}
 	}
 	if h.spendable() < modelBound {
@@ -144,7 +144,7 @@
 	r.spent += modelCost
 }
 
-func (r *modelRun) callBack(zone int, limit int64) {
+func (r *modelRun) recall(zone int, limit int64) {
 	lack := modelBound - r.holders[zone].spendable()
 	for other := range modelZones {
 		h := r.holders[other]
@@ -165,11 +165,11 @@
 			if r.random.Float64() < rate-float64(arrivals) {
 				arrivals++
 			}
-			r.see(zone, float64(arrivals))
+			r.observe(zone, float64(arrivals))
 			for range arrivals {
 				r.reserve(zone, limit)
 			}
-			if !r.cut && second%modelSyncStep == 0 && r.policy == planned {
+			if !r.partitioned && second%modelSyncStep == 0 && r.policy == planned {
 				r.post(zone, limit, 0)
 			}
 		}
@@ -177,15 +177,15 @@
 }
 
 // BenchmarkPlacement compares the planned placement with an even split and with
-// small draws on demand: tokens overspent and requests refused in vain, for one
-// hour of model time, as means over seeds. docs/measurements.md has its table.
+// small draws on demand. It reports overspent tokens and needlessly refused requests for
+// one hour of model time: overspent tokens as a sum, the others as means over the seeds. docs/measurements.md has its table.
 func BenchmarkPlacement(b *testing.B) {
 	const seeds = 5
 	for _, s := range shapes {
-		for _, cut := range []bool{false, true} {
+		for _, partitioned := range []bool{false, true} {
 			for _, left := range []float64{1, 0.3, 0.05} {
 				for _, p := range []policy{planned, equalSplit, onDemand} {
-					link := lo.Ternary(cut, "cut", "connected")
+					link := lo.Ternary(partitioned, "cut", "connected")
 					b.Run(fmt.Sprintf("%s/%s/left=%g%%/%s", s.name, link, left*100, p), func(b *testing.B) {
 						limit := int64(float64(modelLimit) * left)
 						var refusals, writes float64
@@ -193,7 +193,7 @@
 						for range b.N {
 							refusals, writes, over = 0, 0, 0
 							for seed := range uint64(seeds) {
-								r := newModelRun(p, cut, left, s, seed)
+								r := newModelRun(p, partitioned, left, s, seed)
 								r.hour(limit, s)
 								refusals += r.falseRefusals(limit) / seeds
 								writes += float64(r.writes) / seeds / modelSeconds
--- a/fleet/ledger/post.go
+++ b/fleet/ledger/post.go
@@ -7,24 +7,25 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// Line is what a holder posts of one budget.
+// Line is a holder's update of one budget. Amounts are in tokens.
 type Line struct {
 	Budget  ident.Budget
-	Limit   int64         // of the row in force at the holder
+	Limit   int64         // of the table row that the holder uses
 	Version table.Version // of that row
-	// Drawn is what the holder has seen drawn; an account that lacks it was closed.
+	// Drawn is the drawn counter as the holder last read it. If it is above zero and the
+	// account does not exist, the account was closed.
 	Drawn    int64
 	Returned int64 // cumulative
 	Settled  int64 // cumulative
 	Reserved int64
-	Rate     float64
-	Lump     int64
-	// Need is how much more the holder must have now; it is drawn as far as the pool goes.
+	Rate     float64 // demand, tokens per second
+	Lump     int64   // size of a typical reservation
+	// Need is how many more tokens the holder needs now; it draws as many as the pool has.
 	Need int64
-	// Place asks to move the holding towards its planned share as well.
+	// Place asks to draw up to the planned share of the holding as well.
 	Place bool
 	// CreditTo gets up to Credit of the tokens that this update returns, so that
-	// they do not go to whoever looks at the pool first. It must have an account.
+	// another holder can't draw them from the pool first. It must have an account.
 	CreditTo ident.Incarnation
 	Credit   int64
 }
@@ -36,13 +37,13 @@
 	Lines  []Line
 	// Segment is the last segment of bills that the settled counters cover.
 	Segment int64
-	// Leave closes the holder's own accounts: it stops and returns the rest.
+	// Leave closes the holder's own accounts and returns the unspent tokens.
 	Leave bool
-	// Heir gets the rest of a leaving holder where it has an account.
+	// Heir gets the unspent tokens of a leaving holder if it has an account.
 	Heir ident.Incarnation
 }
 
-// Apply makes a holder's update, or ErrClosed where its account was closed.
+// Apply returns the slot after a holder's update, or ErrClosed if its account was closed.
 func (s Slot) Apply(p Post) (Slot, error) {
 	for _, line := range p.Lines {
 		b, ok := s.Budget(line.Budget)
@@ -67,7 +68,7 @@
 	a.Holder, a.Zone = p.Holder, p.Zone
 	returning := max(0, line.Returned-a.Returned)
 	a.Returned += returning
-	a.Settled = line.Settled // only its holder posts it; a bill that is taken back lowers it
+	a.Settled = line.Settled // only its holder posts it; a voided bill lowers it
 	a.Segment = max(a.Segment, p.Segment)
 	a.Reserved, a.Rate, a.Lump = line.Reserved, line.Rate, line.Lump
 	b = b.WithAccount(a).credited(line.CreditTo, min(line.Credit, returning))
@@ -77,9 +78,9 @@
 	return b.WithAccount(b.draw(a, line)), nil
 }
 
-// credited moves tokens that were just returned to another holder's account.
-// What returns is counted from the ledger's own counter, so that an update made
-// twice credits once.
+// credited transfers tokens that were just returned to another holder's account.
+// The returned tokens are counted from the ledger's own counter, so that an update
+// that is repeated credits them once.
 func (b Budget) credited(to ident.Incarnation, tokens int64) Budget {
 	a, ok := b.Account(to)
 	if !ok || a.Frozen || tokens <= 0 {
@@ -89,7 +90,7 @@
 	return b.WithAccount(a)
 }
 
-// draw moves tokens from the pool to an account: what it needs, and what its share lacks.
+// draw moves tokens from the pool to an account, to cover its need or to fill its planned share.
 func (b Budget) draw(a Account, line Line) Account {
 	want := line.Need
 	if line.Place {
@@ -106,16 +107,16 @@
 	return b.withoutAccount(a.Holder).settleTarget()
 }
 
-// Closure is what is known of a dead incarnation's accounts in one slot.
+// Closure describes the accounts of a dead incarnation in one slot.
 type Closure struct {
 	Holder  ident.Incarnation
-	Settled map[ident.Budget]int64 // in all, from the bills
+	Settled map[ident.Budget]int64 // in total, from the bills
 	Open    map[ident.Budget]int64 // reserved by requests that may still run
 }
 
-// Close ends the accounts of a dead incarnation that has nothing open: what it
-// settled counts as spent and the rest goes back to the pool. An account with
-// open reservations is frozen: it keeps just these and gives the rest back.
+// Close closes the accounts of a dead incarnation: its settled tokens count as spent
+// and the rest returns to the pool. An account with open reservations is frozen
+// instead: it keeps the tokens of these reservations and returns the rest.
 func (s Slot) Close(c Closure) (Slot, error) {
 	for _, b := range s.Budgets {
 		a, ok := b.Account(c.Holder)
@@ -131,12 +132,12 @@
 	return s, nil
 }
 
-// closeAccount leaves the settled counter of a frozen account as it was, so that
-// the bills that are not in it can be added anew at the next try.
+// closeAccount closes or freezes one account. It leaves the settled counter of a frozen account
+// unchanged, so that the bills that are not in it can be added again at the next attempt.
 func (b Budget) closeAccount(a Account, c Closure) (Budget, error) {
 	settled, open := max(a.Settled, c.Settled[b.Name]), c.Open[b.Name]
 	if settled+open > a.Held() {
-		return b, errors.Newf("close %s of %s: settled %d and open %d are more than held %d", b.Name, c.Holder, settled, open, a.Held())
+		return b, errors.Newf("close %s of %s: settled %d plus open %d exceed held %d", b.Name, c.Holder, settled, open, a.Held())
 	}
 	if open == 0 {
 		a.Settled = settled
@@ -148,10 +149,11 @@
 	return b.WithAccount(a), nil
 }
 
-// rateSlack is how far demand may move before it is worth a write, as a ratio.
+// rateSlack is the ratio by which reported demand must change to be written on its own.
 const rateSlack = 1.25
 
-// Material reports whether an update changes more than reports of demand that moved little.
+// Material reports whether an update must be written. It need not if it only changes the reported demand
+// by less than rateSlack.
 func (s Slot) Material(next Slot) bool {
 	if len(s.Budgets) != len(next.Budgets) {
 		return true
