--- a/fleet/ledger/placement_bench_test.go
+++ b/fleet/ledger/placement_bench_test.go
@@ -178,7 +178,8 @@
 
 // BenchmarkPlacement compares the planned placement with an even split and with
 // small draws on demand. It reports overspent tokens and needlessly refused requests for
-// one hour of model time: overspent tokens as a sum, the others as means over the seeds. docs/measurements.md has its table.
+// one hour of model time: overspent tokens as a sum, the others as means over the seeds.
+// docs/measurements.md has its table.
 func BenchmarkPlacement(b *testing.B) {
 	const seeds = 5
 	for _, s := range shapes {
--- a/fleet/ledger/post.go
+++ b/fleet/ledger/post.go
@@ -137,7 +137,7 @@
 func (b Budget) closeAccount(a Account, c Closure) (Budget, error) {
 	settled, open := max(a.Settled, c.Settled[b.Name]), c.Open[b.Name]
 	if settled+open > a.Held() {
-		return b, errors.Newf("close %s of %s: settled %d plus open %d exceed held %d", b.Name, c.Holder, settled, open, a.Held())
+		return b, errors.Newf("close %s of %s: settled %d and open %d are more than held %d", b.Name, c.Holder, settled, open, a.Held())
 	}
 	if open == 0 {
 		a.Settled = settled
