--- a/fleet/holder/sync.go
+++ b/fleet/holder/sync.go
@@ -43,17 +43,17 @@
 	for _, a := range s.accountsOf(slot) {
 		d := a.demand.decayed(at)
 		line := ledger.Line{
-			Budget:   a.line.Name,
-			Limit:    a.line.Limit,
-			Version:  a.line.Version,
-			Drawn:    a.drawn,
-			Returned: a.returned,
-			Settled:  a.durable,
-			Reserved: a.reserved + a.settled - a.durable,
-			Rate:     d.perSecond(),
-			Lump:     int64(d.size),
-			Need:     max(0, wants[a.line.Name]-a.spendable()),
-			Place:    true,
+			Budget:          a.line.Name,
+			Limit:           a.line.Limit,
+			Version:         a.line.Version,
+			Drawn:           a.drawn,
+			Returned:        a.returned,
+			Settled:         a.durable,
+			Reserved:        a.reserved + a.settled - a.durable,
+			Rate:            d.perSecond(),
+			ReservationSize: int64(d.size),
+			Need:            max(0, wants[a.line.Name]-a.spendable()),
+			Place:           true,
 		}
 		if credit.Budget == a.line.Name {
 			line.CreditTo, line.Credit = credit.To, credit.Tokens
--- a/fleet/keeper/admit.go
+++ b/fleet/keeper/admit.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	maxAdmitTries = 6
-	maxTopUps     = 2
-	claimTimeout  = 800 * time.Millisecond
-	// claimRanks is how many nodes of the own zone are asked for a key, the holder
-	// among them, so that views that differ by one node still meet.
-	claimRanks = 3
-	// deniedFor is how long a failed top-up answers for the same or greater need.
-	deniedFor = 500 * time.Millisecond
+	maxAdmitAttempts = 6
+	maxTopUps        = 2
+	claimTimeout     = 800 * time.Millisecond
+	// claimNodes is how many nodes of this zone check a key, including the holder.
+	// Views that differ by one node still have a node in common.
+	claimNodes = 3
+	// denialDuration is how long a failed top-up refuses requests with the same or a greater need.
+	denialDuration = 500 * time.Millisecond
 )
 
-// Admit lets a request in, points to the one that holds its key, or refuses it.
+// Admit admits a request, returns the one that already has its key, or refuses it.
 func (k *Keeper) Admit(ctx context.Context, a peer.Admission) peer.Verdict {
 	m := holder.Admit{At: k.Clock.Now(), Record: a.Record, Budgets: a.Budgets, Limits: a.Limits, Share: k.share(), Weight: a.Weight, CallerAttempt: a.Try}
 	verdict := k.admit(ctx, m)
-	k.explain(a.Record, verdict)
+	k.recordVerdict(a.Record, verdict)
 	return verdict
 }
 
-// share is the part of every limit that falls to this node: a cut zone keeps its own.
+// share returns this node's share of every limit. An unreachable zone keeps its share.
 func (k *Keeper) share() holder.Shares {
 	view := k.View()
 	zone := 1 / float64(max(1, len(view.Zones())))
@@ -42,7 +42,7 @@
 
 func (k *Keeper) admit(ctx context.Context, m holder.Admit) peer.Verdict {
 	topUps := 0
-	for range maxAdmitTries {
+	for range maxAdmitAttempts {
 		switch effect := k.handle(m).(type) {
 		case holder.Admitted:
 			return k.confirm(ctx, effect.Record)
@@ -87,7 +87,7 @@
 func (k *Keeper) deny(ctx context.Context, m holder.Admit, s holder.Short) peer.Verdict {
 	k.mu.Lock()
 	if d, ok := k.denied[s.Budget]; !ok || s.Need < d.need || !k.Clock.Now().Before(d.until) {
-		k.denied[s.Budget] = denial{need: s.Need, until: k.Clock.Now().Add(deniedFor)}
+		k.denied[s.Budget] = denial{need: s.Need, until: k.Clock.Now().Add(denialDuration)}
 	}
 	k.mu.Unlock()
 	k.handle(holder.Deny{Record: m.Record})
@@ -96,7 +96,7 @@
 	return peer.Verdict{Refused: p.At(string(event.Admit), string(s.Budget))}
 }
 
-// forget takes back the copies of a key whose request was refused.
+// forget removes the copies of a key whose request was refused.
 func (k *Keeper) forget(ctx context.Context, m holder.Admit) {
 	if m.Record.Key == "" || !m.Claimed {
 		return
@@ -106,14 +106,14 @@
 	}
 }
 
-// confirm makes a second VM know the record before the request may run.
+// confirm has a second VM store the record before the request may run.
 func (k *Keeper) confirm(ctx context.Context, r holder.Record) peer.Verdict {
 	if r.Entry != k.Incarnation() {
 		return peer.Verdict{Admitted: &r}
 	}
-	by, fenced := k.entrust(ctx, r)
+	by, fenced := k.storeAtWitness(ctx, r)
 	if fenced {
-		k.renounce(nil)
+		k.renewIncarnation(nil)
 		return peer.Verdict{Refused: problem.New(problem.NoHolder, "the holder was declared over; ask again").At(string(event.Admit), string(k.Self.Node))}
 	}
 	r = r.WithWitness(by)
@@ -121,8 +121,9 @@
 	return peer.Verdict{Admitted: &r}
 }
 
-// entrust stores a record with the first reachable node of the zone; "" where none is.
-func (k *Keeper) entrust(ctx context.Context, r holder.Record) (by ident.Incarnation, fenced bool) {
+// storeAtWitness stores a record at the first reachable node of the zone and returns that node,
+// or "" if there is none. fenced reports whether it has fenced the record's holder.
+func (k *Keeper) storeAtWitness(ctx context.Context, r holder.Record) (by ident.Incarnation, fenced bool) {
 	for _, to := range k.others(r.Slot) {
 		stored, err := k.Peers.Store(ctx, to, peer.Storing{Records: []holder.Record{r}})
 		if err != nil {
@@ -133,15 +134,15 @@
 	return "", false
 }
 
-// claimPeers are the nodes asked for a key: the runners-up in the own zone and
-// the holder of the slot in every other zone.
+// claimPeers returns the nodes that are asked for a key: those that rank next for the
+// slot in this zone, and the holder of the slot in every other zone.
 func (k *Keeper) claimPeers(r holder.Record) []membership.Member {
 	peers := k.others(r.Slot)
-	peers = peers[:min(len(peers), claimRanks-1)]
+	peers = peers[:min(len(peers), claimNodes-1)]
 	return append(peers, k.otherHolders(r.Slot)...)
 }
 
-// otherHolders are the holders of a slot in the other zones.
+// otherHolders returns the holders of a slot in the other zones.
 func (k *Keeper) otherHolders(slot ident.Slot) []membership.Member {
 	now, view := k.Clock.Now(), k.View()
 	var holders []membership.Member
@@ -159,8 +160,8 @@
 	err     error
 }
 
-// claim asks for a key in every zone at once. A zone without a live node in
-// view counts as unreachable.
+// claim asks for a key in all zones concurrently. A zone without a live node in
+// this node's view counts as unreachable.
 func (k *Keeper) claim(ctx context.Context, r holder.Record) (peer.Claimed, []ident.Zone) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -177,6 +178,7 @@
 	return k.combine(answers)
 }
 
+// combine returns the answer that denies the key, if there is one, or else the zones that did not answer.
 func (k *Keeper) combine(answers []claimAnswer) (peer.Claimed, []ident.Zone) {
 	reached := map[ident.Zone]bool{k.Self.Zone: true}
 	for _, a := range answers {
@@ -197,7 +199,7 @@
 	return peer.Claimed{}, unreachable
 }
 
-// Claim answers another holder that wants a key.
+// Claim answers another holder that claims a key.
 func (k *Keeper) Claim(in peer.Claiming) peer.Claimed {
 	switch effect := k.handle(holder.Claim{Record: in.Record, Store: in.Store, At: k.Clock.Now()}).(type) {
 	case holder.Existing:
@@ -209,12 +211,13 @@
 	}
 }
 
-// Forget drops the copy of a key.
+// Forget removes the copy of a key.
 func (k *Keeper) Forget(in peer.Forgetting) {
 	k.handle(holder.Forget{Key: in.Key, Request: in.Request})
 }
 
-func (k *Keeper) explain(r holder.Record, v peer.Verdict) {
+// recordVerdict records the verdict on a request as an event.
+func (k *Keeper) recordVerdict(r holder.Record, v peer.Verdict) {
 	e := event.Event{Request: r.Request, Step: event.Admit, Peer: string(r.Entry.Node())}
 	switch {
 	case v.Admitted != nil:
--- a/fleet/keeper/borrow.go
+++ b/fleet/keeper/borrow.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// borrowEvery is the time between two rounds of asking for one limit.
-	borrowEvery   = time.Second
-	borrowTimeout = 300 * time.Millisecond
+	// borrowInterval is the minimum time between two rounds of borrowing for one limit.
+	borrowInterval = time.Second
+	borrowTimeout  = 300 * time.Millisecond
 )
 
-// borrow asks the slot's holders in the other zones for what they do not use of
-// the limit that refused a request; it reports whether trying again may help.
+// borrow asks other nodes for their unused shares of the limit that refused a
+// request. It reports whether a retry may succeed.
 func (k *Keeper) borrow(ctx context.Context, m holder.Admit, refused *problem.Problem) bool {
 	line, ok := lo.Find(m.Limits, func(l limit.Line) bool { return l.Name == refused.Peer })
-	if refused.Reason != problem.LimitReached || !ok || !k.mayAsk(line.Name) {
+	if refused.Reason != problem.LimitReached || !ok || !k.mayBorrow(line.Name) {
 		return false
 	}
 	asked := k.Clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var part float64
+	var share float64
 	var wait sync.WaitGroup
 	for _, to := range k.lenders(m.Record.Slot, line) {
 		wait.Go(func() {
@@ -41,23 +41,23 @@
 				return
 			}
 			mu.Lock()
-			part += lent.Part
+			share += lent.Part
 			mu.Unlock()
 		})
 	}
 	wait.Wait()
-	if part <= 0 {
+	if share <= 0 {
 		return false
 	}
-	k.handle(holder.Borrowed{At: k.Clock.Now(), Line: line, Share: part, Until: asked.Add(holder.LoanDuration)})
+	k.handle(holder.Borrowed{At: k.Clock.Now(), Line: line, Share: share, Until: asked.Add(holder.LoanDuration)})
 	return true
 }
 
 // maxLenders bounds how many nodes are asked for a common limit.
 const maxLenders = 16
 
-// lenders are the nodes that have another part of a limit: the slot's holders of
-// a customer's, and all nodes of a common one.
+// lenders returns the nodes that have a share of a limit: the slot's holders in the other
+// zones for a customer's limit, and all nodes for a common one.
 func (k *Keeper) lenders(slot ident.Slot, line limit.Line) []membership.Member {
 	if !line.Common {
 		return k.otherHolders(slot)
@@ -66,17 +66,17 @@
 	return nodes[:min(len(nodes), maxLenders)]
 }
 
-func (k *Keeper) mayAsk(name string) bool {
+func (k *Keeper) mayBorrow(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.Clock.Since(k.asked[name]) < borrowEvery {
+	if k.Clock.Since(k.borrowed[name]) < borrowInterval {
 		return false
 	}
-	k.asked[name] = k.Clock.Now()
+	k.borrowed[name] = k.Clock.Now()
 	return true
 }
 
-// Lend gives another zone the unused part of a limit.
+// Lend lends the unused share of a limit to another node.
 func (k *Keeper) Lend(in peer.Lending) peer.Lent {
 	lent, _ := k.handle(holder.Lend{At: k.Clock.Now(), Line: in.Line, Share: k.share()}).(holder.Lent)
 	return peer.Lent{Part: lent.Share}
--- a/fleet/keeper/closing.go
+++ b/fleet/keeper/closing.go
@@ -18,19 +18,20 @@
 	"github.com/lynxshed/lynxshed/fleet/witness"
 )
 
-// gathering is what the zone's nodes know of a dead holder, or why that is not all.
-type gathering struct {
+// gatherResult holds the records that the zone's nodes have of a dead holder, or why they may be incomplete.
+type gatherResult struct {
 	records []holder.Record
 	err     error
 }
 
 // closeDead closes the accounts of dead holders in the slots that this node
-// holds. Each is gathered once in a round: nothing more runs under it after that.
+// holds. Records are gathered once per round and holder, since the holder is
+// fenced by then and nothing more runs under it.
 func (k *Keeper) closeDead(ctx context.Context) {
-	gathered := map[ident.Incarnation]gathering{}
+	gathered := map[ident.Incarnation]gatherResult{}
 	failed := map[ident.Incarnation]error{}
 	for _, slot := range k.Holding().Slots() {
-		if !k.holds(slot) {
+		if !k.isHolder(slot) {
 			continue
 		}
 		s := k.slotSync(slot)
@@ -48,12 +49,12 @@
 			}
 		}
 	}
-	k.strand(failed)
+	k.setStranded(failed)
 }
 
-// strand keeps just the dead holders whose accounts could not be closed in this
-// round; another node may have closed the others.
-func (k *Keeper) strand(failed map[ident.Incarnation]error) {
+// setStranded replaces the stranded holders by those whose accounts could not be closed
+// in this round; another node may have closed the others.
+func (k *Keeper) setStranded(failed map[ident.Incarnation]error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	stranded := map[ident.Incarnation]Stranding{}
@@ -71,6 +72,8 @@
 	k.stranded = stranded
 }
 
+// deadHolders returns the holders of a zone that have an account in the slot and have ended,
+// including earlier incarnations of this node.
 func deadHolders(doc ledger.Slot, zone ident.Zone, self ident.Incarnation, view membership.State) []ident.Incarnation {
 	return lo.Filter(doc.Holders(), func(h ident.Incarnation, _ int) bool {
 		if h == self || !inZone(doc, h, zone) {
@@ -87,16 +90,16 @@
 	})
 }
 
-// Stranded lists the dead holders whose accounts can't be closed yet.
+// Stranded returns the dead holders whose accounts can't be closed yet.
 func (k *Keeper) Stranded() []Stranding {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return lo.Values(k.stranded)
 }
 
-// closeHolder closes one slot's accounts of a dead holder exactly: its entries
-// and witnesses tell what ran under it and promise to run nothing more.
-func (k *Keeper) closeHolder(ctx context.Context, slot ident.Slot, dead ident.Incarnation, g gathering) error {
+// closeHolder closes a dead holder's accounts in one slot with exact amounts: its entry
+// VMs and witnesses report what ran under it and promise to run nothing more.
+func (k *Keeper) closeHolder(ctx context.Context, slot ident.Slot, dead ident.Incarnation, g gatherResult) error {
 	if g.err != nil {
 		return g.err
 	}
@@ -117,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	k.tellDurable(ctx, fresh)
+	k.notifyDurable(ctx, fresh)
 	if len(open) > 0 {
 		return errors.Newf("%d budgets have requests that still run under it", len(open))
 	}
@@ -126,7 +129,7 @@
 }
 
 // gather fences a dead holder at every reachable node of the zone and collects
-// what they know. It fails while a VM that may know more has not answered.
+// their records of it. It fails while a VM that may have more records has not answered.
 func (k *Keeper) gather(ctx context.Context, dead ident.Incarnation) ([]holder.Record, error) {
 	answers := []peer.Fenced{k.Fence(peer.Fencing{Holder: dead})}
 	view := k.View()
@@ -142,27 +145,27 @@
 	}
 	last, ok := latest(answers)
 	if !ok {
-		last, ok = latest(k.askAfar(ctx, dead))
+		last, ok = latest(k.queryOtherZones(ctx, dead))
 	}
 	if !ok {
 		return nil, errors.New("no live node has heard what it last said of its records")
 	}
 	answered := lo.SliceToMap(answers, func(a peer.Fenced) (ident.Incarnation, bool) { return a.From, true })
-	if err := complete(dead, last, view.Departed(k.Self.Zone), answered); err != nil {
+	if err := checkComplete(dead, last, view.Departed(k.Self.Zone), answered); err != nil {
 		return nil, err
 	}
 	return merge(answers), nil
 }
 
-// maxAfar is how many nodes of other zones are asked for a dead holder's last words.
-const maxAfar = 6
+// maxRemoteNodes is how many nodes of other zones are asked for a dead holder's last heartbeat.
+const maxRemoteNodes = 6
 
-// askAfar asks nodes of other zones what a dead holder last said, where none of
-// its own zone has heard it: in a zone of one VM nobody else is there to.
-func (k *Keeper) askAfar(ctx context.Context, dead ident.Incarnation) []peer.Fenced {
+// queryOtherZones asks nodes of other zones for a dead holder's last heartbeat. It is needed where
+// no node of its own zone has received one, as in a zone of one VM.
+func (k *Keeper) queryOtherZones(ctx context.Context, dead ident.Incarnation) []peer.Fenced {
 	far := lo.Filter(k.View().Live(k.Clock.Now()), func(m membership.Member, _ int) bool { return m.Zone != k.Self.Zone })
 	var answers []peer.Fenced
-	for _, m := range far[:min(len(far), maxAfar)] {
+	for _, m := range far[:min(len(far), maxRemoteNodes)] {
 		if answer, err := k.Peers.Fence(ctx, m, peer.Fencing{Holder: dead}); err == nil {
 			answers = append(answers, answer)
 		}
@@ -170,6 +173,7 @@
 	return answers
 }
 
+// latest returns the latest heartbeat of the dead holder among the answers.
 func latest(answers []peer.Fenced) (membership.Member, bool) {
 	var last membership.Member
 	found := false
@@ -181,7 +185,7 @@
 	return last, found
 }
 
-// merge takes the furthest phase of each record that was reported.
+// merge returns one copy of each reported record, a settled one if there is any.
 func merge(answers []peer.Fenced) []holder.Record {
 	byID := map[ident.Request]holder.Record{}
 	for _, a := range answers {
@@ -194,7 +198,7 @@
 	return lo.Values(byID)
 }
 
-// endOrphans asks the engines about open records whose entry is lost.
+// endOrphans settles open records whose entry VM is gone, by the outcomes that engines report.
 func (k *Keeper) endOrphans(ctx context.Context, records []holder.Record) []holder.Record {
 	return lo.Map(records, func(r holder.Record, _ int) holder.Record {
 		if !k.abandoned(r) {
@@ -205,13 +209,13 @@
 			return r
 		}
 		r = r.WithEnd(usage, nil, k.Clock.Now())
-		k.testify(witness.Store{Record: r})
+		k.handleWitness(witness.Store{Record: r})
 		return r
 	})
 }
 
-// split parts the records into bills that are not durable yet and reservations
-// that may still run.
+// split divides the records into settled ones whose bills are not durable yet, and the
+// tokens reserved for requests that may still run.
 func (k *Keeper) split(records []holder.Record, durable []segmentBill) (fresh []holder.Record, open map[ident.Budget]int64) {
 	known := lo.SliceToMap(durable, func(b segmentBill) (ident.Request, bool) { return b.Request, true })
 	open = map[ident.Budget]int64{}
@@ -227,8 +231,8 @@
 	return fresh, open
 }
 
-// settledBy is what a dead holder settled in all, by budget: the ledger's
-// counters, each later bill once, and what only witnesses knew.
+// settledBy returns what a dead holder settled in total, by budget: the ledger's
+// counters, each later bill once, and the records that only witnesses have.
 func settledBy(doc ledger.Slot, dead ident.Incarnation, durable []segmentBill, fresh []holder.Record) map[ident.Budget]int64 {
 	settled := map[ident.Budget]int64{}
 	marks := map[ident.Budget]int64{}
@@ -256,7 +260,7 @@
 	return settled
 }
 
-// writeClosing makes the bills durable that only witnesses knew.
+// writeClosing writes a segment with the bills that only witnesses have.
 func (k *Keeper) writeClosing(ctx context.Context, slot ident.Slot, dead ident.Incarnation, fresh []holder.Record) error {
 	billable := lo.Filter(fresh, func(r holder.Record, _ int) bool { return r.Billable() })
 	if len(billable) == 0 {
@@ -266,7 +270,7 @@
 	key := segmentPrefix(k.Self.Zone, dead) + closingPrefix + fmt.Sprintf("%d-%s", slot, k.NewSerial())
 	_, err := k.Platform.Put(ctx, key, 0, segment)
 	if errors.Is(err, platform.ErrUnknown) {
-		return errors.Wrap(err, "write closing segment") // read again at the next try
+		return errors.Wrap(err, "write closing segment") // the next attempt reads it again
 	}
 	return errors.Wrap(err, "write closing segment")
 }
--- a/fleet/keeper/complete.go
+++ b/fleet/keeper/complete.go
@@ -11,44 +11,45 @@
 	"github.com/lynxshed/lynxshed/fleet/membership"
 )
 
-// complete fails where a record of the dead holder may be known to no live VM:
-// it had one alone, or another VM of the zone went in its time and neither said
-// before its end that nothing depended on that one any more.
-func complete(dead ident.Incarnation, last membership.Member, departed []membership.Departed, answered map[ident.Incarnation]bool) error {
+// checkComplete fails if a record of the dead holder may be known to no live VM. This is so
+// if the holder alone had some record, or if another VM of the zone departed during the
+// holder's lifetime and neither of them announced before its end that no record
+// depended on the departed VM any more.
+func checkComplete(dead ident.Incarnation, last membership.Member, departed []membership.Departed, answered map[ident.Incarnation]bool) error {
 	if last.Alone {
 		return errors.New("some of its requests were known to no other VM")
 	}
-	born := bornAt(dead)
-	words := lo.SliceToMap(departed, func(d membership.Departed) (ident.Incarnation, membership.Member) { return d.Incarnation, d.Member })
+	started := startedAt(dead)
+	members := lo.SliceToMap(departed, func(d membership.Departed) (ident.Incarnation, membership.Member) { return d.Incarnation, d.Member })
 	for _, d := range departed {
 		if _, ok := last.Recovery(d.Incarnation); ok || d.Incarnation == dead {
 			continue
 		}
-		if d.At.Before(born.Add(-clockSkew)) {
+		if d.At.Before(started.Add(-clockSkew)) {
 			continue
 		}
-		if !passedOn(dead, d.Member, words, answered) {
+		if !copiesAnswered(dead, d.Member, members, answered) {
 			return errors.Newf("node %s died with it and may have known more", d.Incarnation)
 		}
 	}
 	return nil
 }
 
-// passedOn reports whether everything that a gone node knew of a dead holder is
-// with nodes that have answered, or was passed on by those to some that have.
-func passedOn(dead ident.Incarnation, gone membership.Member, words map[ident.Incarnation]membership.Member, answered map[ident.Incarnation]bool) bool {
-	word, ok := gone.Recovery(dead)
-	return ok && lo.EveryBy(word.KeptBy, func(i ident.Incarnation) bool {
+// copiesAnswered reports whether all records that a departed node had of a dead holder were
+// copied to nodes that have answered, or by these nodes to others that have answered.
+func copiesAnswered(dead ident.Incarnation, gone membership.Member, members map[ident.Incarnation]membership.Member, answered map[ident.Incarnation]bool) bool {
+	recovery, ok := gone.Recovery(dead)
+	return ok && lo.EveryBy(recovery.KeptBy, func(i ident.Incarnation) bool {
 		if answered[i] {
 			return true
 		}
-		next, ok := words[i].Recovery(dead)
+		next, ok := members[i].Recovery(dead)
 		return ok && len(next.KeptBy) > 0 && lo.EveryBy(next.KeptBy, func(j ident.Incarnation) bool { return answered[j] })
 	})
 }
 
-// bornAt is when an incarnation began, from its serial.
-func bornAt(i ident.Incarnation) time.Time {
+// startedAt returns the start time of an incarnation, taken from its serial.
+func startedAt(i ident.Incarnation) time.Time {
 	id, err := ulid.Parse(i.Serial())
 	if err != nil {
 		return time.Time{}
--- a/fleet/keeper/end.go
+++ b/fleet/keeper/end.go
@@ -12,11 +12,11 @@
 	"github.com/lynxshed/lynxshed/fleet/witness"
 )
 
-// ErrFenced refuses to run under a holder that was declared over.
+// ErrFenced means that the request's holder is fenced and nothing more may run under it.
 var ErrFenced = errors.New("the holder is fenced")
 
-// End settles or releases a request. One whose holder died is kept as a witness
-// until the dead holder's account is closed.
+// End settles or releases a request. If its holder has died, the record is kept as a
+// witness until the dead holder's accounts are closed.
 func (k *Keeper) End(ctx context.Context, in peer.Ending) peer.Known {
 	if in.NotRun {
 		return k.release(ctx, in)
@@ -30,7 +30,7 @@
 		return k.orphan(in)
 	}
 	if ended.Record.Entry == k.Incarnation() {
-		by, _ := k.entrust(ctx, ended.Record)
+		by, _ := k.storeAtWitness(ctx, ended.Record)
 		k.handle(holder.Witnessed{Request: ended.Record.Request, By: by})
 	}
 	k.Events.Add(event.Event{Request: in.Record.Request, Step: event.Settle, Peer: string(ended.Record.Entry.Node()),
@@ -43,31 +43,31 @@
 	r := in.Record.WithAwaiting(in.Usage, in.Awaiting)
 	existing, ok := k.handle(holder.Await{Request: r.Request, Usage: in.Usage, Attempts: in.Awaiting}).(holder.Existing)
 	if !ok {
-		k.testify(witness.Store{Record: r})
+		k.handleWitness(witness.Store{Record: r})
 		return peer.Known{Found: true, Record: r}
 	}
 	if existing.Record.Entry == k.Incarnation() {
-		_, _ = k.entrust(ctx, existing.Record)
+		_, _ = k.storeAtWitness(ctx, existing.Record)
 	}
 	k.Events.Add(event.Event{Request: r.Request, Step: event.Settle, Peer: string(in.Awaiting[0].Endpoint), Decision: "kept reserved", Reason: "an attempt's cost is not known yet"})
 	return peer.Known{Found: true, Record: existing.Record}
 }
 
-// orphan keeps the end of a request whose holder is another incarnation.
+// orphan records the end of a request whose holder is another incarnation.
 func (k *Keeper) orphan(in peer.Ending) peer.Known {
 	if in.Record.Holder == k.Incarnation() {
-		return peer.Known{Record: in.Record} // settled before, and durable by now
+		return peer.Known{Record: in.Record} // already settled and durable
 	}
 	r := in.Record.WithEnd(in.Usage, in.Answer, k.Clock.Now())
-	k.testify(witness.Store{Record: r})
-	k.testify(witness.Settle{Request: r.Request, Usage: in.Usage, At: k.Clock.Now()})
+	k.handleWitness(witness.Store{Record: r})
+	k.handleWitness(witness.Settle{Request: r.Request, Usage: in.Usage, At: k.Clock.Now()})
 	k.Events.Add(event.Event{Request: r.Request, Step: event.Settle, Peer: string(r.Holder), Decision: "kept as witness", Reason: "its holder is over"})
 	return peer.Known{Found: true, Record: r}
 }
 
 func (k *Keeper) release(ctx context.Context, in peer.Ending) peer.Known {
 	effect := k.handle(holder.Release{Request: in.Record.Request})
-	k.testify(witness.Drop{Requests: []ident.Request{in.Record.Request}})
+	k.handleWitness(witness.Drop{Requests: []ident.Request{in.Record.Request}})
 	if by := in.Record.Witness; by != "" {
 		if to, ok := k.View().Member(by.Node()); ok {
 			_ = k.Peers.Drop(ctx, to, peer.Dropping{Requests: []ident.Request{in.Record.Request}})
@@ -101,7 +101,7 @@
 		return peer.Known{}
 	}
 	if admitted.Record.Entry == k.Incarnation() {
-		_, _ = k.entrust(ctx, admitted.Record)
+		_, _ = k.storeAtWitness(ctx, admitted.Record)
 	}
 	return peer.Known{Found: true, Record: admitted.Record}
 }
@@ -116,7 +116,7 @@
 	return peer.Known{Found: true, Record: existing.Record}
 }
 
-// Find looks a request up, as holder or as witness.
+// Find looks up a request in the holder state and then in the witness state.
 func (k *Keeper) Find(id ident.Request) peer.Known {
 	if r, ok := k.Holding().Record(id); ok {
 		return peer.Known{Found: true, Record: r}
@@ -125,39 +125,39 @@
 	return peer.Known{Found: ok, Record: r}
 }
 
-// Remember keeps a record that this node runs as an entry under another holder;
-// ErrFenced where that holder is over.
+// Remember stores a record that this node runs as the entry VM under another holder.
+// It returns ErrFenced if that holder is fenced.
 func (k *Keeper) Remember(r holder.Record) error {
-	if fenced, ok := k.testify(witness.Store{Record: r}).(witness.Fenced); ok {
+	if fenced, ok := k.handleWitness(witness.Store{Record: r}).(witness.Fenced); ok {
 		return errors.Wrapf(ErrFenced, "holder %s", fenced.Holder)
 	}
 	return nil
 }
 
-// Ended notes the end of a request that this node ran as an entry.
+// Ended records the end of a request that this node ran as the entry VM.
 func (k *Keeper) Ended(id ident.Request, u holder.Usage) {
-	k.testify(witness.Settle{Request: id, Usage: u, At: k.Clock.Now()})
+	k.handleWitness(witness.Settle{Request: id, Usage: u, At: k.Clock.Now()})
 }
 
-// Store keeps records that another holder entrusts to this node.
+// Store stores records of another holder as its witness.
 func (k *Keeper) Store(in peer.Storing) peer.Stored {
 	for _, r := range in.Records {
-		if fenced, ok := k.testify(witness.Store{Record: r}).(witness.Fenced); ok {
+		if fenced, ok := k.handleWitness(witness.Store{Record: r}).(witness.Fenced); ok {
 			return peer.Stored{Fenced: fenced.Holder}
 		}
 	}
 	return peer.Stored{}
 }
 
-// Drop forgets records whose bills are durable or that did not run.
+// Drop removes records whose bills are durable or that did not run.
 func (k *Keeper) Drop(in peer.Dropping) {
-	k.testify(witness.Drop{Requests: in.Requests})
-	k.prunePassed(in.Requests)
+	k.handleWitness(witness.Drop{Requests: in.Requests})
+	k.pruneCopies(in.Requests)
 }
 
-// Fence ends a holder here and tells what is known of it.
+// Fence fences a holder on this node and returns the records and the last heartbeat known of it.
 func (k *Keeper) Fence(in peer.Fencing) peer.Fenced {
-	k.testify(witness.Fence{Holder: in.Holder})
+	k.handleWitness(witness.Fence{Holder: in.Holder})
 	answer := peer.Fenced{From: k.Incarnation(), Records: k.Witness().Of(in.Holder)}
 	if last, ok := k.View().Last(in.Holder); ok {
 		answer.Last = &last
@@ -165,7 +165,7 @@
 	return answer
 }
 
-// TakeKeys keeps the keys that a leaving holder hands over.
+// TakeKeys stores the keys that a leaving holder passes on.
 func (k *Keeper) TakeKeys(in peer.HandOver) {
 	for _, r := range in.Keyed {
 		k.handle(holder.Claim{Record: r, Store: true, At: k.Clock.Now()})
--- a/fleet/keeper/flush.go
+++ b/fleet/keeper/flush.go
@@ -16,10 +16,10 @@
 	"github.com/lynxshed/lynxshed/fleet/platform"
 )
 
-// BillPrefix is the platform's prefix of every segment of bills.
+// BillPrefix is the prefix of the platform keys of all segments of bills.
 const BillPrefix = "bills/"
 
-// maxSegment is how many bills fit one segment, well under the platform's limit.
+// maxSegment is the maximum number of bills in a segment, well under the platform's limit.
 const maxSegment = 2000
 
 func segmentPrefix(zone ident.Zone, i ident.Incarnation) string {
@@ -30,21 +30,21 @@
 	return fmt.Sprintf("%s%010d", segmentPrefix(zone, i), seq)
 }
 
-// segmentWriter writes segments in order; one whose answer was lost is written
-// again, the same, before the next.
+// segmentWriter is the state of writing segments in order. A segment whose answer was
+// lost is written again unchanged before the next one.
 type segmentWriter struct {
-	durable int64 // the last segment known to lie in the platform
+	durable int64 // last segment known to be stored in the platform
 	pending []holder.Record
 }
 
-// Flush makes settled bills durable and posts the books of every slot held.
+// Flush makes settled bills durable and updates the ledgers of all slots with accounts.
 func (k *Keeper) Flush(ctx context.Context) error {
 	k.Open()
 	err := k.writeSegments(ctx)
 	for _, slot := range k.Holding().Slots() {
 		if syncErr := k.syncOrLeave(ctx, slot); syncErr != nil {
 			err = errors.CombineErrors(err, syncErr)
-			break // the platform is out: the other slots wait for the next flush
+			break // the platform is unavailable; the other slots wait for the next flush
 		}
 	}
 	k.handle(holder.Expire{Before: k.Clock.Now().Add(-k.options.KeyRetention)})
@@ -66,8 +66,8 @@
 	}
 }
 
-// nextSegment picks the settled records of the next segment. Those that cost
-// nothing need no bill.
+// nextSegment selects the settled records of the next segment. Those without a cost
+// need no bill.
 func (k *Keeper) nextSegment() []holder.Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,14 +91,14 @@
 			return errors.Wrapf(err, "write segment %d", seq)
 		}
 	}
-	k.segmentWritten(self, seq, records)
-	k.tellDurable(ctx, records)
+	k.markSegmentWritten(self, seq, records)
+	k.notifyDurable(ctx, records)
 	return nil
 }
 
-// segmentWritten counts a segment and its bills at once: a post to the ledger that
-// named the segment without its bills would let a closer of the account miss them.
-func (k *Keeper) segmentWritten(self ident.Incarnation, seq int64, records []holder.Record) {
+// markSegmentWritten records a segment and its bills in one step. If the ledger named the segment
+// without its bills, a node that closes the account would miss them.
+func (k *Keeper) markSegmentWritten(self ident.Incarnation, seq int64, records []holder.Record) {
 	ids := lo.Map(records, func(r holder.Record, _ int) ident.Request { return r.Request })
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,25 +109,25 @@
 	k.holding, _ = k.holding.Handle(holder.Durable{Requests: ids})
 }
 
-// putSegment creates a segment. One that is there already must be an earlier try
-// of the same, whose answer was lost.
+// putSegment creates a segment. If the key already exists, it must hold the same segment
+// from an earlier attempt whose answer was lost.
 func (k *Keeper) putSegment(ctx context.Context, key string, segment bill.Segment) error {
 	_, err := k.Platform.Put(ctx, key, 0, segment)
 	if !errors.Is(err, platform.ErrConflict) {
 		return err
 	}
-	there, readErr := k.segmentOf(ctx, key)
+	existing, readErr := k.segmentOf(ctx, key)
 	if readErr != nil {
 		return errors.CombineErrors(err, readErr)
 	}
-	if len(there) != len(segment.Bills) || there[0].Request != segment.Bills[0].Request {
+	if len(existing) != len(segment.Bills) || existing[0].Request != segment.Bills[0].Request {
 		return errors.Wrapf(err, "segment %s holds other bills", key)
 	}
 	return nil
 }
 
-// tellDurable lets the witnesses forget what lies in the platform.
-func (k *Keeper) tellDurable(ctx context.Context, records []holder.Record) {
+// notifyDurable lets witnesses remove records whose bills are durable.
+func (k *Keeper) notifyDurable(ctx context.Context, records []holder.Record) {
 	byNode := map[ident.Node][]ident.Request{}
 	for _, r := range records {
 		for _, who := range lo.Uniq([]ident.Node{r.Entry.Node(), r.Witness.Node()}) {
@@ -146,10 +146,10 @@
 	}
 }
 
-// syncOrLeave posts a slot that the node holds, and closes the books of one
+// syncOrLeave syncs a slot that the node holds, and closes its accounts in a slot
 // that has moved to another holder.
 func (k *Keeper) syncOrLeave(ctx context.Context, slot ident.Slot) error {
-	if k.holds(slot) || len(k.rank(slot)) == 0 {
+	if k.isHolder(slot) || len(k.rank(slot)) == 0 {
 		if !k.due(slot) {
 			return nil
 		}
@@ -158,8 +158,8 @@
 	return k.LeaveSlot(ctx, slot)
 }
 
-// LeaveSlot returns everything of a slot to the pool once nothing is open, and
-// hands its keys to the successor.
+// LeaveSlot closes the node's accounts in a slot once no request is open, and passes
+// the unspent tokens and the keys on to the successor.
 func (k *Keeper) LeaveSlot(ctx context.Context, slot ident.Slot) error {
 	if _, open := k.handle(holder.Leave{Slot: slot}).(holder.Missing); open {
 		return k.SyncSlot(ctx, slot)
@@ -168,21 +168,21 @@
 		return err
 	}
 	k.handOver(ctx, slot)
-	var heir ident.Incarnation
+	var successor ident.Incarnation
 	if rank := k.rank(slot); len(rank) > 0 {
-		heir = rank[0].Incarnation
+		successor = rank[0].Incarnation
 	}
-	tried := false
+	attempted := false
 	err := k.update(ctx, slot, func(doc ledger.Slot) (ledger.Slot, error) {
 		k.mu.Lock()
 		post := k.holding.Post(slot, nil, holder.Credit{}, k.segments.durable, k.Clock.Now())
 		k.mu.Unlock()
-		post.Leave, post.Heir = true, heir
+		post.Leave, post.Successor = true, successor
 		next, err := doc.Apply(post)
-		if tried && errors.Is(err, ledger.ErrClosed) {
-			return doc, nil // an earlier try took effect and its answer was lost
+		if attempted && errors.Is(err, ledger.ErrClosed) {
+			return doc, nil // an earlier attempt took effect but its answer was lost
 		}
-		tried = true
+		attempted = true
 		return next, err
 	})
 	if err != nil {
@@ -193,13 +193,14 @@
 	return nil
 }
 
+// handOver passes the keys of a slot on to the nodes that rank first for it.
 func (k *Keeper) handOver(ctx context.Context, slot ident.Slot) {
 	keyed := lo.Filter(k.Holding().Keyed(), func(r holder.Record, _ int) bool { return r.Slot == slot })
 	others := k.others(slot)
 	if len(keyed) == 0 || len(others) == 0 {
 		return
 	}
-	for _, to := range others[:min(len(others), claimRanks-1)] {
+	for _, to := range others[:min(len(others), claimNodes-1)] {
 		_ = k.Peers.HandOver(ctx, to, peer.HandOver{Keyed: keyed})
 	}
 }
--- a/fleet/keeper/guard.go
+++ b/fleet/keeper/guard.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	callBackTime  = 3 * time.Second
-	callBackPause = 150 * time.Millisecond
+	lowerTimeout   = 3 * time.Second
+	recallInterval = 150 * time.Millisecond
 )
 
-// Prepare puts lowered limits into the ledgers before the edits that lower them
-// are accepted: holdings are called back, and the edit is refused where what is
-// spent, reserved or held out of reach is more than the new limit.
+// Prepare applies lowered limits to the ledgers before the edits that lower them
+// are accepted. Holdings are recalled, and the edit is refused if the tokens that are
+// spent, reserved or held by unreachable nodes exceed the new limit. The returned
+// function undoes the changes.
 func (k *Keeper) Prepare(ctx context.Context, before, after table.Table, edits []table.Edit) (func(context.Context), error) {
 	var lowered []limitChange
 	undo := func(ctx context.Context) {
 		for _, c := range lowered {
-			k.restore(ctx, c)
+			k.restoreLimit(ctx, c)
 		}
 	}
 	for _, e := range edits {
@@ -44,7 +45,7 @@
 	return undo, nil
 }
 
-// limitChange is a budget whose limit an edit lowers or sets for the first time.
+// limitChange is a budget whose limit an edit lowers.
 type limitChange struct {
 	budget   ident.Budget
 	slot     ident.Slot
@@ -69,26 +70,26 @@
 	return c, existed && c.to < c.from
 }
 
-// lower sets the target in the ledger and calls holdings back until it holds.
+// lower sets the target in the ledger and recalls holdings until it is in force.
 func (k *Keeper) lower(ctx context.Context, c limitChange) error {
-	deadline := k.Clock.Now().Add(callBackTime)
+	deadline := k.Clock.Now().Add(lowerTimeout)
 	for {
 		b, err := k.setTarget(ctx, c)
 		if err != nil {
 			return err
 		}
 		if b.Target == nil {
-			k.callBack(ctx, b, c) // the holders place what is left anew
+			k.recallAll(ctx, b, c) // the holders redistribute the remaining tokens
 			k.Events.Add(event.Event{Step: event.Recall, Peer: string(c.budget), Decision: "limit lowered", Reason: fmt.Sprintf("to %d tokens", c.to)})
 			return nil
 		}
 		if k.Clock.Now().After(deadline) || ctx.Err() != nil {
-			k.restore(ctx, c)
+			k.restoreLimit(ctx, c)
 			return table.Faults{k.belowSpent(b, c)}
 		}
-		k.callBack(ctx, b, c)
-		k.Clock.Sleep(callBackPause)
-		k.slotSync(c.slot).expire()
+		k.recallAll(ctx, b, c)
+		k.Clock.Sleep(recallInterval)
+		k.slotSync(c.slot).invalidate()
 	}
 }
 
@@ -105,9 +106,9 @@
 	return seen, err
 }
 
-// restore takes the target back, also where it is in force by now.
-func (k *Keeper) restore(ctx context.Context, c limitChange) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callBackTime)
+// restoreLimit removes the target, or restores the earlier limit if the target is already in force.
+func (k *Keeper) restoreLimit(ctx context.Context, c limitChange) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lowerTimeout)
 	defer cancel()
 	_ = k.update(ctx, c.slot, func(doc ledger.Slot) (ledger.Slot, error) {
 		b, ok := doc.Budget(c.budget)
@@ -122,8 +123,8 @@
 	})
 }
 
-// callBack asks every holder at once for what it does not need.
-func (k *Keeper) callBack(ctx context.Context, b ledger.Budget, c limitChange) {
+// recallAll asks all holders concurrently to return tokens that they do not need.
+func (k *Keeper) recallAll(ctx context.Context, b ledger.Budget, c limitChange) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	in := peer.Surrendering{Slot: c.slot, Budget: c.budget, Need: max(0, b.Committed()-c.to)}
--- a/fleet/keeper/keeper.go
+++ b/fleet/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper is the runtime of the holder and witness slices of a node: it
-// carries their decisions to the platform, to peers and to engines.
+// Package keeper runs the holder and witness state of a node: it carries out their
+// decisions at the platform, at other nodes and at engines.
 package keeper
 
 import (
@@ -33,18 +33,18 @@
 	HandOver(ctx context.Context, to membership.Member, in peer.HandOver) error
 }
 
-// Outcomes asks engines what became of attempts.
+// Outcomes asks engines for the outcomes of attempts, or cancels them.
 type Outcomes interface {
 	Outcome(ctx context.Context, a holder.Attempt, id ident.Request) (backend.Outcome, error)
 	Cancel(ctx context.Context, a holder.Attempt, id ident.Request) (backend.Outcome, error)
 }
 
-// Options of a keeper; zero values choose the documented defaults.
+// Options of a keeper. A zero value selects the default.
 type Options struct {
-	Slots        int           // 16 when zero
-	KeyRetention time.Duration // how long keys are kept; 15 min when zero
-	LedgerEvery  time.Duration // between posts of a slot's books that nobody waits for; each flush when zero
-	Abandon      time.Duration // how long a running request may lack an entry; 30 s when zero
+	Slots        int           // default 16
+	KeyRetention time.Duration // how long keys are kept; default 15 min
+	LedgerEvery  time.Duration // between background updates of a slot's ledger; default: at each flush
+	Abandon      time.Duration // age from which a running request without an entry VM is cancelled; default 30 s
 }
 
 func (o Options) withDefaults() Options {
@@ -60,7 +60,7 @@
 	return o
 }
 
-// Parts are what a keeper works with.
+// Parts are the dependencies of a keeper.
 type Parts struct {
 	Self     membership.Member
 	Platform platform.Store
@@ -71,11 +71,11 @@
 	Events   *event.Log
 	Clock    clockwork.Clock
 	Log      log.Interface
-	// NewSerial makes the serial of a next incarnation.
+	// NewSerial returns the serial of the next incarnation.
 	NewSerial func() string
 }
 
-// Keeper holds the node's slots; New makes one.
+// Keeper runs the slots that a node holds and its witness records.
 type Keeper struct {
 	Parts
 	options Options
@@ -87,19 +87,19 @@
 	denied   map[ident.Budget]denial
 	segments segmentWriter
 	stranded map[ident.Incarnation]Stranding
-	passed   map[ident.Request]passing
-	asked    map[string]time.Time // when other zones were last asked for a limit
+	copies   map[ident.Request]recordCopy
+	borrowed map[string]time.Time // when other nodes were last asked to lend, by limit
 
 	slotMu sync.Map // ident.Slot -> *slotSync
 }
 
-// denial remembers a top-up that failed, so that not every refusal asks the platform.
+// denial caches a failed top-up, so that not every refusal causes a request to the platform.
 type denial struct {
 	need  int64
 	until time.Time
 }
 
-// New makes a keeper without books.
+// New returns a keeper without accounts.
 func New(p Parts, o Options) *Keeper {
 	return &Keeper{
 		Parts:    p,
@@ -109,12 +109,12 @@
 		wants:    holder.Wants{},
 		denied:   map[ident.Budget]denial{},
 		stranded: map[ident.Incarnation]Stranding{},
-		passed:   map[ident.Request]passing{},
-		asked:    map[string]time.Time{},
+		copies:   map[ident.Request]recordCopy{},
+		borrowed: map[string]time.Time{},
 	}
 }
 
-// handle runs one decision of the holder slice.
+// handle applies a message to the holder state.
 func (k *Keeper) handle(m holder.Message) holder.Effect {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -123,8 +123,8 @@
 	return effect
 }
 
-// testify runs one decision of the witness slice.
-func (k *Keeper) testify(m witness.Message) witness.Effect {
+// handleWitness applies a message to the witness state.
+func (k *Keeper) handleWitness(m witness.Message) witness.Effect {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next, effect := k.witness.Handle(m)
@@ -132,38 +132,38 @@
 	return effect
 }
 
-// Holding is the holder slice's state now.
+// Holding returns the current holder state.
 func (k *Keeper) Holding() holder.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holding
 }
 
-// Witness is the witness slice's state now.
+// Witness returns the current witness state.
 func (k *Keeper) Witness() witness.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.witness
 }
 
-// Incarnation is the node's current life as a holder.
+// Incarnation returns the node's current incarnation as a holder.
 func (k *Keeper) Incarnation() ident.Incarnation { return k.Holding().Self() }
 
-// SlotOf is the slot of a customer.
+// SlotOf returns the slot of a customer.
 func (k *Keeper) SlotOf(c ident.Customer) ident.Slot { return ident.SlotOf(c, k.options.Slots) }
 
-// rank orders the live nodes of the own zone for a slot.
+// rank returns the live nodes of this zone in their order for a slot.
 func (k *Keeper) rank(slot ident.Slot) []membership.Member {
 	return k.View().Rank(k.Self.Zone, slot, k.Clock.Now())
 }
 
-// holds reports whether the node is the slot's holder by its own view.
-func (k *Keeper) holds(slot ident.Slot) bool {
+// isHolder reports whether this node is the slot's holder in its own view.
+func (k *Keeper) isHolder(slot ident.Slot) bool {
 	rank := k.rank(slot)
 	return len(rank) > 0 && rank[0].Node == k.Self.Node
 }
 
-// others lists the reachable nodes of the own zone but this one, best for the slot first.
+// others returns the other reachable nodes of this zone, in their order for the slot.
 func (k *Keeper) others(slot ident.Slot) []membership.Member {
 	now, view := k.Clock.Now(), k.View()
 	ranked := view.Rank(k.Self.Zone, slot, now)
@@ -181,14 +181,14 @@
 	return others
 }
 
-// renounce begins a new incarnation: the old one's accounts were closed by others.
-func (k *Keeper) renounce(why error) {
+// renewIncarnation starts a new incarnation after other nodes closed the accounts of the old one.
+func (k *Keeper) renewIncarnation(why error) {
 	k.mu.Lock()
 	old := k.holding.Self()
 	next := ident.NewIncarnation(k.Self.Node, k.NewSerial())
 	k.holding, _ = k.holding.Handle(holder.Renew{Incarnation: next})
 	k.segments = segmentWriter{}
 	k.mu.Unlock()
-	k.Log.WithField("old", old).WithField("new", next).WithError(why).Warn("incarnation is over")
+	k.Log.WithField("old", old).WithField("new", next).WithError(why).Warn("accounts closed by another node, starting a new incarnation")
 	k.Events.Add(event.Event{Step: event.Close, Peer: string(old), Decision: "new incarnation " + string(next), Reason: "the old one's accounts were closed"})
 }
--- a/fleet/keeper/matrix_test.go
+++ b/fleet/keeper/matrix_test.go
@@ -16,7 +16,7 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// step is a point of a request's life at which a fault strikes.
+// step is the point of a request's lifecycle at which a fault is injected.
 type step string
 
 const (
@@ -26,55 +26,55 @@
 	durable  step = "durable"
 )
 
-// fault is what strikes; recover undoes what the operators or the network undo.
+// fault is a fault to inject; recover reverts it as operators or the network would.
 type fault struct {
 	name    string
-	strike  func(w *world, q request)
+	inject  func(w *world, q request)
 	recover func(w *world)
-	// stranded says that tokens may stay committed with a reason.
+	// stranded is set if tokens may stay committed, with a reason shown to operators.
 	stranded bool
 }
 
 func none(*world) {}
 
 var faults = []fault{
-	{"holder dies", func(w *world, q request) { w.die(q.holder, true) }, none, false},
-	{"holder dies, place stays empty", func(w *world, q request) { w.die(q.holder, false); w.forgetVM(q.holder) }, none, false},
-	{"entry dies", func(w *world, q request) { w.die(q.entry, true) }, none, false},
-	{"both die", func(w *world, q request) { w.die(q.holder, true); w.die(q.entry, true) }, none, true},
-	{"platform is out", func(w *world, _ request) { w.store.down = true; w.settle() }, func(w *world) { w.store.down = false }, false},
+	{"holder dies", func(w *world, q request) { w.kill(q.holder, true) }, none, false},
+	{"holder dies and is not replaced", func(w *world, q request) { w.kill(q.holder, false); w.removeVM(q.holder) }, none, false},
+	{"entry dies", func(w *world, q request) { w.kill(q.entry, true) }, none, false},
+	{"both die", func(w *world, q request) { w.kill(q.holder, true); w.kill(q.entry, true) }, none, true},
+	{"platform is unavailable", func(w *world, _ request) { w.store.down = true; w.settle() }, func(w *world) { w.store.down = false }, false},
 	{"platform loses answers", func(w *world, _ request) { w.store.loseWrite = 5 }, none, false},
 	{"platform has conflicts", func(w *world, _ request) { w.store.conflict = 4 }, none, false},
-	{"holder is cut off", func(w *world, q request) { q.holder.cut = true; w.settle() }, func(w *world) {
+	{"holder is unreachable", func(w *world, q request) { q.holder.unreachable = true; w.settle() }, func(w *world) {
 		for _, v := range w.vms {
-			v.cut = false
+			v.unreachable = false
 		}
 	}, false},
-	{"holder dies while the platform is out", func(w *world, q request) {
+	{"holder dies while the platform is unavailable", func(w *world, q request) {
 		w.store.down = true
-		w.die(q.holder, true)
+		w.kill(q.holder, true)
 		w.settle()
 	}, func(w *world) { w.store.down = false }, false},
-	{"entry dies while the platform is out", func(w *world, q request) {
+	{"entry dies while the platform is unavailable", func(w *world, q request) {
 		w.store.down = true
-		w.die(q.entry, true)
+		w.kill(q.entry, true)
 		w.settle()
 	}, func(w *world) { w.store.down = false }, false},
 	{"holder dies, then the entry", func(w *world, q request) {
-		w.die(q.holder, true)
+		w.kill(q.holder, true)
 		w.settle()
-		w.die(q.entry, true)
+		w.kill(q.entry, true)
 	}, none, false},
-	{"engine is out when the entry dies", func(w *world, q request) {
+	{"engine is unavailable when the entry dies", func(w *world, q request) {
 		w.engine.down = true
-		w.die(q.entry, true)
+		w.kill(q.entry, true)
 		w.settle()
 	}, func(w *world) { w.engine.down = false }, false},
 }
 
-// TestEachFaultAtEachStep brings about every fault at every step of a request's
-// life, with the entry on the holder's own VM and on another, and then holds the
-// bills against what the engine ran.
+// A fault at some step of a request could lose its bill or charge it twice. The test injects every fault
+// at every step, with the entry on the holder's VM and on another, and compares the bills with what the
+// engine ran.
 func TestEachFaultAtEachStep(t *testing.T) {
 	for _, f := range faults {
 		for _, at := range []step{reserved, running, ended, durable} {
@@ -83,13 +83,13 @@
 				if same {
 					name += "/entry is holder"
 				}
-				t.Run(name, func(t *testing.T) { strikeAt(t, f, at, same) })
+				t.Run(name, func(t *testing.T) { runFaultAt(t, f, at, same) })
 			}
 		}
 	}
 }
 
-func strikeAt(t *testing.T, f fault, at step, same bool) {
+func runFaultAt(t *testing.T, f fault, at step, same bool) {
 	w := newWorld(t, "n1", "n2", "n3")
 	h, entry := w.roles()
 	if same {
@@ -106,7 +106,7 @@
 	if at == durable {
 		w.settle()
 	}
-	f.strike(w, q)
+	f.inject(w, q)
 	if !entry.dead && (at == reserved || at == running) {
 		w.end(q, 20)
 	}
@@ -116,14 +116,14 @@
 	f.recover(w)
 	w.settle()
 	w.settle()
-	holds(t, w, f.stranded)
+	assertInvariants(t, w, f.stranded)
 }
 
-// holds checks what must be true after any fault.
-func holds(t *testing.T, w *world, mayStrand bool) {
+// assertInvariants checks the invariants that must hold after any fault.
+func assertInvariants(t *testing.T, w *world, mayStrand bool) {
 	t.Helper()
 	line := w.line()
-	assert.LessOrEqual(t, line.Committed(), line.Limit, "holdings never exceed the limit")
+	assert.LessOrEqual(t, line.Committed(), line.Limit, "holdings exceed the limit")
 	var billed int64
 	for _, b := range w.bills() {
 		billed += b.Tokens
@@ -134,17 +134,17 @@
 		assert.LessOrEqual(t, billed, w.ran())
 		return
 	}
-	assert.Equal(t, w.ran(), billed, "the bills are what ran, once")
-	assert.Equal(t, w.ran(), line.Spent(), "the ledger agrees")
+	assert.Equal(t, w.ran(), billed, "the bills differ from what the engine ran")
+	assert.Equal(t, w.ran(), line.Spent(), "the ledger differs from what the engine ran")
 	assert.Zero(t, strandings)
 	for _, a := range line.Accounts {
 		v := w.vms[a.Holder.Node()]
-		assert.True(t, v != nil && !v.dead, "the account of %s is closed", a.Holder)
+		assert.True(t, v != nil && !v.dead, "the account of %s is still open", a.Holder)
 	}
 }
 
-// forgetVM takes a dead VM out of everybody's list.
-func (w *world) forgetVM(dead *vm) {
+// removeVM removes a dead VM from every node's list of VMs.
+func (w *world) removeVM(dead *vm) {
 	names := []string{}
 	for n := range w.vms {
 		if n != dead.Self.Node {
@@ -161,8 +161,9 @@
 	}
 }
 
-// TestPausedHolderWakesFenced lets a holder miss that its account was closed.
-func TestPausedHolderWakesFenced(t *testing.T) {
+// A paused holder that resumes after its accounts were closed could spend tokens twice. Here the other
+// nodes fence it without its knowledge.
+func TestPausedHolderIsFencedWhenItResumes(t *testing.T) {
 	w := newWorld(t, "n1", "n2", "n3")
 	h, entry := w.roles()
 	q, _ := w.admit(h, entry)
@@ -171,39 +172,39 @@
 
 	old := h.Incarnation()
 	id, verdict := w.admitRemembering(h, entry)
-	assert.Nil(t, verdict.Admitted, "an entry that has fenced the holder runs nothing under it")
+	assert.Nil(t, verdict.Admitted, "an entry VM that has fenced the holder must run nothing under it")
 	h.End(context.Background(), peer.Ending{Record: id, NotRun: true})
 
 	_, own := w.admit(h, h)
-	require.NotNil(t, own.Refused, "nor does it run its own: the next VM has fenced it")
+	require.NotNil(t, own.Refused, "its own requests are refused too, since the next VM has fenced it")
 	assert.Equal(t, problem.NoHolder, own.Refused.Reason)
-	assert.NotEqual(t, old, h.Incarnation(), "it knows that its life as a holder is over and begins another")
+	assert.NotEqual(t, old, h.Incarnation(), "it must start a new incarnation")
 	w.settle()
 	w.settle()
-	holds(t, w, false)
+	assertInvariants(t, w, false)
 }
 
-// TestAStrandingThatAnotherNodeClosedIsForgotten lets one node fail to close an
-// account that another closes.
-func TestAStrandingThatAnotherNodeClosedIsForgotten(t *testing.T) {
+// A node must not report an account as stranded after another node has closed it. Here one node fails to
+// close an account that another one closes later.
+func TestStrandedAccountClosedByAnotherNodeIsDropped(t *testing.T) {
 	w := newWorld(t, "n1", "n2", "n3")
 	h, entry := w.roles()
 	q, _ := w.admit(h, entry)
 	w.end(q, 20)
-	w.die(h, false)
-	w.forgetVM(h)
-	entry.cut = true
+	w.kill(h, false)
+	w.removeVM(h)
+	entry.unreachable = true
 	w.settle()
-	waiting := 0
-	w.eachLive(func(v *vm) { waiting += len(v.Stranded()) })
-	require.Positive(t, waiting, "a node that may know more is cut off: the account waits, with its reason")
-	entry.cut = false
+	stranded := 0
+	w.eachLive(func(v *vm) { stranded += len(v.Stranded()) })
+	require.Positive(t, stranded, "the account must be stranded while a node that may have more records is unreachable")
+	entry.unreachable = false
 	w.settle()
 	w.eachLive(func(v *vm) { assert.Empty(t, v.Stranded()) })
-	holds(t, w, false)
+	assertInvariants(t, w, false)
 }
 
-// admitRemembering is admit where the entry may refuse to remember.
+// admitRemembering is like admit, but the entry VM may refuse to store the record.
 func (w *world) admitRemembering(h, entry *vm) (holder.Record, peer.Verdict) {
 	r := holder.Record{Request: "z.0.x", Customer: customer, Bound: bound, Model: true, Entry: entry.Incarnation(), At: w.clock.Now()}
 	verdict := h.Admit(context.Background(), peer.Admission{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
@@ -213,9 +214,9 @@
 	return r, verdict
 }
 
-// TestSpendNeverPassesTheLimit spends from every VM while holders die, the
-// platform goes and comes, and answers are lost.
-func TestSpendNeverPassesTheLimit(t *testing.T) {
+// Restarted holders, an unavailable platform and lost answers must not let requests spend more than the
+// limit. The test spends from every VM while all of these happen.
+func TestSpendNeverExceedsTheLimit(t *testing.T) {
 	w := newWorld(t, "n1", "n2", "n3")
 	refused := 0
 	for round := range 90 {
@@ -232,7 +233,7 @@
 		}
 		switch round % 15 {
 		case 4:
-			w.die(h, true)
+			w.kill(h, true)
 			w.settle()
 		case 8:
 			w.store.loseWrite = 3
@@ -248,11 +249,11 @@
 	w.store.down = false
 	w.settle()
 	assert.Positive(t, refused)
-	assert.GreaterOrEqual(t, w.ran(), limit-bound, "nearly all of it could be spent")
-	holds(t, w, false)
+	assert.GreaterOrEqual(t, w.ran(), limit-bound, "nearly the whole limit must be spendable")
+	assertInvariants(t, w, false)
 }
 
-// listOf is the platform's list of VMs.
+// listOf returns the platform's list of VMs.
 func listOf(w *world, revision int64, names ...string) membership.Listed {
 	var vms []platform.VM
 	for _, n := range names {
@@ -261,8 +262,8 @@
 	return membership.Listed{At: w.clock.Now(), List: platform.VMList{Revision: revision, VMs: vms}}
 }
 
-// TestPairsOfFaults lets two faults strike together while a request runs. What
-// can't be accounted exactly must be shown as stranded, never lost or billed twice.
+// Two faults at once could lose a bill or charge it twice. The test injects each pair while a request
+// runs. Tokens that can't be accounted exactly must be reported as stranded.
 func TestPairsOfFaults(t *testing.T) {
 	for _, first := range faults {
 		for _, second := range faults {
@@ -272,8 +273,8 @@
 				q, verdict := w.admit(h, entry)
 				require.NotNil(t, verdict.Admitted)
 				w.run(q, backend.StateRunning, 3)
-				first.strike(w, q)
-				second.strike(w, q)
+				first.inject(w, q)
+				second.inject(w, q)
 				if entry.dead {
 					w.run(q, backend.StateDone, 20)
 				} else {
@@ -283,7 +284,7 @@
 				second.recover(w)
 				w.settle()
 				w.settle()
-				holds(t, w, true)
+				assertInvariants(t, w, true)
 			})
 		}
 	}
--- a/fleet/keeper/reconcile.go
+++ b/fleet/keeper/reconcile.go
@@ -11,21 +11,20 @@
 	"github.com/lynxshed/lynxshed/fleet/peer"
 )
 
-// reconcile asks zones that could not be asked for a key before its request ran.
-// Where the same request has run there too, the later one's bill is taken back,
-// each by its own holder.
+// reconcile asks the zones that were unreachable when a key was claimed. If the same
+// request has run there too, the bill of the later one is voided by its own holder.
 func (k *Keeper) reconcile(ctx context.Context) {
 	for _, r := range k.Holding().Unverified() {
 		for _, zone := range r.Unasked {
-			if !k.askLate(ctx, r, zone) {
+			if !k.recheckZone(ctx, r, zone) {
 				break
 			}
 		}
 	}
 }
 
-// askLate asks one zone; false where it can't tell yet or the bill was taken back.
-func (k *Keeper) askLate(ctx context.Context, r holder.Record, zone ident.Zone) bool {
+// recheckZone asks one zone. It returns false if the outcome is still open or the bill was voided.
+func (k *Keeper) recheckZone(ctx context.Context, r holder.Record, zone ident.Zone) bool {
 	rank := k.View().Rank(zone, r.Slot, k.Clock.Now())
 	if len(rank) == 0 {
 		return true
@@ -55,7 +54,7 @@
 	return false
 }
 
-// isBeingWritten reports whether a request's bill is in a segment on its way.
+// isBeingWritten reports whether a request's bill is in a segment that is being written.
 func (k *Keeper) isBeingWritten(id ident.Request) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -14,11 +14,11 @@
 	"github.com/lynxshed/lynxshed/fleet/peer"
 )
 
-// recentSegments is how many segments before the ledger's mark are read for
-// bills whose witnesses were not told that they are durable.
+// recentSegments is how many segments up to the last one covered by the ledger are read for
+// bills whose witnesses were not notified that they are durable.
 const recentSegments = 20
 
-// clockSkew is how far the clocks of two VMs may differ.
+// clockSkew is the maximum difference between the clocks of two VMs.
 const clockSkew = 10 * time.Second
 
 // Stranding is a dead holder whose accounts can't be closed yet, and why.
@@ -29,70 +29,71 @@
 	Since  time.Time         `json:"since"`
 }
 
-// Recover looks after what dead nodes left: open requests without an entry,
-// records known to one VM only, and accounts of dead holders.
+// Recover cleans up after dead nodes: open requests without an entry VM, records
+// known to one VM only, and accounts of dead holders.
 func (k *Keeper) Recover(ctx context.Context) {
 	k.endAbandoned(ctx)
-	k.entrustAgain(ctx)
-	k.passOn(ctx)
+	k.replaceWitnesses(ctx)
+	k.copyRecords(ctx)
 	k.closeDead(ctx)
 	k.reconcile(ctx)
 }
 
-// passOn copies the records of holders that are over to another node of the
-// zone, so that they are known to two VMs again until the accounts are closed.
-func (k *Keeper) passOn(ctx context.Context) {
+// copyRecords copies the records of dead holders to another node of the zone, so that
+// two VMs have them again until the accounts are closed.
+func (k *Keeper) copyRecords(ctx context.Context) {
 	for _, dead := range k.Witness().Holders() {
-		if !k.lost(dead) {
+		if !k.unresponsive(dead) {
 			continue
 		}
-		for _, r := range k.unpassed(dead) {
-			if by, _ := k.entrust(ctx, r); by != "" {
+		for _, r := range k.uncopied(dead) {
+			if by, _ := k.storeAtWitness(ctx, r); by != "" {
 				k.mu.Lock()
-				k.passed[r.Request] = passing{to: by, phase: r.Phase}
+				k.copies[r.Request] = recordCopy{to: by, phase: r.Phase}
 				k.mu.Unlock()
 			}
 		}
 	}
 }
 
-// passing is where a copy of a dead holder's record went, and in which phase.
-type passing struct {
+// recordCopy is the node that has a copy of a dead holder's record, and the phase of that copy.
+type recordCopy struct {
 	to    ident.Incarnation
 	phase holder.Phase
 }
 
-// unpassed lists the records of a dead holder that no other live node is known to keep.
-func (k *Keeper) unpassed(dead ident.Incarnation) []holder.Record {
+// uncopied returns the records of a dead holder of which no other live node is known to have a current copy.
+func (k *Keeper) uncopied(dead ident.Incarnation) []holder.Record {
 	return lo.Filter(k.Witness().Of(dead), func(r holder.Record, _ int) bool {
 		k.mu.Lock()
-		p, ok := k.passed[r.Request]
+		p, ok := k.copies[r.Request]
 		k.mu.Unlock()
-		return !ok || p.phase != r.Phase || k.lost(p.to)
+		return !ok || p.phase != r.Phase || k.unresponsive(p.to)
 	})
 }
 
-// keptBy names the nodes to which a dead holder's records were passed on.
+// keptBy returns the nodes to which a dead holder's records were copied.
 func (k *Keeper) keptBy(dead ident.Incarnation) []ident.Incarnation {
 	records := k.Witness().Of(dead)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return lo.Uniq(lo.FilterMap(records, func(r holder.Record, _ int) (ident.Incarnation, bool) {
-		p, ok := k.passed[r.Request]
+		p, ok := k.copies[r.Request]
 		return p.to, ok
 	}))
 }
 
-// prunePassed forgets where copies of dropped records went.
-func (k *Keeper) prunePassed(ids []ident.Request) {
+// pruneCopies removes the entries of dropped records.
+func (k *Keeper) pruneCopies(ids []ident.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, id := range ids {
-		delete(k.passed, id)
+		delete(k.copies, id)
 	}
 }
 
-// endAbandoned asks the engines about open requests whose entry does not answer.
+// endAbandoned settles or releases open requests whose entry VM does not answer, by the outcomes
+// that engines report.
 func (k *Keeper) endAbandoned(ctx context.Context) {
 	for _, r := range k.Holding().Records() {
 		if !k.abandoned(r) {
@@ -111,13 +112,13 @@
 	}
 }
 
-// abandoned reports whether an open record waits for nobody but the engines.
+// abandoned reports whether only the engines can still report the end of an open record.
 func (k *Keeper) abandoned(r holder.Record) bool {
-	return r.Phase == holder.Open && (len(r.Awaiting) > 0 || k.lost(r.Entry))
+	return r.Phase == holder.Open && (len(r.Awaiting) > 0 || k.unresponsive(r.Entry))
 }
 
-// lost reports whether an incarnation is silent or over.
-func (k *Keeper) lost(i ident.Incarnation) bool {
+// unresponsive reports whether an incarnation is suspected or has ended.
+func (k *Keeper) unresponsive(i ident.Incarnation) bool {
 	if i.Node() == k.Self.Node {
 		return i != k.Incarnation()
 	}
@@ -125,9 +126,9 @@
 	return view.Gone(i) || view.StatusOf(i.Node(), k.Clock.Now()) == membership.StatusSuspect
 }
 
-// outcome adds up what all attempts of a request cost; ended is false while one
-// may still run or can't be asked. An attempt that never started counts as ended
-// only once its entry is over, since a paused entry may yet send it.
+// outcome returns the total cost of all attempts of a request; ended is false while one
+// may still run or can't be queried. An attempt that never started counts as ended
+// only once its entry VM's incarnation has ended, since a paused VM may still send it.
 func (k *Keeper) outcome(ctx context.Context, r holder.Record, entryOver bool) (total holder.Usage, ended bool) {
 	if !r.Model {
 		return holder.Usage{}, entryOver
@@ -152,24 +153,24 @@
 	return total, ended
 }
 
-// entrustAgain finds a second VM for records whose second VM is gone.
-func (k *Keeper) entrustAgain(ctx context.Context) {
+// replaceWitnesses stores records at a new witness if the second VM that had them is gone.
+func (k *Keeper) replaceWitnesses(ctx context.Context) {
 	for _, r := range k.Holding().Records() {
 		if r.Phase == holder.Pending || r.Elsewhere {
 			continue
 		}
 		second := r.Second()
-		if second != "" && second.Node() != k.Self.Node && !k.lost(second) {
+		if second != "" && second.Node() != k.Self.Node && !k.unresponsive(second) {
 			continue
 		}
-		by, fenced := k.entrust(ctx, r)
+		by, fenced := k.storeAtWitness(ctx, r)
 		if by != "" && !fenced {
 			k.handle(holder.Witnessed{Request: r.Request, By: by})
 		}
 	}
 }
 
-// Recovered lists the gone incarnations of the zone that no record depends on,
+// Recovered returns the departed incarnations of the zone that no record depends on,
 // and whether some record is known to no other VM.
 func (k *Keeper) Recovered() (recovered []membership.Recovery, alone bool) {
 	needed := map[ident.Incarnation]bool{}
@@ -183,12 +184,12 @@
 	}
 	departed := k.View().Departed(k.Self.Zone)
 	for _, d := range departed[max(0, len(departed)-maxRecovered):] {
-		if !needed[d.Incarnation] && len(k.unpassed(d.Incarnation)) == 0 {
+		if !needed[d.Incarnation] && len(k.uncopied(d.Incarnation)) == 0 {
 			recovered = append(recovered, membership.Recovery{Gone: d.Incarnation, KeptBy: k.keptBy(d.Incarnation)})
 		}
 	}
 	return recovered, alone
 }
 
-// maxRecovered bounds what a heartbeat tells of recovered incarnations.
+// maxRecovered bounds how many recovered incarnations a heartbeat lists.
 const maxRecovered = 16
--- a/fleet/keeper/segments.go
+++ b/fleet/keeper/segments.go
@@ -12,13 +12,13 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// segmentBill is a line of a segment and where it stands.
+// segmentBill is a bill and the number of the segment that it is in.
 type segmentBill struct {
 	bill.Bill
 	segment int64
 }
 
-// billLine tells a bill from the line that takes it back.
+// billLine identifies a bill. It distinguishes a bill from the one that reverses it.
 type billLine struct {
 	request ident.Request
 	void    bool
@@ -26,7 +26,8 @@
 
 func (b segmentBill) line() billLine { return billLine{request: b.Request, void: b.Void} }
 
-// segmentBills reads the bills that a dead holder or its closers made durable lately.
+// segmentBills reads the recent bills in segments of a dead holder, including those written by
+// nodes that closed its accounts.
 func (k *Keeper) segmentBills(ctx context.Context, slot ident.Slot, dead ident.Incarnation) ([]segmentBill, error) {
 	prefix := segmentPrefix(k.Self.Zone, dead)
 	page, err := k.Platform.List(ctx, prefix)
@@ -65,7 +66,7 @@
 	return s.Bills, nil
 }
 
-// parseSegment reads the name of a segment; those of closers sort after all others.
+// parseSegment parses the name of a segment. Closing segments sort after all others.
 func parseSegment(name string) (seq int64, closing bool) {
 	if _, err := fmt.Sscanf(name, "%010d", &seq); err != nil || strings.HasPrefix(name, closingPrefix) {
 		return int64(1) << 60, true
@@ -75,7 +76,7 @@
 
 const closingPrefix = "closing-"
 
-// segmentMark is the last segment that the dead holder's settled counters cover.
+// segmentMark returns the last segment that the dead holder's settled counters cover.
 func (k *Keeper) segmentMark(slot ident.Slot, dead ident.Incarnation) int64 {
 	s := k.slotSync(slot)
 	s.mu.Lock()
--- a/fleet/keeper/sync.go
+++ b/fleet/keeper/sync.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	maxSyncTries  = 6
-	maxDonors     = 4
-	recallTimeout = 500 * time.Millisecond
-	topUpTimeout  = 1500 * time.Millisecond
-	// idleRead is how often the ledger of an idle slot is read again.
-	idleRead = 2 * time.Second
+	maxSyncAttempts = 6
+	maxDonors       = 4
+	recallTimeout   = 500 * time.Millisecond
+	topUpTimeout    = 1500 * time.Millisecond
+	// maxLedgerAge is the age from which a cached ledger is read again before an update.
+	maxLedgerAge = 2 * time.Second
 )
 
-// slotSync serializes the updates of one slot's ledger and keeps it as last seen.
+// slotSync serializes the updates of one slot's ledger and caches it as last read or written.
 type slotSync struct {
 	mu      sync.Mutex
 	slot    ledger.Slot
 	version platform.Version
 	read    time.Time
-	posted  time.Time // when the books were last posted or found unchanged
+	posted  time.Time // when the ledger was last written or needed no write
 }
 
 func (k *Keeper) slotSync(slot ident.Slot) *slotSync {
@@ -43,7 +43,7 @@
 	return s.(*slotSync)
 }
 
-// refresh reads a slot's ledger; the caller holds its lock.
+// refresh reads a slot's ledger. The caller holds s.mu.
 func (k *Keeper) refresh(ctx context.Context, s *slotSync) error {
 	o, err := k.Platform.Get(ctx, ledger.Key(s.slot.Slot))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -62,24 +62,24 @@
 	return nil
 }
 
-// update changes a slot's ledger by a conditional write until it holds. The
-// change is made anew from what is read after each conflict or lost answer.
+// update changes a slot's ledger by a conditional write. After a conflict or a lost
+// answer it reads the ledger and applies the change again, up to maxSyncAttempts times.
 func (k *Keeper) update(ctx context.Context, slot ident.Slot, change func(ledger.Slot) (ledger.Slot, error)) error {
 	s := k.slotSync(slot)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.read.IsZero() || k.Clock.Since(s.read) > idleRead {
+	if s.read.IsZero() || k.Clock.Since(s.read) > maxLedgerAge {
 		if err := k.refresh(ctx, s); err != nil {
 			return err
 		}
 	}
 	var last error
-	for range maxSyncTries {
+	for range maxSyncAttempts {
 		next, err := change(s.slot)
 		if err != nil {
 			return err
 		}
-		if !s.slot.Material(next) {
+		if !s.slot.NeedsWrite(next) {
 			s.posted = k.Clock.Now()
 			return nil
 		}
@@ -100,7 +100,7 @@
 	return errors.Wrapf(last, "write ledger of slot %d", slot)
 }
 
-// due reports whether a slot's books should be posted again.
+// due reports whether a slot's ledger should be updated again.
 func (k *Keeper) due(slot ident.Slot) bool {
 	s := k.slotSync(slot)
 	s.mu.Lock()
@@ -108,7 +108,7 @@
 	return k.Clock.Since(s.posted) >= k.options.LedgerEvery
 }
 
-// SyncSlot posts the holder's books of a slot and draws what is wanted.
+// SyncSlot updates the ledger of a slot with the holder's accounts and draws the wanted tokens.
 func (k *Keeper) SyncSlot(ctx context.Context, slot ident.Slot) error {
 	return k.syncSlot(ctx, slot, holder.Credit{})
 }
@@ -122,50 +122,50 @@
 		return doc.Apply(post)
 	})
 	if errors.Is(err, ledger.ErrClosed) {
-		k.renounce(err)
+		k.renewIncarnation(err)
 	}
 	return err
 }
 
-// topUp draws tokens that requests wait for; where the pool lacks them, other
-// holders are asked to return theirs.
+// topUp draws tokens that requests are waiting for. If the pool does not have enough,
+// other holders are asked to return tokens.
 func (k *Keeper) topUp(ctx context.Context, s holder.Short) {
 	ctx, cancel := context.WithTimeout(ctx, topUpTimeout)
 	defer cancel()
-	k.want(s.Budget, s.Need)
-	defer k.want(s.Budget, -s.Need)
+	k.addWant(s.Budget, s.Need)
+	defer k.addWant(s.Budget, -s.Need)
 	if err := k.SyncSlot(ctx, s.Slot); err != nil {
 		k.Events.Add(event.Event{Step: event.Draw, Peer: string(s.Budget), Decision: "failed", Reason: err.Error()})
 		return
 	}
-	lack := k.lack(s)
-	if lack <= 0 {
+	shortfall := k.shortfall(s)
+	if shortfall <= 0 {
 		return
 	}
 	for _, donor := range k.donors(s) {
-		asked, stop := context.WithTimeout(ctx, recallTimeout)
-		back, err := k.Peers.Surrender(asked, donor, peer.Surrendering{Slot: s.Slot, Budget: s.Budget, Need: lack, For: k.Incarnation()})
+		recallCtx, stop := context.WithTimeout(ctx, recallTimeout)
+		surrendered, err := k.Peers.Surrender(recallCtx, donor, peer.Surrendering{Slot: s.Slot, Budget: s.Budget, Need: shortfall, For: k.Incarnation()})
 		stop()
 		if err != nil {
 			continue
 		}
 		k.Events.Add(event.Event{Step: event.Recall, Peer: string(donor.Node), Decision: "called back", Reason: "budget " + string(s.Budget) + " is short here"})
-		if lack -= back.Tokens; lack <= 0 {
+		if shortfall -= surrendered.Tokens; shortfall <= 0 {
 			break
 		}
 	}
-	k.slotSync(s.Slot).expire()
+	k.slotSync(s.Slot).invalidate()
 	_ = k.SyncSlot(ctx, s.Slot)
 }
 
-// expire makes the next update read the ledger first.
-func (s *slotSync) expire() {
+// invalidate marks the cached ledger as stale, so that the next update reads it first.
+func (s *slotSync) invalidate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.read = time.Time{}
 }
 
-func (k *Keeper) want(b ident.Budget, tokens int64) {
+func (k *Keeper) addWant(b ident.Budget, tokens int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.wants[b] += tokens
@@ -174,17 +174,17 @@
 	}
 }
 
-// lack is how much of what is wanted is not free here after a draw.
-func (k *Keeper) lack(s holder.Short) int64 {
+// shortfall returns how many of the wanted tokens are not free here after a draw.
+func (k *Keeper) shortfall(s holder.Short) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.wants[s.Budget] - k.holding.Spendable(s.Budget)
 }
 
-// donors are the other holders of a budget, the one with the most unspent first.
+// donors returns other holders of a budget, the one with the most unspent tokens first.
 func (k *Keeper) donors(s holder.Short) []membership.Member {
-	seen, _ := k.Holding().LedgerBudget(s.Budget)
-	accounts := lo.Filter(seen.Accounts, func(a ledger.Account, _ int) bool {
+	budget, _ := k.Holding().LedgerBudget(s.Budget)
+	accounts := lo.Filter(budget.Accounts, func(a ledger.Account, _ int) bool {
 		return a.Holder != k.Incarnation() && !a.Frozen && a.Unspent()-a.Reserved > 0
 	})
 	slices.SortFunc(accounts, func(x, y ledger.Account) int { return int(y.Unspent() - x.Unspent()) })
@@ -198,24 +198,24 @@
 	return donors
 }
 
-// Surrender returns tokens that another holder lacks. A need of nothing asks the
-// holder to look at the ledger anew.
+// Surrender returns tokens that another holder needs. With a need of zero the holder
+// only syncs with the ledger again.
 func (k *Keeper) Surrender(ctx context.Context, in peer.Surrendering) peer.Surrendered {
-	given, ok := k.handle(holder.Surrender{Slot: in.Slot, Budget: in.Budget, Need: in.Need}).(holder.Surrendered)
+	surrendered, ok := k.handle(holder.Surrender{Slot: in.Slot, Budget: in.Budget, Need: in.Need}).(holder.Surrendered)
 	if !ok {
 		return peer.Surrendered{}
 	}
-	k.slotSync(in.Slot).expire()
-	if err := k.syncSlot(ctx, in.Slot, holder.Credit{Budget: in.Budget, To: in.For, Tokens: given.Tokens}); err != nil {
+	k.slotSync(in.Slot).invalidate()
+	if err := k.syncSlot(ctx, in.Slot, holder.Credit{Budget: in.Budget, To: in.For, Tokens: surrendered.Tokens}); err != nil {
 		return peer.Surrendered{}
 	}
-	if given.Tokens > 0 {
+	if surrendered.Tokens > 0 {
 		k.Events.Add(event.Event{Step: event.Return, Peer: string(in.Budget), Decision: "returned", Reason: "another zone is short"})
 	}
-	return peer.Surrendered{Tokens: given.Tokens}
+	return peer.Surrendered{Tokens: surrendered.Tokens}
 }
 
-// Open makes the books of every budget whose slot this node holds.
+// Open opens accounts for the budgets of all slots that this node holds.
 func (k *Keeper) Open() {
 	c := k.Catalog()
 	if c.Revision == 0 {
@@ -224,7 +224,7 @@
 	now := k.Clock.Now()
 	bySlot := lo.GroupBy(c.Budgets(), func(b catalog.Budget) ident.Slot { return k.SlotOf(b.Customer) })
 	for slot, budgets := range bySlot {
-		if !k.holds(slot) {
+		if !k.isHolder(slot) {
 			continue
 		}
 		lines := lo.Map(budgets, func(b catalog.Budget, _ int) holder.BudgetLine {
--- a/fleet/keeper/world_test.go
+++ b/fleet/keeper/world_test.go
@@ -38,20 +38,20 @@
 	bound    = int64(100)
 )
 
-var errOut = errors.New("out of reach")
+var errUnavailable = errors.New("unavailable")
 
-// fakeStore is the platform in memory, with its faults as switches.
+// fakeStore is the platform in memory, with faults that tests switch on.
 type fakeStore struct {
 	objects   map[string]platform.Object
 	revision  platform.Version
 	down      bool
-	loseWrite int // so many writes take effect and their answers are lost
-	conflict  int // so many writes find another version first
+	loseWrite int // number of next writes that take effect but whose answers are lost
+	conflict  int // number of next writes that fail with a version conflict
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (platform.Object, error) {
 	if s.down {
-		return platform.Object{}, errOut
+		return platform.Object{}, errUnavailable
 	}
 	o, ok := s.objects[key]
 	if !ok {
@@ -62,7 +62,7 @@
 
 func (s *fakeStore) Put(_ context.Context, key string, version platform.Version, value any) (platform.Version, error) {
 	if s.down {
-		return 0, errors.Mark(errOut, platform.ErrUnknown)
+		return 0, errors.Mark(errUnavailable, platform.ErrUnknown)
 	}
 	if s.conflict > 0 {
 		s.conflict--
@@ -86,7 +86,7 @@
 
 func (s *fakeStore) List(_ context.Context, prefix string) (platform.Page, error) {
 	if s.down {
-		return platform.Page{}, errOut
+		return platform.Page{}, errUnavailable
 	}
 	var p platform.Page
 	for key, o := range s.objects {
@@ -98,12 +98,14 @@
 }
 
 func (s *fakeStore) Watch(context.Context, string, int64, time.Duration) (platform.Page, error) {
-	return platform.Page{}, errOut
+	return platform.Page{}, errUnavailable
 }
-func (s *fakeStore) VMs(context.Context) (platform.VMList, error) { return platform.VMList{}, errOut }
-func (s *fakeStore) Weights(context.Context, string) error        { return nil }
+func (s *fakeStore) VMs(context.Context) (platform.VMList, error) {
+	return platform.VMList{}, errUnavailable
+}
+func (s *fakeStore) Weights(context.Context, string) error { return nil }
 
-// fakeEngine tells outcomes by request.
+// fakeEngine returns outcomes by request.
 type fakeEngine struct {
 	outcomes map[ident.Request]backend.Outcome
 	down     bool
@@ -111,7 +113,7 @@
 
 func (e *fakeEngine) Outcome(_ context.Context, _ holder.Attempt, id ident.Request) (backend.Outcome, error) {
 	if e.down {
-		return backend.Outcome{}, errOut
+		return backend.Outcome{}, errUnavailable
 	}
 	if o, ok := e.outcomes[id]; ok {
 		return o, nil
@@ -128,16 +130,16 @@
 	return o, err
 }
 
-// vm is one node's holder runtime in the world.
+// vm is a keeper of one node in the world. It also implements the calls to other nodes.
 type vm struct {
 	*keeper.Keeper
-	world *world
-	view  membership.State
-	dead  bool
-	cut   bool // from the other VMs
+	world       *world
+	view        membership.State
+	dead        bool
+	unreachable bool // by the other VMs
 }
 
-// world is one zone of VMs with a platform, an engine and a clock.
+// world simulates one zone of VMs with a platform, an engine and a clock.
 type world struct {
 	t       *testing.T
 	clock   *clockwork.FakeClock
@@ -177,7 +179,7 @@
 	return id.String()
 }
 
-// start puts a fresh VM in a place.
+// start starts a new incarnation of a node.
 func (w *world) start(n ident.Node) *vm {
 	self := membership.Member{Node: n, Zone: "z", Incarnation: ident.NewIncarnation(n, w.newSerial()), Phase: membership.Live}
 	v := &vm{world: w, view: membership.New(self, membership.Options{})}
@@ -193,7 +195,7 @@
 	return v
 }
 
-// gossip lets every live VM hear every other, as heartbeats do.
+// gossip exchanges heartbeats between all live, reachable VMs.
 func (w *world) gossip() {
 	w.beat++
 	for _, v := range w.ordered() {
@@ -206,7 +208,7 @@
 	for range 2 {
 		for _, from := range w.ordered() {
 			for _, to := range w.ordered() {
-				if from != to && !from.dead && !to.dead && !from.cut && !to.cut {
+				if from != to && !from.dead && !to.dead && !from.unreachable && !to.unreachable {
 					to.view, _ = to.view.Handle(membership.Heard{At: w.clock.Now(), Members: from.view.Digest()})
 				}
 			}
@@ -214,7 +216,7 @@
 	}
 }
 
-// settle lets time pass with heartbeats, recovery and flushes until all is quiet.
+// settle runs 12 s of heartbeats, recovery and flushes.
 func (w *world) settle() {
 	for range 12 {
 		w.clock.Advance(time.Second)
@@ -226,30 +228,30 @@
 	}
 }
 
-func (w *world) eachLive(do func(*vm)) {
+func (w *world) eachLive(visit func(*vm)) {
 	for _, v := range w.ordered() {
 		if !v.dead {
-			do(v)
+			visit(v)
 		}
 	}
 }
 
-// ordered lists the VMs by name, so that every run goes the same way.
+// ordered returns the VMs sorted by name, so that runs are deterministic.
 func (w *world) ordered() []*vm {
 	names := lo.Keys(w.vms)
 	slices.Sort(names)
 	return lo.Map(names, func(n ident.Node, _ int) *vm { return w.vms[n] })
 }
 
-// die ends a VM at once and, if told, puts a fresh one in its place.
-func (w *world) die(v *vm, replace bool) {
+// kill ends a VM without notice and optionally starts a replacement.
+func (w *world) kill(v *vm, replace bool) {
 	v.dead = true
 	if replace {
 		w.start(v.Self.Node)
 	}
 }
 
-// holder is the slot's holder, second another VM.
+// roles returns the slot's holder and the VM that ranks second.
 func (w *world) roles() (h, second *vm) {
 	for _, v := range w.ordered() {
 		rank := v.view.Rank("z", 0, w.clock.Now())
@@ -261,7 +263,7 @@
 	return nil, nil
 }
 
-// request is one request on its way through a holder and an entry.
+// request is one request with its holder and entry VM.
 type request struct {
 	id     ident.Request
 	record holder.Record
@@ -269,7 +271,7 @@
 	holder *vm
 }
 
-// admit lets a request in at a holder for an entry.
+// admit asks a holder to admit a request for an entry VM.
 func (w *world) admit(h, entry *vm) (request, peer.Verdict) {
 	id := ident.NewRequest("z", 0, w.newSerial())
 	r := holder.Record{
@@ -287,12 +289,12 @@
 	return q, verdict
 }
 
-// run lets the engine make so many tokens.
+// run sets the outcome of a request at the engine.
 func (w *world) run(q request, state backend.State, tokens int64) {
 	w.engine.outcomes[q.id] = backend.Outcome{State: state, PromptTokens: 10, OutputTokens: tokens}
 }
 
-// end reports the end as an entry does: to the holder if it lives, else to any other.
+// end reports the end of a request as an entry VM does: to the holder if it is alive, else to all other VMs.
 func (w *world) end(q request, tokens int64) {
 	w.run(q, backend.StateDone, tokens)
 	in := peer.Ending{Record: q.record, Usage: holder.Usage{Prompt: 10, Output: tokens}}
@@ -308,6 +310,7 @@
 	})
 }
 
+// line returns the budget's entry in the stored ledger.
 func (w *world) line() ledger.Budget {
 	o, ok := w.store.objects[ledger.Key(0)]
 	require.True(w.t, ok)
@@ -317,7 +320,7 @@
 	return b
 }
 
-// bills reads every durable bill, as Finance does.
+// bills returns all durable bills.
 func (w *world) bills() []bill.Bill {
 	var all []bill.Bill
 	for key, o := range w.store.objects {
@@ -330,7 +333,7 @@
 	return bill.Unique(all)
 }
 
-// ran is what the engine made in all.
+// ran returns the total tokens that the engine has processed.
 func (w *world) ran() int64 {
 	var sum int64
 	for _, o := range w.engine.outcomes {
@@ -339,12 +342,11 @@
 	return sum
 }
 
-// The calls to other VMs.
-
+// reach returns the VM that is called, or an error if it is unreachable.
 func (v *vm) reach(to membership.Member) (*vm, error) {
 	other := v.world.vms[to.Node]
-	if other == nil || other.dead || other.cut || v.cut || v.dead || (to.Incarnation != "" && other.Incarnation() != to.Incarnation) {
-		return nil, errors.Mark(errOut, peer.ErrUnreachable)
+	if other == nil || other.dead || other.unreachable || v.unreachable || v.dead || (to.Incarnation != "" && other.Incarnation() != to.Incarnation) {
+		return nil, errors.Mark(errUnavailable, peer.ErrUnreachable)
 	}
 	return other, nil
 }
--- a/fleet/ledger/ledger_test.go
+++ b/fleet/ledger/ledger_test.go
@@ -42,7 +42,7 @@
 		name  string
 		limit int64
 		rates []float64
-		lump  int64
+		size  int64
 		want  []int64
 	}{
 		{"no demand yet", 900, []float64{0, 0, 0}, 10, []int64{300, 300, 300}},
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := ledger.Budget{Name: budget, Limit: c.limit}
 			for i, rate := range c.rates {
-				b = b.WithAccount(ledger.Account{Holder: holder(i), Rate: rate, Lump: c.lump})
+				b = b.WithAccount(ledger.Account{Holder: holder(i), Rate: rate, Lump: c.size})
 			}
 			for i, want := range c.want {
 				assert.Equal(t, want, b.Desired(holder(i)))
--- a/fleet/ledger/placement.go
+++ b/fleet/ledger/placement.go
@@ -20,7 +20,7 @@
 type share struct {
 	holder ident.Incarnation
 	weight float64
-	lump   int64
+	size   int64
 }
 
 // Desired returns the tokens that a holder should hold: those it has settled and reserved,
@@ -62,7 +62,7 @@
 	}
 	live := lo.Filter(b.Accounts, func(a Account, _ int) bool { return !a.Frozen })
 	shares := lo.Map(live, func(a Account, _ int) share {
-		return share{holder: a.Holder, weight: a.Rate + floor, lump: a.Lump}
+		return share{holder: a.Holder, weight: a.Rate + floor, size: a.Lump}
 	})
 	slices.SortStableFunc(shares, func(x, y share) int {
 		return lo.Ternary(x.weight > y.weight, -1, lo.Ternary(x.weight < y.weight, 1, 0))
@@ -75,7 +75,7 @@
 func shareOf(h ident.Incarnation, free int64, shares []share) int64 {
 	for len(shares) > 1 {
 		last := shares[len(shares)-1]
-		if tokensOf(free, last, shares) >= last.lump {
+		if tokensOf(free, last, shares) >= last.size {
 			break
 		}
 		shares = shares[:len(shares)-1]
--- a/fleet/ledger/placement_bench_test.go
+++ b/fleet/ledger/placement_bench_test.go
@@ -103,7 +103,7 @@
 // post syncs one holder with the ledger according to the policy.
 func (r *modelRun) post(zone int, limit, need int64) {
 	h := r.holders[zone]
-	line := ledger.Line{Budget: budget, Limit: limit, Version: 1, Drawn: h.drawn, Settled: h.settled, Reserved: h.reserved, Rate: r.rates[zone], Lump: modelBound, Need: need}
+	line := ledger.Line{Budget: budget, Limit: limit, Version: 1, Drawn: h.drawn, Settled: h.settled, Reserved: h.reserved, Rate: r.rates[zone], ReservationSize: modelBound, Need: need}
 	switch r.policy {
 	case planned:
 		line.Place = true
--- a/fleet/ledger/post.go
+++ b/fleet/ledger/post.go
@@ -14,12 +14,12 @@
 	Version table.Version // of that row
 	// Drawn is the drawn counter as the holder last read it. If it is above zero and the
 	// account does not exist, the account was closed.
-	Drawn    int64
-	Returned int64 // cumulative
-	Settled  int64 // cumulative
-	Reserved int64
-	Rate     float64 // demand, tokens per second
-	Lump     int64   // size of a typical reservation
+	Drawn           int64
+	Returned        int64 // cumulative
+	Settled         int64 // cumulative
+	Reserved        int64
+	Rate            float64 // demand, tokens per second
+	ReservationSize int64   // size of a typical reservation
 	// Need is how many more tokens the holder needs now; it draws as many as the pool has.
 	Need int64
 	// Place asks to draw up to the planned share of the holding as well.
@@ -39,8 +39,8 @@
 	Segment int64
 	// Leave closes the holder's own accounts and returns the unspent tokens.
 	Leave bool
-	// Heir gets the unspent tokens of a leaving holder if it has an account.
-	Heir ident.Incarnation
+	// Successor gets the unspent tokens of a leaving holder if it has an account.
+	Successor ident.Incarnation
 }
 
 // Apply returns the slot after a holder's update, or ErrClosed if its account was closed.
@@ -70,10 +70,10 @@
 	a.Returned += returning
 	a.Settled = line.Settled // only its holder posts it; a voided bill lowers it
 	a.Segment = max(a.Segment, p.Segment)
-	a.Reserved, a.Rate, a.Lump = line.Reserved, line.Rate, line.Lump
+	a.Reserved, a.Rate, a.Lump = line.Reserved, line.Rate, line.ReservationSize
 	b = b.WithAccount(a).credited(line.CreditTo, min(line.Credit, returning))
 	if p.Leave {
-		return b.leave(a).credited(p.Heir, a.Unspent()), nil
+		return b.leave(a).credited(p.Successor, a.Unspent()), nil
 	}
 	return b.WithAccount(b.draw(a, line)), nil
 }
@@ -152,21 +152,21 @@
 // rateSlack is the ratio by which reported demand must change to be written on its own.
 const rateSlack = 1.25
 
-// Material reports whether an update must be written. It need not if it only changes the reported demand
+// NeedsWrite reports whether an update must be written. It need not if it only changes the reported demand
 // by less than rateSlack.
-func (s Slot) Material(next Slot) bool {
+func (s Slot) NeedsWrite(next Slot) bool {
 	if len(s.Budgets) != len(next.Budgets) {
 		return true
 	}
 	for i, b := range next.Budgets {
-		if s.Budgets[i].material(b) {
+		if s.Budgets[i].needsWrite(b) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b Budget) material(next Budget) bool {
+func (b Budget) needsWrite(next Budget) bool {
 	if b.Name != next.Name || b.Limit != next.Limit || b.Version != next.Version || b.Closed != next.Closed {
 		return true
 	}
@@ -174,14 +174,14 @@
 		return true
 	}
 	for i, a := range next.Accounts {
-		if b.Accounts[i].material(a) {
+		if b.Accounts[i].needsWrite(a) {
 			return true
 		}
 	}
 	return false
 }
 
-func (a Account) material(next Account) bool {
+func (a Account) needsWrite(next Account) bool {
 	if a.Holder != next.Holder || a.Drawn != next.Drawn || a.Returned != next.Returned || a.Settled != next.Settled || a.Frozen != next.Frozen {
 		return true
 	}
