--- a/fleet/attempt/attempt_test.go
+++ b/fleet/attempt/attempt_test.go
@@ -16,29 +16,30 @@
 		s    attempt.Situation
 		want attempt.Step
 	}{
-		{"not started goes elsewhere", attempt.Situation{Failure: attempt.NotStarted, Attempts: 1, Left: left}, attempt.Retry},
-		{"not started, enough tries", attempt.Situation{Failure: attempt.NotStarted, Attempts: attempt.MaxAttempts, Left: left}, attempt.GiveUp},
+		{"not started: retried elsewhere", attempt.Situation{Failure: attempt.NotStarted, Attempts: 1, Left: left}, attempt.Retry},
+		{"not started: no attempts left", attempt.Situation{Failure: attempt.NotStarted, Attempts: attempt.MaxAttempts, Left: left}, attempt.GiveUp},
 		{"no time left", attempt.Situation{Failure: attempt.NotStarted, Attempts: 1}, attempt.GiveUp},
-		{"a broken stream is resumed", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Resumable: true, Relayed: true, Left: left}, attempt.Resume},
-		{"and elsewhere if nothing was relayed", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Repeatable: true, Left: left}, attempt.Retry},
-		{"but never twice to the caller", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Repeatable: true, Relayed: true, Left: left}, attempt.GiveUp},
-		{"what may not be repeated is not", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Left: left}, attempt.GiveUp},
-		{"resumes end", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Resumable: true, Resumes: attempt.MaxResumes, Relayed: true, Left: left}, attempt.GiveUp},
-		{"a rejected request stays rejected", attempt.Situation{Failure: attempt.Rejected, Attempts: 1, Repeatable: true, Left: left}, attempt.GiveUp},
+		{"broken and resumable: resumed", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Resumable: true, Relayed: true, Left: left}, attempt.Resume},
+		{"broken before anything was relayed: retried", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Repeatable: true, Left: left}, attempt.Retry},
+		{"broken after something was relayed: not retried", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Repeatable: true, Relayed: true, Left: left}, attempt.GiveUp},
+		{"broken and not repeatable: not retried", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Left: left}, attempt.GiveUp},
+		{"no resumes left", attempt.Situation{Failure: attempt.Broken, Attempts: 1, Resumable: true, Resumes: attempt.MaxResumes, Relayed: true, Left: left}, attempt.GiveUp},
+		{"rejected: not retried", attempt.Situation{Failure: attempt.Rejected, Attempts: 1, Repeatable: true, Left: left}, attempt.GiveUp},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, attempt.Next(c.s)) })
 	}
 }
 
-func TestRetriesStayUnderATenthWhenAllFails(t *testing.T) {
+// Unbounded retries would multiply the load on endpoints that all fail.
+func TestRetriesStayUnderATenthWhenAllFail(t *testing.T) {
 	var b attempt.Budget
 	requests, sent := 10_000, 0
 	for range requests {
 		b = b.WithRequest()
 		sent++
-		for tries := 1; ; tries++ {
-			s := attempt.Situation{Failure: attempt.NotStarted, Attempts: tries, Left: time.Second, Budget: b}
+		for attempts := 1; ; attempts++ {
+			s := attempt.Situation{Failure: attempt.NotStarted, Attempts: attempts, Left: time.Second, Budget: b}
 			if attempt.Next(s) != attempt.Retry {
 				break
 			}
--- a/fleet/bill/bill.go
+++ b/fleet/bill/bill.go
@@ -1,4 +1,4 @@
-// Package bill holds the bills of requests: one for each request that ran.
+// Package bill defines the bills of requests, one for each request that ran and cost tokens.
 package bill
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// Bill is what one request cost, in tokens.
+// Bill is the cost of one request, in tokens.
 type Bill struct {
 	Request      ident.Request  `json:"requestId"`
 	Customer     ident.Customer `json:"customer"`
@@ -21,25 +21,25 @@
 	Tokens       int64          `json:"tokens"`
 	Node         ident.Node     `json:"node"`
 	At           time.Time      `json:"at"`
-	// Void marks a line that takes a durable bill back: its tokens are negative.
+	// Void marks a bill that reverses a durable one; its tokens are negative.
 	Void bool `json:"void,omitempty"`
 }
 
-// Segment is a batch of bills of one incarnation, an immutable object of the platform.
+// Segment is a batch of bills of one incarnation, stored as an immutable object in the platform.
 type Segment struct {
 	Holder ident.Incarnation `json:"holder"`
 	Bills  []Bill            `json:"bills"`
 }
 
-// Unique drops the bills of requests that stand twice or were taken back, and
-// orders the rest by time.
+// Unique removes duplicate bills and the bills of voided requests, and sorts the
+// remaining ones by time.
 func Unique(bills []Bill) []Bill {
 	voided := map[ident.Request]bool{}
 	for _, b := range bills {
 		voided[b.Request] = voided[b.Request] || b.Void
 	}
-	standing := lo.Filter(bills, func(b Bill, _ int) bool { return !voided[b.Request] })
-	unique := lo.UniqBy(standing, func(b Bill) ident.Request { return b.Request })
+	valid := lo.Filter(bills, func(b Bill, _ int) bool { return !voided[b.Request] })
+	unique := lo.UniqBy(valid, func(b Bill) ident.Request { return b.Request })
 	sort.Slice(unique, func(i, j int) bool {
 		if unique[i].At.Equal(unique[j].At) {
 			return unique[i].Request < unique[j].Request
--- a/fleet/keeper/keeper.go
+++ b/fleet/keeper/keeper.go
@@ -181,7 +181,7 @@
 	return others
 }
 
-// renewIncarnation starts a new incarnation after other nodes closed the accounts of the old one.
+// renewIncarnation starts a new incarnation after other nodes fenced the old one or closed its accounts.
 func (k *Keeper) renewIncarnation(why error) {
 	k.mu.Lock()
 	old := k.holding.Self()
@@ -189,6 +189,6 @@
 	k.holding, _ = k.holding.Handle(holder.Renew{Incarnation: next})
 	k.segments = segmentWriter{}
 	k.mu.Unlock()
-	k.Log.WithField("old", old).WithField("new", next).WithError(why).Warn("accounts closed by another node, starting a new incarnation")
+	k.Log.WithField("old", old).WithField("new", next).WithError(why).Warn("incarnation ended, starting a new one")
 	k.Events.Add(event.Event{Step: event.Close, Peer: string(old), Decision: "new incarnation " + string(next), Reason: "the old one's accounts were closed"})
 }
--- a/fleet/limit/limit.go
+++ b/fleet/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit decides whether a call fits the requests, tokens and in-flight
-// bounds of a limit's row.
+// Package limit decides whether a call fits within the request rate, the token rate
+// and the in-flight bound of a limit.
 package limit
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/samber/lo"
 )
 
-// burst is how much of a rate may be used at once, as time.
+// burst is the time whose worth of a rate may be used at once.
 const burst = time.Second
 
-// ErrRate and ErrInFlight tell which bound refused a call.
+// ErrRate and ErrInFlight name the bound that refused a call.
 var (
 	ErrRate     = errors.New("rate")
 	ErrInFlight = errors.New("in-flight")
 )
 
-// Line is a limit as it bears on one call.
+// Line is a limit that applies to a call. Zero values mean no bound.
 type Line struct {
 	Name              string `json:"name"`
 	RequestsPerSecond int64  `json:"requestsPerSecond,omitempty"`
 	TokensPerSecond   int64  `json:"tokensPerSecond,omitempty"`
 	MaxInFlight       int64  `json:"maxInFlight,omitempty"`
-	// Common marks a limit of all customers together, of which every node and not
-	// only every zone has a part.
+	// Common marks a limit that all customers use together. Every node has a share of it,
+	// while a customer's limit has one share per zone.
 	Common bool `json:"common,omitempty"`
 }
 
-// Usage is what a limit has let through; it is not changed in place.
+// Usage is the current usage of a limit. It is immutable.
 type Usage struct {
 	at       time.Time
 	requests float64 // free requests
@@ -37,18 +37,19 @@
 	inFlight int64
 }
 
-// With is the usage after a call of so many tokens, for a zone's share (0 to 1)
-// of the limit; or the bound that refuses it and how long until it may fit.
+// With returns the usage after a call that reserves the given tokens, for a share (0 to 1)
+// of the limit. If a bound refuses the call, it returns that bound and the time
+// after which the call may fit.
 func (u Usage) With(l Line, share float64, tokens int64, at time.Time) (Usage, time.Duration, error) {
 	next := u.refilled(l, share, at)
 	if l.MaxInFlight > 0 && float64(next.inFlight) >= max(1, float64(l.MaxInFlight)*share) {
 		return u, burst, ErrInFlight
 	}
 	if l.RequestsPerSecond > 0 && next.requests < 1 {
-		return u, wait(1-next.requests, float64(l.RequestsPerSecond)*share), ErrRate
+		return u, retryAfter(1-next.requests, float64(l.RequestsPerSecond)*share), ErrRate
 	}
 	if l.TokensPerSecond > 0 && next.tokens <= 0 {
-		return u, wait(1-next.tokens, float64(l.TokensPerSecond)*share), ErrRate
+		return u, retryAfter(1-next.tokens, float64(l.TokensPerSecond)*share), ErrRate
 	}
 	next.requests--
 	next.tokens -= float64(tokens)
@@ -56,13 +57,14 @@
 	return next, 0, nil
 }
 
-// Ended is the usage after a call that gave back some of its tokens.
+// Ended returns the usage after a call has ended without using some of its tokens.
 func (u Usage) Ended(unused int64) Usage {
 	u.inFlight = max(0, u.inFlight-1)
 	u.tokens += float64(unused)
 	return u
 }
 
+// refilled returns the usage with the requests and tokens that became free up to a time.
 func (u Usage) refilled(l Line, share float64, at time.Time) Usage {
 	requests, tokens := float64(l.RequestsPerSecond)*share, float64(l.TokensPerSecond)*share
 	if u.at.IsZero() {
@@ -76,30 +78,30 @@
 	return u
 }
 
-// longestWait bounds what a caller is told to wait: shares move in the meantime.
-const longestWait = 5 * time.Second
+// maxRetryAfter bounds the delay that callers are asked to wait, since shares change in the meantime.
+const maxRetryAfter = 5 * time.Second
 
-func wait(lack, rate float64) time.Duration {
-	return min(longestWait, time.Duration(lack/max(rate, lack/longestWait.Seconds())*float64(time.Second)))
+func retryAfter(missing, rate float64) time.Duration {
+	return min(maxRetryAfter, time.Duration(missing/max(rate, missing/maxRetryAfter.Seconds())*float64(time.Second)))
 }
 
-// The part of what goes unused that is lent, and the least worth lending.
 const (
-	lentPart  = 0.9
-	leastLent = 0.01
+	lentFraction = 0.9  // of the unused share that is lent
+	minLent      = 0.01 // smallest share of the limit that is lent
 )
 
-// Lent is the usage after another zone was lent most of what goes unused of a
-// zone's share, and that part of the whole limit; its burst goes along.
+// Lent returns the usage after most of the unused share was lent, and the lent share
+// of the whole limit. The burst of the lent share is transferred with it.
 func (u Usage) Lent(l Line, share float64, at time.Time) (Usage, float64) {
 	u = u.refilled(l, share, at)
-	part := lentPart * u.spare(l, share)
-	if part < leastLent {
+	lent := lentFraction * u.spare(l, share)
+	if lent < minLent {
 		return u, 0
 	}
-	return u.WithBurst(l, -part), part
+	return u.WithBurst(l, -lent), lent
 }
 
+// spare returns the unused share, 0 to 1 of the whole limit.
 func (u Usage) spare(l Line, share float64) float64 {
 	spare := share
 	if l.RequestsPerSecond > 0 {
@@ -114,10 +116,10 @@
 	return spare
 }
 
-// WithBurst is the usage with the burst of a part of the limit more, or less
-// where the part is negative.
-func (u Usage) WithBurst(l Line, part float64) Usage {
-	u.requests += part * float64(l.RequestsPerSecond) * burst.Seconds()
-	u.tokens += part * float64(l.TokensPerSecond) * burst.Seconds()
+// WithBurst returns the usage with the burst of a share of the limit added, or removed
+// if the share is negative.
+func (u Usage) WithBurst(l Line, share float64) Usage {
+	u.requests += share * float64(l.RequestsPerSecond) * burst.Seconds()
+	u.tokens += share * float64(l.TokensPerSecond) * burst.Seconds()
 	return u
 }
--- a/fleet/limit/limit_test.go
+++ b/fleet/limit/limit_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// let counts the calls that a limit lets through, one every step for a while.
-func let(l limit.Line, share float64, tokens int64, step, total time.Duration, end bool) int {
+// admitted counts the calls that a limit admits, with one call per step for the total time.
+func admitted(l limit.Line, share float64, tokens int64, step, total time.Duration, end bool) int {
 	var u limit.Usage
 	count := 0
 	for at := time.Duration(0); at < total; at += step {
@@ -43,25 +43,25 @@
 		{"half a share", limit.Line{RequestsPerSecond: 10}, 0.5, 1, true, 55},
 		{"tokens", limit.Line{TokensPerSecond: 100}, 1, 50, true, 22},
 		{"in flight", limit.Line{MaxInFlight: 4}, 1, 1, false, 4},
-		{"a small share lets one through", limit.Line{MaxInFlight: 4}, 0.1, 1, false, 1},
+		{"a small share still admits one call", limit.Line{MaxInFlight: 4}, 0.1, 1, false, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := let(c.line, c.share, c.tokens, 10*time.Millisecond, 10*time.Second, c.end)
+			got := admitted(c.line, c.share, c.tokens, 10*time.Millisecond, 10*time.Second, c.end)
 			assert.InDelta(t, c.want, got, 1)
 		})
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalReturnsRetryDelay(t *testing.T) {
 	l := limit.Line{RequestsPerSecond: 2}
 	var u limit.Usage
 	for range 2 {
 		u, _, _ = u.With(l, 1, 1, start)
 	}
-	_, wait, err := u.With(l, 1, 1, start)
+	_, retryAfter, err := u.With(l, 1, 1, start)
 	assert.ErrorIs(t, err, limit.ErrRate)
-	assert.Equal(t, 500*time.Millisecond, wait)
-	_, _, err = u.With(l, 1, 1, start.Add(wait))
+	assert.Equal(t, 500*time.Millisecond, retryAfter)
+	_, _, err = u.With(l, 1, 1, start.Add(retryAfter))
 	assert.NoError(t, err)
 }
--- a/fleet/witness/witness.go
+++ b/fleet/witness/witness.go
@@ -1,10 +1,10 @@
-// Package witness keeps the records that a node knows as the second VM: those
-// it runs as an entry under another holder, and those that another holder
-// entrusted to it.
+// Package witness stores the records that a node keeps as the second VM: those
+// it runs as the entry VM under another holder, and those that another holder
+// stored here.
 //
-// A holder's death is made good from what witnesses know. Fencing a holder is
-// their promise to run nothing more under it, so that its account can be closed
-// exactly even if it is only paused and wakes.
+// After a holder has died, its accounts are closed from the records of its witnesses.
+// A witness that has fenced a holder runs nothing more under it, so that the accounts
+// can be closed with exact amounts even if the holder was only paused and resumes.
 package witness
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// State is what a node knows as a witness; it is not changed in place.
+// State is the state of a node as a witness. It is immutable.
 type State struct {
 	records *immutable.Map[ident.Request, holder.Record]
 	fenced  *immutable.Map[ident.Incarnation, bool]
 }
 
-// New is a witness that knows nothing.
+// New returns a witness without records.
 func New() State {
 	return State{
 		records: ident.NewMap[ident.Request, holder.Record](),
@@ -31,23 +31,23 @@
 	}
 }
 
-// Message is something that happened to a witness.
+// Message is an event or a request that State.Handle applies to a witness.
 type Message interface{ message() }
 
-// Store entrusts a record; it is refused once its holder is fenced.
+// Store stores a record. A new open record is refused once its holder is fenced.
 type Store struct{ Record holder.Record }
 
-// Settle notes the end of a request at a cost.
+// Settle records the end of a request and its cost.
 type Settle struct {
 	Request ident.Request
 	Usage   holder.Usage
 	At      time.Time
 }
 
-// Drop forgets requests that did not run or whose bills are durable.
+// Drop removes requests that did not run or whose bills are durable.
 type Drop struct{ Requests []ident.Request }
 
-// Fence ends a holder: nothing more is run under it here.
+// Fence fences a holder: nothing more runs under it on this node.
 type Fence struct{ Holder ident.Incarnation }
 
 func (Store) message()  {}
@@ -55,7 +55,7 @@
 func (Drop) message()   {}
 func (Fence) message()  {}
 
-// Effect answers a message.
+// Effect is the answer to a message.
 type Effect interface{ effect() }
 
 // Stored confirms a message.
@@ -67,7 +67,7 @@
 func (Stored) effect() {}
 func (Fenced) effect() {}
 
-// Handle takes a message and returns the next state and the answer.
+// Handle applies a message and returns the next state and the answer.
 func (s State) Handle(m Message) (State, Effect) {
 	switch m := m.(type) {
 	case Store:
@@ -86,7 +86,7 @@
 	return s, Stored{}
 }
 
-// store keeps a record; what is known to have ended stays ended.
+// store adds or replaces a record. A settled record stays as it is.
 func (s State) store(m Store) (State, Effect) {
 	old, ok := s.records.Get(m.Record.Request)
 	if ok && old.Phase == holder.Settled {
@@ -108,10 +108,10 @@
 	return s
 }
 
-// Record finds a record.
+// Record returns the record of a request.
 func (s State) Record(id ident.Request) (holder.Record, bool) { return s.records.Get(id) }
 
-// Of lists the records of a holder, by request.
+// Of returns the records of a holder, sorted by request.
 func (s State) Of(h ident.Incarnation) []holder.Record {
 	var found []holder.Record
 	for it := s.records.Iterator(); !it.Done(); {
@@ -128,7 +128,7 @@
 	return found
 }
 
-// All lists every record that is kept.
+// All returns all stored records.
 func (s State) All() []holder.Record {
 	all := make([]holder.Record, 0, s.records.Len())
 	for it := s.records.Iterator(); !it.Done(); {
@@ -138,7 +138,7 @@
 	return all
 }
 
-// Holders lists the holders whose records are kept.
+// Holders returns the holders that have records here.
 func (s State) Holders() []ident.Incarnation {
 	var holders []ident.Incarnation
 	for it := s.records.Iterator(); !it.Done(); {
@@ -149,5 +149,5 @@
 	return slices.Compact(holders)
 }
 
-// Len is how many records are kept.
+// Len returns the number of stored records.
 func (s State) Len() int { return s.records.Len() }
