--- a/ctl/capacity/mechanisms.go
+++ b/ctl/capacity/mechanisms.go
@@ -22,24 +22,24 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Slopes are the measured costs of every mechanism.
+// Slopes holds the measured costs of all mechanisms.
 type Slopes struct {
-	Admission     Slope // ns of admitting and settling, over a holder's budgets
-	HolderMemory  Slope // bytes, over a holder's budgets
+	Admission     Slope // ns to admit and settle a request, over the budgets of a holder
+	HolderMemory  Slope // bytes, over the budgets of a holder
 	RecordMemory  Slope // bytes, over open records
-	LedgerBytes   Slope // bytes of a ledger's JSON, over its accounts
-	LedgerTime    Slope // ns of decoding, applying and encoding it, over its accounts
+	LedgerBytes   Slope // bytes of a ledger as JSON, over its accounts
+	LedgerTime    Slope // ns to decode, update and encode a ledger, over its accounts
 	BillBytes     Slope // bytes of a segment, over its bills
 	BeatBytes     Slope // bytes of a heartbeat, over the members in it
 	BeatTime      Slope // ns of one beat, over the members known
 	LoadBytes     Slope // bytes of load reports, over reports
-	Choose        Slope // ns of a choice, over engines
+	Choose        Slope // ns to choose an endpoint, over engines
 	CatalogMemory Slope // bytes, over rows
-	CatalogTime   Slope // ns of putting a revision in force, over rows
+	CatalogTime   Slope // ns to build the catalog of a revision, over rows
 	EventMemory   Slope // bytes, over events
-	Call          Slope // ns of a call between nodes, both sides, over bytes of its body
+	Call          Slope // ns of a call between nodes, both sides, over the bytes of its body
 }
 
 // Measure runs every measurement; it takes about half a minute.
@@ -63,67 +63,67 @@
 }
 
 const (
-	ample = int64(1) << 40
-	bound = int64(500)
+	largeLimit = int64(1) << 40
+	tokenBound = int64(500)
 )
 
-func line(i int) holder.BudgetLine {
-	return holder.BudgetLine{Name: ident.Budget(fmt.Sprintf("budget-%05d", i)), Limit: ample, Version: 1}
+func budgetLine(i int) holder.BudgetLine {
+	return holder.BudgetLine{Name: ident.Budget(fmt.Sprintf("budget-%05d", i)), Limit: largeLimit, Version: 1}
 }
 
-// books is a holder with drawn budgets.
-func books(budgets int) holder.State {
+// holderWithBudgets returns a holder that has drawn tokens from each budget.
+func holderWithBudgets(budgets int) holder.State {
 	s := holder.New("n1@1", "z")
 	doc := ledger.Slot{}
 	for i := range budgets {
-		l := line(i)
-		doc.Budgets = append(doc.Budgets, ledger.Budget{Name: l.Name, Limit: ample, Version: 1, Accounts: []ledger.Account{{Holder: "n1@1", Zone: "z", Drawn: ample / 2}}})
-		s, _ = s.Handle(holder.Opened{At: start, Budgets: []holder.BudgetLine{l}})
+		l := budgetLine(i)
+		doc.Budgets = append(doc.Budgets, ledger.Budget{Name: l.Name, Limit: largeLimit, Version: 1, Accounts: []ledger.Account{{Holder: "n1@1", Zone: "z", Drawn: largeLimit / 2}}})
+		s, _ = s.Handle(holder.Opened{At: epoch, Budgets: []holder.BudgetLine{l}})
 	}
-	s, _ = s.Handle(holder.Synced{At: start, Slot: doc})
+	s, _ = s.Handle(holder.Synced{At: epoch, Slot: doc})
 	return s
 }
 
-func record(i int) holder.Record {
+func testRecord(i int) holder.Record {
 	return holder.Record{
-		Request: ident.NewRequest("zone-a", 0, fmt.Sprintf("01J%023d", i)), Customer: "customer-0001", Service: "suggest", Bound: bound, Model: true,
-		Entry: "sofia-a-2@01J00000000000000000000000", EntryURL: "http://10.0.0.1:8080", At: start,
+		Request: ident.NewRequest("zone-a", 0, fmt.Sprintf("01J%023d", i)), Customer: "customer-0001", Service: "suggest", Bound: tokenBound, Model: true,
+		Entry: "sofia-a-2@01J00000000000000000000000", EntryURL: "http://10.0.0.1:8080", At: epoch,
 		Attempts: []holder.Attempt{{Number: 1, Endpoint: "engine-0001", URL: "http://10.0.1.1:8000"}},
 	}
 }
 
 func admission(budgets int) float64 {
-	s, i := books(budgets), 0
+	s, i := holderWithBudgets(budgets), 0
 	return nanoseconds(func() {
 		i++
-		r := record(i)
-		s, _ = s.Handle(holder.Admit{At: start, Record: r, Budgets: []holder.BudgetLine{line(i % budgets)}})
-		s, _ = s.Handle(holder.Settle{At: start, Request: r.Request, Usage: holder.Usage{Prompt: 100, Output: 200}})
+		r := testRecord(i)
+		s, _ = s.Handle(holder.Admit{At: epoch, Record: r, Budgets: []holder.BudgetLine{budgetLine(i % budgets)}})
+		s, _ = s.Handle(holder.Settle{At: epoch, Request: r.Request, Usage: holder.Usage{Prompt: 100, Output: 200}})
 		s, _ = s.Handle(holder.Durable{Requests: []ident.Request{r.Request}})
 	})
 }
 
 func holderMemory(budgets int) float64 {
-	return heapBytes(func() holder.State { return books(budgets) })
+	return heapBytes(func() holder.State { return holderWithBudgets(budgets) })
 }
 
 func recordMemory(records int) float64 {
-	s := books(1)
+	s := holderWithBudgets(1)
 	return heapBytes(func() holder.State {
 		for i := range records {
-			s, _ = s.Handle(holder.Admit{At: start, Record: record(i), Budgets: []holder.BudgetLine{line(0)}})
+			s, _ = s.Handle(holder.Admit{At: epoch, Record: testRecord(i), Budgets: []holder.BudgetLine{budgetLine(0)}})
 		}
 		return s
 	})
 }
 
-// accountsPerBudget is one holder in each zone.
+// accountsPerBudget is the number of accounts in a budget: one holder in each zone.
 const accountsPerBudget = 8
 
 func ledgerOf(accounts int) ledger.Slot {
 	s := ledger.Slot{Slot: 7}
 	for i := range accounts / accountsPerBudget {
-		b := ledger.Budget{Name: line(i).Name, Limit: 5_000_000, Version: 12, Closed: 1_234_567}
+		b := ledger.Budget{Name: budgetLine(i).Name, Limit: 5_000_000, Version: 12, Closed: 1_234_567}
 		for z := range accountsPerBudget {
 			b.Accounts = append(b.Accounts, ledger.Account{
 				Holder: ident.NewIncarnation(ident.Node(fmt.Sprintf("region-1-zone-%d-vm-17", z)), "01JABCDEFGHJKMNPQRSTVWXYZ0"), Zone: ident.Zone(fmt.Sprintf("zone-%d", z)),
@@ -135,7 +135,7 @@
 	return s
 }
 
-func encoded(v any) []byte {
+func mustEncode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -143,10 +143,10 @@
 	return data
 }
 
-func ledgerBytes(accounts int) float64 { return float64(len(encoded(ledgerOf(accounts)))) }
+func ledgerBytes(accounts int) float64 { return float64(len(mustEncode(ledgerOf(accounts)))) }
 
 func ledgerTime(accounts int) float64 {
-	data := encoded(ledgerOf(accounts))
+	data := mustEncode(ledgerOf(accounts))
 	return nanoseconds(func() {
 		var s ledger.Slot
 		if err := json.Unmarshal(data, &s); err != nil {
@@ -160,18 +160,18 @@
 		if err != nil {
 			panic(err)
 		}
-		encoded(next)
+		mustEncode(next)
 	})
 }
 
 func billBytes(bills int) float64 {
 	s := bill.Segment{Holder: "region-1-zone-1-vm-17@01JABCDEFGHJKMNPQRSTVWXYZ0"}
 	for i := range bills {
-		r := record(i)
-		r.Budget, r.Usage, r.EndedAt = "budget-00001", holder.Usage{Prompt: 123, Output: 456}, start
+		r := testRecord(i)
+		r.Budget, r.Usage, r.EndedAt = "budget-00001", holder.Usage{Prompt: 123, Output: 456}, epoch
 		s.Bills = append(s.Bills, r.Bill())
 	}
-	return float64(len(encoded(s)))
+	return float64(len(mustEncode(s)))
 }
 
 func member(i int) membership.Member {
@@ -184,27 +184,27 @@
 	for i := range members {
 		b.Members = append(b.Members, member(i))
 	}
-	return float64(len(encoded(b)))
+	return float64(len(mustEncode(b)))
 }
 
 func beatTime(members int) float64 {
 	s := membership.New(member(0), membership.Options{})
 	for i := range members {
-		s, _ = s.Handle(membership.Heard{At: start, Members: []membership.Member{member(i + 1)}})
+		s, _ = s.Handle(membership.Heard{At: epoch, Members: []membership.Member{member(i + 1)}})
 	}
-	heard := membership.Heard{At: start, Members: []membership.Member{member(1), member(2), member(3)}}
+	received := membership.Heard{At: epoch, Members: []membership.Member{member(1), member(2), member(3)}}
 	return nanoseconds(func() {
-		s, _ = s.Handle(membership.Ticked{At: start, Random: func(int) int { return 0 }})
-		s, _ = s.Handle(heard)
+		s, _ = s.Handle(membership.Ticked{At: epoch, Random: func(int) int { return 0 }})
+		s, _ = s.Handle(received)
 	})
 }
 
 func loadBytes(reports int) float64 {
 	var b peer.Beat
 	for range reports {
-		b.Loads = append(b.Loads, peer.Load{Endpoint: "engine-0001", InFlight: 12, Queued: 3, Read: start.UnixMilli()})
+		b.Loads = append(b.Loads, peer.Load{Endpoint: "engine-0001", InFlight: 12, Queued: 3, Read: epoch.UnixMilli()})
 	}
-	return float64(len(encoded(b)))
+	return float64(len(mustEncode(b)))
 }
 
 func choose(engines int) float64 {
@@ -213,31 +213,31 @@
 		rows = append(rows, table.Row{Kind: table.Endpoint, Name: fmt.Sprintf("engine-%04d", i), Version: 1, Cells: table.Cells{"services": "s", "zone": fmt.Sprintf("zone-%d", i%8), "url": "http://10.0.0.1:1"}})
 	}
 	t := routing.New(catalog.New(1, table.New(rows...)), "zone-0", []ident.Service{"s"})
-	look := func(ident.Endpoint) routing.Condition { return routing.Condition{Limit: 16, Own: 3} }
+	condition := func(ident.Endpoint) routing.Condition { return routing.Condition{Limit: 16, Own: 3} }
 	i := uint64(0)
 	return nanoseconds(func() {
 		i++
-		t.Choose(routing.Query{Service: "s", Prefix: i, Random: i}, look)
+		t.Choose(routing.Query{Service: "s", Prefix: i, Random: i}, condition)
 	})
 }
 
 func rows(count int) []table.Row {
 	all := make([]table.Row, 0, count)
 	for i := range count {
-		all = append(all, table.Row{Kind: table.Budget, Name: string(line(i).Name), Version: 3, Cells: table.Cells{"customer": fmt.Sprintf("customer-%04d", i/11), "services": "*", "limitTokens": "5000000"}, Changed: map[table.Column]table.Version{"limitTokens": 3}})
+		all = append(all, table.Row{Kind: table.Budget, Name: string(budgetLine(i).Name), Version: 3, Cells: table.Cells{"customer": fmt.Sprintf("customer-%04d", i/11), "services": "*", "limitTokens": "5000000"}, Changed: map[table.Column]table.Version{"limitTokens": 3}})
 	}
 	return all
 }
 
-type inForce struct {
+type revision struct {
 	table   table.Table
 	catalog *catalog.Catalog
 }
 
 func catalogMemory(count int) float64 {
-	return heapBytes(func() inForce {
+	return heapBytes(func() revision {
 		t := table.New(rows(count)...)
-		return inForce{table: t, catalog: catalog.New(1, t)}
+		return revision{table: t, catalog: catalog.New(1, t)}
 	})
 }
 
@@ -246,7 +246,7 @@
 	return nanoseconds(func() { catalog.New(1, t) })
 }
 
-// callTime is one call on loopback, caller and server together.
+// callTime returns the time of one call on loopback, caller and server together.
 func callTime(bytes int) float64 {
 	tracer := noop.NewTracerProvider().Tracer("")
 	server := peer.NewServer("key", tracer)
@@ -269,9 +269,9 @@
 
 func eventMemory(count int) float64 {
 	return heapBytes(func() *event.Log {
-		l := event.New("n1", count, func() time.Time { return start })
+		l := event.New("n1", count, func() time.Time { return epoch })
 		for i := range count {
-			l.Add(event.Event{Request: record(i).Request, Step: event.Choose, Peer: fmt.Sprintf("engine-%04d", i%1000), Decision: "chosen", Reason: fmt.Sprintf("least loaded, before engine-%04d", i%999)})
+			l.Add(event.Event{Request: testRecord(i).Request, Step: event.Choose, Peer: fmt.Sprintf("engine-%04d", i%1000), Decision: "chosen", Reason: fmt.Sprintf("least loaded, before engine-%04d", i%999)})
 		}
 		return l
 	})
--- a/ctl/capacity/plan.go
+++ b/ctl/capacity/plan.go
@@ -8,41 +8,41 @@
 	"github.com/lynxshed/lynxshed/fleet/config"
 )
 
-// Plan is the size that the users plan for within two years.
+// Plan is the size of the fleet that the users plan for within two years, with its settings.
 type Plan struct {
 	Nodes, Zones, Engines, Budgets, Customers float64
-	Requests, Tokens                          float64 // a second at the peak
-	Changes                                   float64 // of configuration a day
-	DeadVMs, ReplacedVMs                      float64 // a day
+	Requests, Tokens                          float64 // per second at the peak
+	Changes                                   float64 // configuration changes per day
+	DeadVMs, ReplacedVMs                      float64 // per day
 
-	// How the fleet would be set at that size.
-	Slots         float64
-	FlushSeconds  float64
-	LedgerSeconds float64
-	BeatSeconds   float64
-	BeatMembers   float64 // members in a heartbeat
-	BeatTargets   float64
-	Loads         float64 // load reports in a heartbeat
-	AnswerMembers float64 // members in its answer, which tells only what is newer
-	AnswerLoads   float64
-	PollSeconds   float64 // between reads of an endpoint's load
-	Stream        float64 // seconds that a request runs
-	KeyedPart     float64 // of the requests carry an idempotency key
-	ListSeconds   float64
-	Events        float64
+	// Settings of the fleet at that size.
+	Slots             float64
+	FlushSeconds      float64
+	LedgerSeconds     float64
+	BeatSeconds       float64
+	BeatMembers       float64 // members in a heartbeat
+	BeatTargets       float64 // nodes that each heartbeat is sent to
+	LoadReports       float64 // load reports in a heartbeat
+	AnswerMembers     float64 // members in the answer to a heartbeat, which holds only newer data
+	AnswerLoadReports float64 // load reports in the answer
+	PollSeconds       float64 // between reads of an endpoint's load
+	StreamSeconds     float64 // duration of a request in seconds
+	KeyedShare        float64 // share of requests with an idempotency key
+	ListSeconds       float64 // between reads of the list of VMs
+	Events            float64 // kept by a node
 }
 
-// Designed is the plan of the developers' page.
-func Designed() Plan {
+// Planned returns the plan that docs/CAPACITY.md describes.
+func Planned() Plan {
 	return Plan{
 		Nodes: 390, Zones: 8, Engines: 1000, Budgets: 21_000, Customers: 1900,
 		Requests: 2200, Tokens: 720_000, Changes: 1600, DeadVMs: 13, ReplacedVMs: 170,
-		Slots: 512, FlushSeconds: 10, LedgerSeconds: 300, BeatSeconds: 2, BeatMembers: 9, BeatTargets: 3, Loads: 14,
-		AnswerMembers: 4, AnswerLoads: 5, PollSeconds: 1, Stream: 15, KeyedPart: 0.2, ListSeconds: 5, Events: 20_000,
+		Slots: 512, FlushSeconds: 10, LedgerSeconds: 300, BeatSeconds: 2, BeatMembers: 9, BeatTargets: 3, LoadReports: 14,
+		AnswerMembers: 4, AnswerLoadReports: 5, PollSeconds: 1, StreamSeconds: 15, KeyedShare: 0.2, ListSeconds: 5, Events: 20_000,
 	}
 }
 
-// limits are what the users allow a node for control, and the platform's rates.
+// Limits that the users set on the control of a node, and limits of the platform.
 const (
 	coreLimit   = 0.012 // of a core
 	memoryLimit = 128e6
@@ -50,37 +50,37 @@
 	writesLimit = 400
 	readsLimit  = 2000
 	valueLimit  = 1 << 20
-	// callBytes is what HTTP adds to a call and its answer.
+	// callBytes is the overhead of HTTP in a call and its answer.
 	callBytes = 450
-	// claimBytes is a record in a claim, reportBytes a load report.
+	// claimBytes is the size of a record in a claim, reportBytes that of a load report.
 	claimBytes  = 700
 	reportBytes = 100
-	// headBytes is a head with its shards and its history of 40 edits, rowBytes a
-	// row of a shard.
+	// headBytes is the size of a configuration head with its shards and a history of 40 edits, rowBytes
+	// that of a row in a shard.
 	headBytes = 12_500
 	rowBytes  = 200
 )
 
-// Line is one row of the page's table.
-type Line struct {
+// Estimate is one row of the table of estimated costs.
+type Estimate struct {
 	Role, What, Formula string
-	// PerRequest marks what grows with the requests that a node serves; the rest
-	// is control, which the users' limits are for.
+	// PerRequest marks costs that grow with the requests that a node serves. All others are costs of
+	// control, to which the users' limits apply.
 	PerRequest bool
 	Value      float64
 	Unit       string
 	Mechanism  string
 }
 
-// Share is one limit and how much of it is used.
-type Share struct {
+// LimitUse is a limit and the estimated use of it.
+type LimitUse struct {
 	Limit string
 	Used  float64
 	Of    float64
 	Unit  string
 }
 
-// derived are the counts that the formulas share.
+// derived holds the quantities that several formulas use.
 type derived struct {
 	nodesPerZone, requestsPerNode, budgetsPerHolder, accountsPerSlot, rows float64
 	ledgerWrites, billWrites, claims, openRecords                          float64
@@ -96,27 +96,27 @@
 		billWrites:      p.Nodes / p.FlushSeconds,
 	}
 	d.budgetsPerHolder = p.Budgets / d.nodesPerZone
-	d.claims = d.requestsPerNode * p.KeyedPart * (p.Zones - 1 + 2)
-	d.openRecords = d.requestsPerNode * (p.Stream + p.FlushSeconds) * 2
+	d.claims = d.requestsPerNode * p.KeyedShare * (p.Zones - 1 + 2)
+	d.openRecords = d.requestsPerNode * (p.StreamSeconds + p.FlushSeconds) * 2
 	return d
 }
 
-// Lines works out the table.
-func (p Plan) Lines(s Slopes) []Line {
+// Estimates returns the estimated costs at the size of the plan.
+func (p Plan) Estimates(s Slopes) []Estimate {
 	d := p.derive()
-	beat := s.BeatBytes.At(p.BeatMembers) + s.LoadBytes.At(p.Loads) + callBytes + s.BeatBytes.At(p.AnswerMembers) + s.LoadBytes.At(p.AnswerLoads)
-	callNanos := s.Call.At(claimBytes) // both sides, as each node is caller and server in turn
+	beat := s.BeatBytes.At(p.BeatMembers) + s.LoadBytes.At(p.LoadReports) + callBytes + s.BeatBytes.At(p.AnswerMembers) + s.LoadBytes.At(p.AnswerLoadReports)
+	callNanos := s.Call.At(claimBytes) // both sides, since each node is caller and server in turn
 	polls := 2 * p.Engines / p.Nodes / p.PollSeconds
 	ledgerBytes := s.LedgerBytes.At(d.accountsPerSlot)
 	perNode := d.ledgerWrites / p.Nodes
-	return []Line{
+	return []Estimate{
 		{"entry", "calls to holders", "2 x R/N", true, d.requestsPerNode * 2, "calls/s", "admit and settle inside the zone"},
 		{"entry", "choice of an endpoint", "measured at E", true, s.Choose.At(p.Engines) / 1000, "us", "routing.Table.Choose"},
 		{"entry", "processor for admission and choice", "R/N x (2 calls + choice)", true, d.requestsPerNode * (2*callNanos + s.Choose.At(p.Engines)) / 1e9 * 100, "% of a core", "peer calls"},
 		{"slot holder", "admission and settlement", "measured at B/(N/Z)", true, s.Admission.At(d.budgetsPerHolder) / 1000, "us", "holder.State.Handle"},
 		{"slot holder", "claims of keys", "R/N x keyed x (Z+1)", true, d.claims, "calls/s", "one question to each zone and two runners-up"},
 		{"slot holder", "claims of keys", "calls x (record + HTTP)", true, d.claims * (claimBytes + callBytes) / 1e3, "kB/s", "the same"},
-		{"slot holder", "bills", "R/N x bytes", true, d.requestsPerNode * s.BillBytes.Each / 1e3, "kB/s", "one segment each flush"},
+		{"slot holder", "bills", "R/N x bytes", true, d.requestsPerNode * s.BillBytes.PerUnit / 1e3, "kB/s", "one segment each flush"},
 		{"slot holder", "open and undurable records, as holder and as witness", "2 x R/N x (stream + flush)", true, s.RecordMemory.At(d.openRecords) / 1e6, "MB", "holder.State, witness.State"},
 		{"slot holder", "books", "B/(N/Z) budgets", false, s.HolderMemory.At(d.budgetsPerHolder) / 1e6, "MB", "holder.State"},
 		{"slot holder", "ledger of a slot", "B/S x Z accounts", false, ledgerBytes / 1e3, "kB", "ledger.Slot as JSON"},
@@ -140,10 +140,10 @@
 	}
 }
 
-// Shares holds the sums against the users' limits.
-func (p Plan) Shares(s Slopes) []Share {
+// LimitUses compares the sums of the estimates with the users' limits.
+func (p Plan) LimitUses(s Slopes) []LimitUse {
 	var core, memory, bytes, writes, reads float64
-	for _, l := range p.Lines(s) {
+	for _, l := range p.Estimates(s) {
 		switch {
 		case l.PerRequest:
 		case l.Unit == "% of a core":
@@ -158,7 +158,7 @@
 			reads += l.Value
 		}
 	}
-	return []Share{
+	return []LimitUse{
 		{"control: processor of a node", core * 100, coreLimit * 100, "% of a core"},
 		{"control: memory of a node", memory / 1e6, memoryLimit / 1e6, "MB"},
 		{"control: traffic of a node", bytes / 1e3, bytesLimit / 1e3, "kB/s"},
@@ -168,7 +168,7 @@
 	}
 }
 
-// Write prints the page's three tables in Markdown.
+// Write writes the tables of slopes, estimates and limits in Markdown.
 func Write(w io.Writer, p Plan, s Slopes) error {
 	var text strings.Builder
 	text.WriteString("| slope | per | measured (size: cost) | base | each | R² |\n|---|---|---|---|---|---|\n")
@@ -177,10 +177,10 @@
 		for _, point := range x.Points {
 			points = append(points, fmt.Sprintf("%.0f: %.4g", point.Size, point.Cost))
 		}
-		fmt.Fprintf(&text, "| %s, %s | %s | %s | %.4g | %.4g | %.3f |\n", x.Name, x.Unit, x.Per, strings.Join(points, ", "), x.Base, x.Each, x.Fit)
+		fmt.Fprintf(&text, "| %s, %s | %s | %s | %.4g | %.4g | %.3f |\n", x.Name, x.Unit, x.Per, strings.Join(points, ", "), x.Base, x.PerUnit, x.RSquared)
 	}
 	text.WriteString("\n| role | what | grows with | formula | at the planned size | mechanism |\n|---|---|---|---|---|---|\n")
-	for _, l := range p.Lines(s) {
+	for _, l := range p.Estimates(s) {
 		grows := "the fleet"
 		if l.PerRequest {
 			grows = "requests"
@@ -188,7 +188,7 @@
 		fmt.Fprintf(&text, "| %s | %s | %s | %s | %.3g %s | %s |\n", l.Role, l.What, grows, l.Formula, l.Value, l.Unit, l.Mechanism)
 	}
 	text.WriteString("\n| limit | used | allowed | share | breaks at, times the planned size |\n|---|---|---|---|---|\n")
-	for _, x := range p.Shares(s) {
+	for _, x := range p.LimitUses(s) {
 		fmt.Fprintf(&text, "| %s | %.3g %s | %.4g %s | %.0f%% | %.1f |\n", x.Limit, x.Used, x.Unit, x.Of, x.Unit, 100*x.Used/x.Of, x.Of/x.Used)
 	}
 	_, err := io.WriteString(w, text.String())
--- a/ctl/capacity/slope.go
+++ b/ctl/capacity/slope.go
@@ -1,5 +1,5 @@
-// Package capacity measures what the fleet's mechanisms cost as they grow, fits
-// a line to each, and works out the cost at the size that the users plan for.
+// Package capacity measures how the costs of the fleet's mechanisms grow with size, fits a line to each,
+// and estimates the costs at the size that the users plan for.
 package capacity
 
 import (
@@ -8,28 +8,28 @@
 	"testing"
 )
 
-// Point is one measurement: a cost at a size.
+// Point is one measurement of a cost at a size.
 type Point struct {
 	Size float64
 	Cost float64
 }
 
-// Slope is a line fitted to measurements.
+// Slope is a line fitted to measurements by least squares.
 type Slope struct {
-	Name   string
-	Unit   string
-	Per    string // what the size counts
-	Points []Point
-	Base   float64
-	Each   float64 // cost of one more
-	Fit    float64 // R squared
+	Name     string
+	Unit     string
+	Per      string // unit of the size
+	Points   []Point
+	Base     float64 // cost at size zero
+	PerUnit  float64 // added cost per unit of size
+	RSquared float64 // coefficient of determination, R²
 }
 
-// At is the cost at a size.
-func (s Slope) At(size float64) float64 { return s.Base + s.Each*size }
+// At returns the estimated cost at a size.
+func (s Slope) At(size float64) float64 { return s.Base + s.PerUnit*size }
 
-// fit draws the line of least squares.
-func fit(name, unit, per string, points []Point) Slope {
+// fitLine fits a line by least squares.
+func fitLine(name, unit, per string, points []Point) Slope {
 	s := Slope{Name: name, Unit: unit, Per: per, Points: points}
 	var n, x, y, xx, xy, yy float64
 	for _, p := range points {
@@ -42,15 +42,15 @@
 		s.Base = y / n
 		return s
 	}
-	s.Each = (n*xy - x*y) / variance
-	s.Base = (y - s.Each*x) / n
+	s.PerUnit = (n*xy - x*y) / variance
+	s.Base = (y - s.PerUnit*x) / n
 	if spread := n*yy - y*y; spread > 0 {
-		s.Fit = math.Pow(n*xy-x*y, 2) / (variance * spread)
+		s.RSquared = math.Pow(n*xy-x*y, 2) / (variance * spread)
 	}
 	return s
 }
 
-// nanoseconds is the time of one call, measured by the testing package.
+// nanoseconds returns the mean duration of call, as measured by testing.Benchmark.
 func nanoseconds(call func()) float64 {
 	result := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
@@ -60,23 +60,23 @@
 	return float64(result.T.Nanoseconds()) / float64(result.N)
 }
 
-// heapBytes is what is still in use of what build makes.
+// heapBytes returns the heap memory retained by the result of build.
 func heapBytes[T any](build func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := build()
+	retained := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(retained)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// measure takes a cost at several sizes.
+// measure measures a cost at several sizes and fits a line.
 func measure(name, unit, per string, sizes []int, cost func(size int) float64) Slope {
 	points := make([]Point, 0, len(sizes))
 	for _, size := range sizes {
 		points = append(points, Point{Size: float64(size), Cost: cost(size)})
 	}
-	return fit(name, unit, per, points)
+	return fitLine(name, unit, per, points)
 }
--- a/ctl/client/client.go
+++ b/ctl/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the operators' resources of any node.
+// Package client is an HTTP client of the operators' API of the nodes.
 package client
 
 import (
@@ -20,43 +20,43 @@
 )
 
 const (
-	timeout   = 30 * time.Second
-	maxAnswer = 256 << 20
+	requestTimeout   = 30 * time.Second
+	maxResponseBytes = 256 << 20
 )
 
-// Client asks the first node that answers.
+// Client sends each request to its nodes in turn until one responds.
 type Client struct {
 	nodes []string
 	key   string
 	http  *http.Client
 }
 
-// New makes a client of some nodes with an operator's key.
+// New returns a client of the given nodes that authenticates with an operator's key.
 func New(nodes []string, key string) *Client {
-	return &Client{nodes: nodes, key: key, http: &http.Client{Timeout: timeout}}
+	return &Client{nodes: nodes, key: key, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// Rows lists the rows of a kind, "" for all.
+// Rows lists the rows of a kind, or all rows if kind is empty.
 func (c *Client) Rows(ctx context.Context, kind string) ([]table.Row, error) {
 	return call[[]table.Row](ctx, c, http.MethodGet, "/table?kind="+url.QueryEscape(kind), nil)
 }
 
-// Row reads a row; the problem's reason is not-found where there is none.
+// Row reads a row. If there is none, the error is a problem with the reason not-found.
 func (c *Client) Row(ctx context.Context, id table.ID) (table.Row, error) {
 	return call[table.Row](ctx, c, http.MethodGet, "/table/"+string(id.Kind)+"/"+url.PathEscape(id.Name), nil)
 }
 
-// Edit makes all the edits or none.
+// Edit applies all edits or none.
 func (c *Client) Edit(ctx context.Context, id, by string, edits []table.Edit) (operator.Accepted, error) {
 	return call[operator.Accepted](ctx, c, http.MethodPost, "/table/edits", operator.NewEditsBody(id, by, edits))
 }
 
-// History lists the accepted edits that the head remembers.
+// History lists the accepted edits that the head of the configuration retains.
 func (c *Client) History(ctx context.Context) ([]config.Change, error) {
 	return call[[]config.Change](ctx, c, http.MethodGet, "/history", nil)
 }
 
-// Status is the fleet's state.
+// Status returns the state of the fleet.
 func (c *Client) Status(ctx context.Context) (operator.Status, error) {
 	return call[operator.Status](ctx, c, http.MethodGet, "/status", nil)
 }
@@ -66,41 +66,42 @@
 	return call[[]operator.BudgetStatus](ctx, c, http.MethodGet, "/budgets", nil)
 }
 
-// Budget tells of one budget.
+// Budget returns one budget.
 func (c *Client) Budget(ctx context.Context, name string) (operator.BudgetStatus, error) {
 	return call[operator.BudgetStatus](ctx, c, http.MethodGet, "/budgets/"+url.PathEscape(name), nil)
 }
 
-// Bills lists the bills of a budget, "" for all.
+// Bills lists the bills of a budget, or all bills if budget is empty.
 func (c *Client) Bills(ctx context.Context, budget string) ([]bill.Bill, error) {
 	return call[[]bill.Bill](ctx, c, http.MethodGet, "/bills?budget="+url.QueryEscape(budget), nil)
 }
 
-// Explain tells every decision taken for a request.
+// Explain lists the decisions taken for a request.
 func (c *Client) Explain(ctx context.Context, id string) (operator.Explanation, error) {
 	return call[operator.Explanation](ctx, c, http.MethodGet, "/explain/"+url.PathEscape(id), nil)
 }
 
-// Drain begins a node's planned stop.
+// Drain starts the planned stop of a node.
 func (c *Client) Drain(ctx context.Context, name string) (operator.NodeStatus, error) {
 	return call[operator.NodeStatus](ctx, c, http.MethodPost, "/drain/"+url.PathEscape(name), nil)
 }
 
-// call asks node after node until one answers.
+// call sends a request to the nodes in turn until one responds.
 func call[Out any](ctx context.Context, c *Client, method, path string, in any) (Out, error) {
 	var out Out
-	last := errors.New("no node is named; use --node URL")
-	for _, n := range c.nodes {
-		answered, err := c.ask(ctx, n, method, path, in, &out)
+	lastErr := errors.New("no node is named; use --node URL")
+	for _, node := range c.nodes {
+		answered, err := c.send(ctx, node, method, path, in, &out)
 		if answered {
 			return out, err
 		}
-		last = err
+		lastErr = err
 	}
-	return out, last
+	return out, lastErr
 }
 
-func (c *Client) ask(ctx context.Context, node, method, path string, in, out any) (answered bool, err error) {
+// send sends a request to one node. It reports false in answered if the next node should be tried.
+func (c *Client) send(ctx context.Context, node, method, path string, in, out any) (answered bool, err error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return true, errors.Wrap(err, "encode")
@@ -119,17 +120,18 @@
 		return false, errors.Wrapf(err, "node %s", node)
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return false, errors.Wrapf(err, "node %s", node)
 	}
 	if res.StatusCode >= http.StatusBadRequest {
-		return true, refusal(res.StatusCode, data)
+		return true, responseError(res.StatusCode, data)
 	}
 	return true, errors.Wrapf(json.Unmarshal(data, out), "node %s", node)
 }
 
-func refusal(status int, data []byte) error {
+// responseError decodes a problem, or describes an error response of another form.
+func responseError(status int, data []byte) error {
 	var p problem.Problem
 	if json.Unmarshal(data, &p) == nil && p.Reason != "" {
 		return &p
--- a/ctl/client/limits.go
+++ b/ctl/client/limits.go
@@ -11,10 +11,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 )
 
-// Limits lists the endpoints that name a limit, as the first node that answers knows, with
-// that node's part.
-func (c *Relays) Limits(ctx context.Context) ([]limit.Listed, error) {
-	data, err := c.ask(ctx, http.MethodGet, relay.LimitsPath)
+// Limits lists the endpoints that announce a limit, and the share of the limit that the responding node may
+// use, as known to that node.
+func (c *RelayClient) Limits(ctx context.Context) ([]limit.Listed, error) {
+	data, err := c.send(ctx, http.MethodGet, relay.LimitsPath)
 	if err != nil {
 		return nil, err
 	}
--- a/ctl/client/nodes.go
+++ b/ctl/client/nodes.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/peer"
 )
 
-// Nodes lists the nodes that the first one that answers knows.
-func (c *Relays) Nodes(ctx context.Context) ([]peer.Member, error) {
-	data, err := c.ask(ctx, http.MethodGet, relay.NodesPath)
+// Nodes lists the nodes known to the first node that responds.
+func (c *RelayClient) Nodes(ctx context.Context) ([]peer.Member, error) {
+	data, err := c.send(ctx, http.MethodGet, relay.NodesPath)
 	if err != nil {
 		return nil, err
 	}
--- a/ctl/client/notices.go
+++ b/ctl/client/notices.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 )
 
-// Notices lists what endpoints say in their answers, as the first node that answers knows.
-func (c *Relays) Notices(ctx context.Context) ([]notice.Listed, error) {
-	data, err := c.ask(ctx, http.MethodGet, relay.NoticesPath)
+// Notices lists the notices that endpoints signal in their answers, as known to the first node that responds.
+func (c *RelayClient) Notices(ctx context.Context) ([]notice.Listed, error) {
+	data, err := c.send(ctx, http.MethodGet, relay.NoticesPath)
 	if err != nil {
 		return nil, err
 	}
--- a/ctl/cmd/lynxctl/main.go
+++ b/ctl/cmd/lynxctl/main.go
@@ -1,5 +1,5 @@
-// Command lynxctl is the operators' tool: the demo, the table, status, budgets,
-// bills, explanations, planned stops and load runs.
+// Command lynxctl is the operators' tool of the fleet. It shows and changes the table, shows status,
+// budgets and bills, analyzes logs, starts planned stops, and runs the demo and load runs.
 package main
 
 import (
--- a/ctl/command/capacity.go
+++ b/ctl/command/capacity.go
@@ -7,6 +7,6 @@
 )
 
 func (a *app) capacity() error {
-	testing.Init() // the measurements use the testing package's benchmarks
-	return capacity.Write(a.out, capacity.Designed(), capacity.Measure())
+	testing.Init() // registers the flags that testing.Benchmark reads
+	return capacity.Write(a.out, capacity.Planned(), capacity.Measure())
 }
--- a/ctl/command/command.go
+++ b/ctl/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the operators' command line, over the packages that do the work.
+// Package command implements the command line of lynxctl, the operators' tool. The work itself is done by
+// the packages that it calls.
 package command
 
 import (
@@ -18,31 +19,31 @@
 
 // Exit codes.
 const (
-	ExitDone   = 0
+	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// keyVariable is the environment's variable for the operator's key.
+// keyVariable is the environment variable that holds the operator's key.
 const keyVariable = "LYNXSHED_KEY"
 
-// The output formats.
+// Output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// ErrUsage marks wrong usage.
+// ErrUsage marks errors in the arguments of the command line.
 var ErrUsage = errors.New("usage")
 
 func usage(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrUsage)
 }
 
-// maxCells is how many cells one table set takes.
+// maxCells is the maximum number of cells in one call of "table set".
 const maxCells = 32
 
-// flags are what the verbs read from the command line.
+// flags holds the values of all flags and positional arguments.
 type flags struct {
 	nodes  []string
 	key    string
@@ -50,39 +51,39 @@
 
 	deployment string
 	nodeCount  int
-	forTime    time.Duration
+	demoTime   time.Duration
 	addrFile   string
 	listen     string
 
-	kind    string
-	version int64
-	first   string
-	cells   [maxCells]string
-	budget  string
-	load    loadFlags
-	slice   time.Duration
-	logs    []string
+	kind     string
+	version  int64
+	argument string
+	cells    [maxCells]string
+	budget   string
+	load     loadFlags
+	slice    time.Duration
+	logs     []string
 }
 
-// verb is a subcommand and what it does.
+// verb is a subcommand and the function that runs it.
 type verb struct {
 	command *flaggy.Subcommand
 	run     func(*app) error
 }
 
-// app is one call of the command line.
+// app is one invocation of the command line.
 type app struct {
 	flags flags
 	out   io.Writer
 }
 
-// Run parses the arguments and runs their verb; it returns the exit code.
+// Run parses the arguments, runs the selected verb and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	a := &app{out: out}
 	parser := flaggy.NewParser("lynxctl")
 	parser.Description = "the operators' tool of the lynxshed router fleet"
 	parser.Version = version.Number
-	parser.ShowVersionWithVersionFlag = false // table set has a --version of its own
+	parser.ShowVersionWithVersionFlag = false // "table set" has its own --version flag
 	parser.StringSlice(&a.flags.nodes, "n", "node", "URL of a node; may be given more than once")
 	parser.String(&a.flags.key, "k", "key", "operator's key, or "+keyVariable)
 	a.flags.output = formatTable
@@ -94,17 +95,17 @@
 	}
 	for _, v := range verbs {
 		if v.command.Used {
-			return finish(v.run(a), errOut)
+			return exitCode(v.run(a), errOut)
 		}
 	}
 	fmt.Fprintln(errOut, "lynxctl: want a verb; see lynxctl --help")
 	return ExitUsage
 }
 
-func finish(err error, errOut io.Writer) int {
+func exitCode(err error, errOut io.Writer) int {
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitOK
 	case errors.Is(err, ErrUsage):
 		fmt.Fprintln(errOut, "lynxctl: "+err.Error())
 		return ExitUsage
@@ -120,7 +121,7 @@
 	a.flags.deployment = "sofia"
 	demo.String(&a.flags.deployment, "d", "deployment", "sofia or chile")
 	demo.Int(&a.flags.nodeCount, "", "nodes", "number of nodes")
-	demo.Duration(&a.flags.forTime, "", "for", "end after this time")
+	demo.Duration(&a.flags.demoTime, "", "for", "end after this time")
 	demo.String(&a.flags.addrFile, "", "addr-file", "file for the addresses, written once all is ready")
 	status := flaggy.NewSubcommand("status")
 	status.Description = "nodes, endpoints, revisions, what is degraded and why"
@@ -129,19 +130,19 @@
 	bills.String(&a.flags.budget, "b", "budget", "of this budget only")
 	explain := flaggy.NewSubcommand("explain")
 	explain.Description = "each decision taken for a request"
-	explain.AddPositionalValue(&a.flags.first, "request-id", 1, true, "the request's id")
+	explain.AddPositionalValue(&a.flags.argument, "request-id", 1, true, "the request's id")
 	drain := flaggy.NewSubcommand("drain")
 	drain.Description = "planned stop of a node"
-	drain.AddPositionalValue(&a.flags.first, "node-name", 1, true, "the node's name")
+	drain.AddPositionalValue(&a.flags.argument, "node-name", 1, true, "the node's name")
 	load := a.loadCommand()
 	capacity := flaggy.NewSubcommand("capacity")
 	capacity.Description = "measure every slope of docs/CAPACITY.md and print its tables anew"
 	standin := flaggy.NewSubcommand("standin")
 	standin.Description = "run one stand-in as a process of its own: platform, engine or application"
-	standin.AddPositionalValue(&a.flags.first, "kind", 1, true, "platform, engine or application")
+	standin.AddPositionalValue(&a.flags.argument, "kind", 1, true, "platform, engine or application")
 	a.flags.listen = "127.0.0.1:0"
 	standin.String(&a.flags.listen, "", "listen", "address and port")
-	verbs := []verb{{capacity, (*app).capacity}, {standin, (*app).standin}, {demo, (*app).demo}, {status, (*app).status}, {bills, (*app).bills}, {explain, (*app).explain}, {drain, (*app).drain}, {load, (*app).load}, {a.storyCommand(), (*app).story}, {a.lossesCommand(), (*app).losses}, {a.spendingCommand(), (*app).spending}, {a.placementsCommand(), (*app).placements}, {a.rolloutsCommand(), (*app).rollouts}, {a.limitsCommand(), (*app).limits}, {a.noticesCommand(), (*app).notices}, {a.nodesCommand(), (*app).relayNodes}}
+	verbs := []verb{{capacity, (*app).capacity}, {standin, (*app).standin}, {demo, (*app).demo}, {status, (*app).status}, {bills, (*app).bills}, {explain, (*app).explain}, {drain, (*app).drain}, {load, (*app).load}, {a.storyCommand(), (*app).story}, {a.lossesCommand(), (*app).losses}, {a.spendingCommand(), (*app).spending}, {a.placementsCommand(), (*app).placements}, {a.rolloutsCommand(), (*app).rollouts}, {a.limitsCommand(), (*app).limits}, {a.noticesCommand(), (*app).notices}, {a.nodesCommand(), (*app).nodes}}
 	for _, v := range verbs {
 		parser.AttachSubcommand(v.command, 1)
 	}
@@ -156,7 +157,7 @@
 	parser.AttachSubcommand(budget, 1)
 	list := flaggy.NewSubcommand("list")
 	show := flaggy.NewSubcommand("show")
-	show.AddPositionalValue(&a.flags.first, "name", 1, true, "the budget's name")
+	show.AddPositionalValue(&a.flags.argument, "name", 1, true, "the budget's name")
 	budget.AttachSubcommand(list, 1)
 	budget.AttachSubcommand(show, 1)
 	return []verb{{list, (*app).budgetList}, {show, (*app).budgetShow}}
@@ -179,7 +180,7 @@
 	return client.New(a.flags.nodes, key), nil
 }
 
-// print writes a value as JSON, or as a table of lines.
+// print writes v as JSON, or the header and lines as an aligned table.
 func (a *app) print(v any, header []string, lines [][]string) error {
 	if a.flags.output == formatJSON {
 		encoder := json.NewEncoder(a.out)
--- a/ctl/command/fleet.go
+++ b/ctl/command/fleet.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := c.Budget(context.Background(), a.flags.first)
+	b, err := c.Budget(context.Background(), a.flags.argument)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := c.Explain(context.Background(), a.flags.first)
+	x, err := c.Explain(context.Background(), a.flags.argument)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := c.Drain(context.Background(), a.flags.first)
+	s, err := c.Drain(context.Background(), a.flags.argument)
 	if err != nil {
 		return err
 	}
--- a/ctl/command/limits.go
+++ b/ctl/command/limits.go
@@ -18,7 +18,7 @@
 }
 
 func (a *app) limits() error {
-	c, err := a.relays()
+	c, err := a.relayClient()
 	if err != nil {
 		return err
 	}
@@ -28,8 +28,8 @@
 	}
 	lines := lo.Map(all, func(l limit.Listed, _ int) []string {
 		return []string{
-			l.Endpoint, l.Service, l.Zone, strconv.FormatFloat(l.PerSecond, 'f', -1, 64), milliseconds(l.SinceMs), milliseconds(l.AgeMs), l.From,
-			fmt.Sprintf("%d of %d in %s", l.Sent, l.Part, milliseconds(l.WindowMs)),
+			l.Endpoint, l.Service, l.Zone, strconv.FormatFloat(l.PerSecond, 'f', -1, 64), roundedSeconds(l.SinceMs), roundedSeconds(l.AgeMs), l.From,
+			fmt.Sprintf("%d of %d in %s", l.Sent, l.Part, roundedSeconds(l.WindowMs)),
 		}
 	})
 	return a.print(all, []string{"ENDPOINT", "SERVICE", "ZONE", "PER-SECOND", "SINCE", "AGE", "FROM", "SENT-HERE"}, lines)
--- a/ctl/command/nodes.go
+++ b/ctl/command/nodes.go
@@ -15,8 +15,8 @@
 	return c
 }
 
-func (a *app) relayNodes() error {
-	c, err := a.relays()
+func (a *app) nodes() error {
+	c, err := a.relayClient()
 	if err != nil {
 		return err
 	}
--- a/ctl/command/quarantine.go
+++ b/ctl/command/quarantine.go
@@ -22,50 +22,51 @@
 	list.Description = "which are held back, since when, on what evidence"
 	release := flaggy.NewSubcommand("release")
 	release.Description = "let one go at all nodes, and forget what ended under it"
-	release.AddPositionalValue(&a.flags.first, "print", 1, true, "the request's print")
+	release.AddPositionalValue(&a.flags.argument, "print", 1, true, "the request's print")
 	q.AttachSubcommand(list, 1)
 	q.AttachSubcommand(release, 1)
 	return []verb{{list, (*app).quarantineList}, {release, (*app).quarantineRelease}}
 }
 
-// relays is a client of relaying nodes; they ask operators for no key.
-func (a *app) relays() (*client.Relays, error) {
+// relayClient returns a client of the relaying nodes. Their operators' interface needs no key.
+func (a *app) relayClient() (*client.RelayClient, error) {
 	if len(a.flags.nodes) == 0 {
 		return nil, usage("want --node URL, of the address where a node answers whether it is ready")
 	}
 	if a.flags.output != formatTable && a.flags.output != formatJSON {
 		return nil, usage("output %q: want table or json", a.flags.output)
 	}
-	return client.NewRelays(a.flags.nodes), nil
+	return client.NewRelayClient(a.flags.nodes), nil
 }
 
 func (a *app) quarantineList() error {
-	c, err := a.relays()
+	c, err := a.relayClient()
 	if err != nil {
 		return err
 	}
-	held, err := c.Quarantine(context.Background())
+	quarantined, err := c.Quarantine(context.Background())
 	if err != nil {
 		return err
 	}
-	lines := lo.Map(held, func(h quarantine.HeldWord, _ int) []string {
-		since, left := milliseconds(h.AgeMs), milliseconds(h.ForMs-h.AgeMs)
+	lines := lo.Map(quarantined, func(h quarantine.HeldWord, _ int) []string {
+		since, left := roundedSeconds(h.AgeMs), roundedSeconds(h.ForMs-h.AgeMs)
 		return []string{h.Print.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
 	})
-	return a.print(held, []string{"PRINT", "CUSTOMER", "ROUTE", "ROUND", "SINCE", "LEFT", "ENDED"}, lines)
+	return a.print(quarantined, []string{"PRINT", "CUSTOMER", "ROUTE", "ROUND", "SINCE", "LEFT", "ENDED"}, lines)
 }
 
-func milliseconds(n int64) string {
-	return (time.Duration(n) * time.Millisecond).Round(time.Second).String()
+// roundedSeconds formats a number of milliseconds as a duration, rounded to seconds.
+func roundedSeconds(ms int64) string {
+	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
 
 func (a *app) quarantineRelease() error {
-	c, err := a.relays()
+	c, err := a.relayClient()
 	if err != nil {
 		return err
 	}
 	var print quarantine.Print
-	if err := print.UnmarshalText([]byte(a.flags.first)); err != nil {
+	if err := print.UnmarshalText([]byte(a.flags.argument)); err != nil {
 		return usage("%v", err)
 	}
 	if err := c.Release(context.Background(), print); err != nil {
--- a/ctl/command/rollouts.go
+++ b/ctl/command/rollouts.go
@@ -15,7 +15,7 @@
 func (a *app) rolloutsCommand() *flaggy.Subcommand {
 	c := flaggy.NewSubcommand("rollouts")
 	c.Description = "what became of each order to move a service to another version, from the logs of relaying nodes"
-	a.logFiles(c)
+	a.addLogFlags(c)
 	return c
 }
 
@@ -30,22 +30,22 @@
 	}
 	for _, r := range rollouts {
 		fmt.Fprintf(a.out, "%s to %s, ordered for %v, first seen %s: %s (%s)\n", r.Service, r.Target,
-			time.Duration(r.DurationMs)*time.Millisecond, r.Seen.Format(time.RFC3339Nano), r.State, cmp.Or(r.Why, "no status"))
-		if err := a.rollout(r); err != nil {
+			time.Duration(r.DurationMs)*time.Millisecond, r.FirstObserved.Format(time.RFC3339Nano), r.State, cmp.Or(r.Why, "no status"))
+		if err := a.printRollout(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// rollout writes the tables of one order.
-func (a *app) rollout(r story.Rollout) error {
+// printRollout prints the steps, the answers and the reports of a bad target of one order.
+func (a *app) printRollout(r story.Rollout) error {
 	steps := make([][]string, 0, len(r.Steps))
 	for _, s := range r.Steps {
 		stage := lo.Ternary(s.State == "in-progress", s.Stage, "")
 		steps = append(steps, []string{
-			s.At.Format(time.RFC3339Nano), s.State, stage, strconv.FormatFloat(s.Share, 'f', 3, 64), strconv.FormatInt(s.UsedMs, 10),
-			strconv.FormatInt(s.LeftMs, 10), s.Writer, strconv.Itoa(s.Nodes), s.Last, strconv.FormatInt(s.LastMs, 10), s.Why,
+			s.At.Format(time.RFC3339Nano), s.State, stage, strconv.FormatFloat(s.Share, 'f', 3, 64), strconv.FormatInt(s.ElapsedMs, 10),
+			strconv.FormatInt(s.RemainingMs, 10), s.Writer, strconv.Itoa(s.Nodes), s.LastNode, strconv.FormatInt(s.LastDelayMs, 10), s.Why,
 		})
 	}
 	if err := a.print(nil, []string{"AT", "STATE", "STAGE", "SHARE", "USED-MS", "LEFT-MS", "WRITER", "NODES", "LAST", "LAST-MS", "WHY"}, steps); err != nil {
@@ -62,9 +62,9 @@
 	if err := a.print(nil, []string{"ROUTE", "OLD", "OLD-BAD", "TARGET", "TARGET-BAD"}, answers); err != nil {
 		return err
 	}
-	for _, n := range r.Bad {
-		fmt.Fprintf(a.out, "%s %s heard from %s that it is bad: %s\n", n.At.Format(time.RFC3339Nano), n.Node, n.By, n.Why)
+	for _, n := range r.BadReports {
+		fmt.Fprintf(a.out, "%s %s heard from %s that it is bad: %s\n", n.At.Format(time.RFC3339Nano), n.Node, n.Reporter, n.Why)
 	}
-	fmt.Fprintf(a.out, "writes of the status that did not take effect: %d\n\n", r.Refused)
+	fmt.Fprintf(a.out, "writes of the status that did not take effect: %d\n\n", r.RefusedWrites)
 	return nil
 }
--- a/ctl/command/standin.go
+++ b/ctl/command/standin.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	standinHeaderTime = 10 * time.Second
-	standinCallTime   = 2 * time.Millisecond
+	standinHeaderTimeout = 10 * time.Second
+	standinCallTime      = 2 * time.Millisecond
 )
 
 func standinHandler(kind string) (http.Handler, error) {
@@ -34,9 +34,9 @@
 	}
 }
 
-// standin serves one stand-in until it is told to stop.
+// standin serves one stand-in until the process receives SIGINT or SIGTERM.
 func (a *app) standin() error {
-	handler, err := standinHandler(a.flags.first)
+	handler, err := standinHandler(a.flags.argument)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	fmt.Fprintf(a.out, "http://%s\n", listener.Addr())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: standinHeaderTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: standinHeaderTimeout}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
--- a/ctl/command/story.go
+++ b/ctl/command/story.go
@@ -18,8 +18,8 @@
 func (a *app) storyCommand() *flaggy.Subcommand {
 	c := flaggy.NewSubcommand("story")
 	c.Description = "what happened to one call, from the logs of relaying nodes"
-	c.AddPositionalValue(&a.flags.first, "request-id", 1, true, "the call's id")
-	a.logFiles(c)
+	c.AddPositionalValue(&a.flags.argument, "request-id", 1, true, "the call's id")
+	a.addLogFlags(c)
 	return c
 }
 
@@ -28,36 +28,36 @@
 	if err != nil {
 		return err
 	}
-	told := story.Tell(lines, a.flags.first)
-	if len(told) == 0 {
-		return errors.Newf("no line tells of call %s", a.flags.first)
+	selected := story.CallLines(lines, a.flags.argument)
+	if len(selected) == 0 {
+		return errors.Newf("no line tells of call %s", a.flags.argument)
 	}
-	cells := make([][]string, 0, len(told))
-	for _, l := range told {
-		cells = append(cells, []string{l.Time.Format(time.RFC3339Nano), l.Node(), l.Message, fieldsOf(l)})
+	cells := make([][]string, 0, len(selected))
+	for _, l := range selected {
+		cells = append(cells, []string{l.Time.Format(time.RFC3339Nano), l.Node(), l.Message, otherFields(l)})
 	}
-	return a.print(told, []string{"AT", "NODE", "WHAT", "WITH"}, cells)
+	return a.print(selected, []string{"AT", "NODE", "WHAT", "WITH"}, cells)
 }
 
 func (a *app) lossesCommand() *flaggy.Subcommand {
 	c := flaggy.NewSubcommand("losses")
 	c.Description = "which calls were not served, when and why, from the logs of relaying nodes"
-	a.sumsUpLogs(c)
+	a.addSummaryFlags(c)
 	return c
 }
 
-// defaultSlice is short enough to tell one fault of a day from the next.
+// defaultSlice is short enough to separate consecutive faults in the logs of a day.
 const defaultSlice = 4 * time.Second
 
 func (a *app) losses() error {
-	lines, err := a.slicedLogs()
+	lines, err := a.readSlicedLogs()
 	if err != nil {
 		return err
 	}
-	losses := story.Losses(lines, a.flags.slice)
+	losses := story.SummarizeLosses(lines, a.flags.slice)
 	cells := make([][]string, 0, len(losses))
 	for _, l := range losses {
-		cells = append(cells, []string{l.From.Format(time.RFC3339), l.Route, l.Reason, strconv.Itoa(l.Calls), strconv.Itoa(l.Of), l.Example})
+		cells = append(cells, []string{l.From.Format(time.RFC3339), l.Route, l.Reason, strconv.Itoa(l.Calls), strconv.Itoa(l.Total), l.Example})
 	}
 	return a.print(losses, []string{"FROM", "ROUTE", "REASON", "CALLS", "OF", "EXAMPLE"}, cells)
 }
@@ -65,43 +65,43 @@
 func (a *app) spendingCommand() *flaggy.Subcommand {
 	c := flaggy.NewSubcommand("spending")
 	c.Description = "what became of each customer's budget, from the logs of relaying nodes"
-	a.sumsUpLogs(c)
+	a.addSummaryFlags(c)
 	return c
 }
 
-// logFiles adds the flag of verbs that read logs.
-func (a *app) logFiles(c *flaggy.Subcommand) {
+// addLogFlags adds the flag of the verbs that read logs.
+func (a *app) addLogFlags(c *flaggy.Subcommand) {
 	c.StringSlice(&a.flags.logs, "f", "file", "a log file; may be given more than once; standard input where none is")
 }
 
-// sumsUpLogs adds the flags of verbs that sum up logs by slice of time.
-func (a *app) sumsUpLogs(c *flaggy.Subcommand) {
-	a.logFiles(c)
+// addSummaryFlags adds the flags of the verbs that summarize logs by time window.
+func (a *app) addSummaryFlags(c *flaggy.Subcommand) {
+	a.addLogFlags(c)
 	a.flags.slice = defaultSlice
 	c.Duration(&a.flags.slice, "", "slice", "length of the slices of time that are summed up")
 }
 
 func (a *app) spending() error {
-	lines, err := a.slicedLogs()
+	lines, err := a.readSlicedLogs()
 	if err != nil {
 		return err
 	}
-	spendings := story.Spendings(lines, a.flags.slice)
-	cells := make([][]string, 0, len(spendings))
-	for _, s := range spendings {
+	rows := story.SummarizeSpending(lines, a.flags.slice)
+	cells := make([][]string, 0, len(rows))
+	for _, s := range rows {
 		row := []string{lo.Ternary(s.From.IsZero(), "all", s.From.Format(time.RFC3339)), s.Customer}
-		for _, n := range []int64{s.Prepaid, s.Asked, s.Refused, int64(s.Calls), s.Spent, s.Drawn, s.Lost, s.PoolLeft} {
+		for _, n := range []int64{s.Prepaid, s.Requested, s.Refused, int64(s.RefusedCalls), s.Spent, s.Drawn, s.Lost, s.PoolRemaining} {
 			row = append(row, strconv.FormatInt(n, 10))
 		}
 		cells = append(cells, row)
 	}
-	return a.print(spendings, []string{"FROM", "CUSTOMER", "PREPAID", "ASKED", "REFUSED", "CALLS", "SPENT", "DRAWN", "LOST", "POOL"}, cells)
+	return a.print(rows, []string{"FROM", "CUSTOMER", "PREPAID", "ASKED", "REFUSED", "CALLS", "SPENT", "DRAWN", "LOST", "POOL"}, cells)
 }
 
 func (a *app) placementsCommand() *flaggy.Subcommand {
 	c := flaggy.NewSubcommand("placements")
 	c.Description = "first events as expected and as met, by node and route, from the logs of relaying nodes"
-	a.logFiles(c)
+	a.addLogFlags(c)
 	return c
 }
 
@@ -110,11 +110,11 @@
 	if err != nil {
 		return err
 	}
-	placements := story.PlacementsOf(lines)
+	placements := story.SummarizePlacements(lines)
 	cells := make([][]string, 0, len(placements))
 	for _, p := range placements {
 		row := []string{p.Node, p.Route}
-		for _, n := range []int64{int64(p.Streams), p.Expected, p.Met, p.Later} {
+		for _, n := range []int64{int64(p.Streams), p.Expected, p.Observed, p.LateP90} {
 			row = append(row, strconv.FormatInt(n, 10))
 		}
 		cells = append(cells, append(row, strconv.FormatFloat(p.Fetched, 'f', 2, 64)))
@@ -122,8 +122,8 @@
 	return a.print(placements, []string{"NODE", "ROUTE", "STREAMS", "EXPECTED-MS", "MET-MS", "LATER-MS", "FETCHED"}, cells)
 }
 
-// fieldsOf is what a line says beside its node, as JSON.
-func fieldsOf(l story.Line) string {
+// otherFields returns the fields of a line without its node, request and source, as JSON members.
+func otherFields(l story.Line) string {
 	fields := map[string]any{}
 	for name, value := range l.Fields {
 		if name != "node" && name != "request" && name != "source" {
@@ -137,8 +137,8 @@
 	return strings.Trim(string(data), "{}")
 }
 
-// slicedLogs reads the logs that are summed up by slice of time.
-func (a *app) slicedLogs() ([]story.Line, error) {
+// readSlicedLogs checks the slice flag and reads the logs.
+func (a *app) readSlicedLogs() ([]story.Line, error) {
 	if a.flags.slice <= 0 {
 		return nil, usage("slice %s: want a time above 0", a.flags.slice)
 	}
--- a/ctl/command/table.go
+++ b/ctl/command/table.go
@@ -17,31 +17,31 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// latest is the value of --version that takes the row's version of now.
-const latest = -1
+// latestVersion is the default of --version: the edit is based on the current version of the row.
+const latestVersion = -1
 
 func (a *app) tableVerbs(parser *flaggy.Parser) []verb {
 	top := flaggy.NewSubcommand("table")
 	top.Description = "the rows that operators edit"
 	parser.AttachSubcommand(top, 1)
-	a.flags.version = latest
+	a.flags.version = latestVersion
 	list := flaggy.NewSubcommand("list")
 	list.String(&a.flags.kind, "", "kind", "rows of this kind only")
 	get := flaggy.NewSubcommand("get")
-	get.AddPositionalValue(&a.flags.first, "row", 1, true, "KIND/NAME")
+	get.AddPositionalValue(&a.flags.argument, "row", 1, true, "KIND/NAME")
 	set := flaggy.NewSubcommand("set")
 	set.Description = "change cells of a row, or create it: table set KIND/NAME CELL=VALUE ..."
-	set.AddPositionalValue(&a.flags.first, "row", 1, true, "KIND/NAME")
+	set.AddPositionalValue(&a.flags.argument, "row", 1, true, "KIND/NAME")
 	for i := range a.flags.cells {
 		set.AddPositionalValue(&a.flags.cells[i], "cell", i+2, false, "CELL=VALUE")
 	}
 	remove := flaggy.NewSubcommand("delete")
-	remove.AddPositionalValue(&a.flags.first, "row", 1, true, "KIND/NAME")
+	remove.AddPositionalValue(&a.flags.argument, "row", 1, true, "KIND/NAME")
 	for _, c := range []*flaggy.Subcommand{set, remove} {
 		c.Int64(&a.flags.version, "", "version", "the version that the edit was made from; the row's of now when left out")
 	}
 	apply := flaggy.NewSubcommand("apply")
-	apply.AddPositionalValue(&a.flags.first, "file", 1, true, "CSV file, all rows or none")
+	apply.AddPositionalValue(&a.flags.argument, "file", 1, true, "CSV file, all rows or none")
 	export := flaggy.NewSubcommand("export")
 	export.String(&a.flags.kind, "", "kind", "rows of this kind only")
 	history := flaggy.NewSubcommand("history")
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	id, err := table.ParseID(a.flags.first)
+	id, err := table.ParseID(a.flags.argument)
 	if err != nil {
 		return errors.Mark(err, ErrUsage)
 	}
@@ -95,9 +95,10 @@
 	return a.print(row, rowHeader, [][]string{rowLine(row)})
 }
 
-// baseVersion is the version an edit is made from: the one named, or the row's of now.
+// baseVersion returns the version that an edit is based on: that of --version, or the current version of
+// the row, which is 0 if the row does not exist.
 func (a *app) baseVersion(id table.ID) (table.Version, error) {
-	if a.flags.version != latest {
+	if a.flags.version != latestVersion {
 		return table.Version(a.flags.version), nil
 	}
 	c, err := a.client()
@@ -113,7 +114,7 @@
 }
 
 func (a *app) tableSet() error {
-	id, err := table.ParseID(a.flags.first)
+	id, err := table.ParseID(a.flags.argument)
 	if err != nil {
 		return errors.Mark(err, ErrUsage)
 	}
@@ -136,7 +137,7 @@
 }
 
 func (a *app) tableDelete() error {
-	id, err := table.ParseID(a.flags.first)
+	id, err := table.ParseID(a.flags.argument)
 	if err != nil {
 		return errors.Mark(err, ErrUsage)
 	}
@@ -148,7 +149,7 @@
 }
 
 func (a *app) tableApply() error {
-	file, err := os.Open(a.flags.first)
+	file, err := os.Open(a.flags.argument)
 	if err != nil {
 		return errors.Wrap(err, "open csv")
 	}
--- a/ctl/demo/control.go
+++ b/ctl/demo/control.go
@@ -11,8 +11,8 @@
 	"github.com/lynxshed/lynxshed/standin/platform"
 )
 
-type cutRequest struct {
-	Groups [][]fabric.Place `json:"groups"`
+type partitionRequest struct {
+	Groups [][]fabric.Location `json:"groups"`
 }
 
 type nodeRequest struct {
@@ -20,34 +20,35 @@
 	ForMs int64  `json:"forMs,omitempty"`
 }
 
-// control serves the faults that the demo can bring about.
+// control returns the handler of the control URL, which injects faults into the demo.
 func (d *Demo) control() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /cut", d.cut)
+	mux.HandleFunc("POST /cut", d.partition)
 	mux.HandleFunc("POST /heal", func(w http.ResponseWriter, _ *http.Request) {
 		d.fabric.Heal()
 		w.WriteHeader(http.StatusNoContent)
 	})
-	mux.HandleFunc("POST /kill", d.onNode(func(q nodeRequest) error { return d.Kill(q.Node) }))
-	mux.HandleFunc("POST /pause", d.onNode(func(q nodeRequest) error {
+	mux.HandleFunc("POST /kill", d.nodeHandler(func(q nodeRequest) error { return d.Kill(q.Node) }))
+	mux.HandleFunc("POST /pause", d.nodeHandler(func(q nodeRequest) error {
 		return d.Pause(q.Node, time.Duration(q.ForMs)*time.Millisecond)
 	}))
-	mux.HandleFunc("POST /drain", d.onNode(func(q nodeRequest) error { return d.Drain(q.Node) }))
-	mux.HandleFunc("POST /start", d.onNode(func(q nodeRequest) error { return d.StartAgain(q.Node) }))
+	mux.HandleFunc("POST /drain", d.nodeHandler(func(q nodeRequest) error { return d.Drain(q.Node) }))
+	mux.HandleFunc("POST /start", d.nodeHandler(func(q nodeRequest) error { return d.Restart(q.Node) }))
 	return mux
 }
 
-func (d *Demo) cut(w http.ResponseWriter, r *http.Request) {
-	var q cutRequest
+func (d *Demo) partition(w http.ResponseWriter, r *http.Request) {
+	var q partitionRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		http.Error(w, "cut: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.fabric.Cut(q.Groups)
+	d.fabric.Partition(q.Groups)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (d *Demo) onNode(act func(nodeRequest) error) http.HandlerFunc {
+// nodeHandler returns a handler that decodes a nodeRequest and passes it to act.
+func (d *Demo) nodeHandler(act func(nodeRequest) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q nodeRequest
 		if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
@@ -62,59 +63,59 @@
 	}
 }
 
-func (d *Demo) find(name string) (*life, error) {
+func (d *Demo) runningNode(name string) (*incarnation, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l, ok := d.nodes[name]
+	i, ok := d.running[name]
 	if !ok {
 		return nil, errors.Newf("there is no running node %q", name)
 	}
-	return l, nil
+	return i, nil
 }
 
-// Kill ends a node at once, with nothing handed over.
+// Kill ends a node at once, without handing over its work.
 func (d *Demo) Kill(name string) error {
-	l, err := d.find(name)
+	i, err := d.runningNode(name)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
-	delete(d.nodes, name)
+	delete(d.running, name)
 	d.mu.Unlock()
-	l.port.Kill()
-	l.node.Kill()
+	i.port.Kill()
+	i.node.Kill()
 	d.platform.RemoveVM(name)
-	<-l.done
+	<-i.done
 	return nil
 }
 
-// Pause stops a node for a while without its knowing.
-func (d *Demo) Pause(name string, forTime time.Duration) error {
-	l, err := d.find(name)
+// Pause suspends a node for the given time. The node is not informed.
+func (d *Demo) Pause(name string, duration time.Duration) error {
+	i, err := d.runningNode(name)
 	if err != nil {
 		return err
 	}
-	l.port.Pause(forTime)
+	i.port.Pause(duration)
 	return nil
 }
 
-// Drain begins a node's planned stop.
+// Drain starts the planned stop of a node.
 func (d *Demo) Drain(name string) error {
-	l, err := d.find(name)
+	i, err := d.runningNode(name)
 	if err != nil {
 		return err
 	}
-	d.platform.SetVM(platform.VM{Name: l.place.Name, Zone: l.place.Zone, URL: l.place.URL, State: "leaving"})
-	l.node.StartDrain()
+	d.platform.SetVM(platform.VM{Name: i.component.Name, Zone: i.component.Zone, URL: i.component.URL, State: "leaving"})
+	i.node.StartDrain()
 	return nil
 }
 
-// StartAgain puts a fresh VM in a node's place.
-func (d *Demo) StartAgain(name string) error {
+// Restart starts a new VM with the name and address of a node that has ended.
+func (d *Demo) Restart(name string) error {
 	d.mu.Lock()
-	_, running := d.nodes[name]
+	_, isRunning := d.running[name]
 	d.mu.Unlock()
-	if running {
+	if isRunning {
 		return errors.Newf("node %q is running", name)
 	}
 	for _, p := range d.info.Nodes {
--- a/ctl/demo/demo.go
+++ b/ctl/demo/demo.go
@@ -25,39 +25,39 @@
 )
 
 const (
-	secretBytes  = 16
-	readyTimeout = 30 * time.Second
-	readyPause   = 50 * time.Millisecond
-	appTime      = 2 * time.Millisecond
-	// The demo writes to the platform more often than a deployment would.
+	secretBytes         = 16
+	readyTimeout        = 30 * time.Second
+	readyPollInterval   = 50 * time.Millisecond
+	applicationCallTime = 2 * time.Millisecond
+	// demoFlushMs makes the demo write to the platform more often than a deployment does.
 	demoFlushMs = 1000
 )
 
-// Place is something of the demo that can be called.
-type Place struct {
+// Component is a process of the demo that listens on a URL: a node, an engine or an application.
+type Component struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	URL  string `json:"url"`
 }
 
-// CustomerKey is a customer with its key.
+// CustomerKey is the name of a customer and its API key.
 type CustomerKey struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
 }
 
-// Info is what --addr-file writes.
+// Info holds the addresses and keys of a demo, as written to the file of --addr-file.
 type Info struct {
 	Platform     string        `json:"platform"`
 	Control      string        `json:"control"`
-	Nodes        []Place       `json:"nodes"`
-	Engines      []Place       `json:"engines"`
-	Applications []Place       `json:"applications"`
+	Nodes        []Component   `json:"nodes"`
+	Engines      []Component   `json:"engines"`
+	Applications []Component   `json:"applications"`
 	Customers    []CustomerKey `json:"customers"`
 	OperatorKey  string        `json:"operatorKey"`
 }
 
-// Demo is a running deployment; Start makes one.
+// Demo is a running deployment, created by Start.
 type Demo struct {
 	deployment Deployment
 	info       Info
@@ -69,33 +69,33 @@
 	cancel     context.CancelFunc
 
 	mu      sync.Mutex
-	nodes   map[string]*life
+	running map[string]*incarnation
 	servers []*http.Server
-	work    sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
-// life is one life of a node in its place.
-type life struct {
-	place Place
-	node  *node.Node
-	port  *fabric.Port
-	done  chan struct{}
+// incarnation is one start of a node at its address.
+type incarnation struct {
+	component Component
+	node      *node.Node
+	port      *fabric.Port
+	done      chan struct{}
 }
 
-// Start starts a deployment and returns once every node is ready.
+// Start starts a deployment and returns once all nodes are ready.
 func Start(ctx context.Context, deployment Deployment, l log.Interface) (*Demo, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &Demo{
 		deployment: deployment,
 		fabric:     fabric.New(),
 		platform:   platform.New(platform.Options{}),
-		fleetKey:   secret(),
+		fleetKey:   newSecret(),
 		log:        l,
 		ctx:        ctx,
 		cancel:     cancel,
-		nodes:      map[string]*life{},
+		running:    map[string]*incarnation{},
 	}
-	d.info.OperatorKey = secret()
+	d.info.OperatorKey = newSecret()
 	if err := d.start(ctx); err != nil {
 		d.Close()
 		return nil, err
@@ -103,7 +103,7 @@
 	return d, nil
 }
 
-func secret() string {
+func newSecret() string {
 	b := make([]byte, secretBytes)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
@@ -121,9 +121,9 @@
 		return err
 	}
 	for i := range d.deployment.Customers {
-		d.info.Customers = append(d.info.Customers, CustomerKey{Name: d.deployment.customerName(i), Key: secret()})
+		d.info.Customers = append(d.info.Customers, CustomerKey{Name: d.deployment.customerName(i), Key: newSecret()})
 	}
-	if err := d.placeNodes(); err != nil {
+	if err := d.reserveAddresses(); err != nil {
 		return err
 	}
 	for _, p := range d.info.Nodes {
@@ -131,21 +131,21 @@
 			return err
 		}
 	}
-	return d.fill(ctx)
+	return d.seedTable(ctx)
 }
 
-// serve puts a handler on a loopback port.
-func (d *Demo) serve(h http.Handler, place fabric.Place) (string, error) {
+// serve serves a handler on a free loopback port and returns its URL.
+func (d *Demo) serve(h http.Handler, location fabric.Location) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "listen")
 	}
-	if place != "" {
-		d.fabric.Put(listener.Addr().String(), place)
+	if location != "" {
+		d.fabric.SetLocation(listener.Addr().String(), location)
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	d.servers = append(d.servers, server)
-	d.work.Go(func() { _ = server.Serve(listener) })
+	d.wg.Go(func() { _ = server.Serve(listener) })
 	return "http://" + listener.Addr().String(), nil
 }
 
@@ -154,27 +154,27 @@
 		zone := d.deployment.zoneOf(i)
 		name := fmt.Sprintf("engine-%02d", i+1)
 		e := engine.New(engine.Options{Name: name, TokenTime: d.deployment.TokenTime, ChecksFence: true})
-		url, err := d.serve(e.Handler(), fabric.Place(zone))
+		url, err := d.serve(e.Handler(), fabric.Location(zone))
 		if err != nil {
 			return err
 		}
-		d.info.Engines = append(d.info.Engines, Place{Name: name, Zone: zone, URL: url})
+		d.info.Engines = append(d.info.Engines, Component{Name: name, Zone: zone, URL: url})
 	}
 	for i := range d.deployment.Applications {
 		zone := d.deployment.zoneOf(i)
 		name := fmt.Sprintf("application-%02d", i+1)
-		url, err := d.serve(application.New(name, appTime).Handler(), fabric.Place(zone))
+		url, err := d.serve(application.New(name, applicationCallTime).Handler(), fabric.Location(zone))
 		if err != nil {
 			return err
 		}
-		d.info.Applications = append(d.info.Applications, Place{Name: name, Zone: zone, URL: url})
+		d.info.Applications = append(d.info.Applications, Component{Name: name, Zone: zone, URL: url})
 	}
 	return nil
 }
 
-// placeNodes picks every node's address before the first starts, so that each
-// knows some peers.
-func (d *Demo) placeNodes() error {
+// reserveAddresses chooses the addresses of all nodes before the first one starts, so that each knows its
+// peers. It holds all listeners until it returns, so that no address is chosen twice.
+func (d *Demo) reserveAddresses() error {
 	for i := range d.deployment.Nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -183,13 +183,13 @@
 		defer listener.Close()
 		zone := d.deployment.zoneOf(i)
 		address := listener.Addr().String()
-		d.fabric.Put(address, fabric.Place(zone))
-		d.info.Nodes = append(d.info.Nodes, Place{Name: d.deployment.nodeName(i), Zone: zone, URL: "http://" + address})
+		d.fabric.SetLocation(address, fabric.Location(zone))
+		d.info.Nodes = append(d.info.Nodes, Component{Name: d.deployment.nodeName(i), Zone: zone, URL: "http://" + address})
 	}
 	return nil
 }
 
-func (d *Demo) settingsOf(p Place) settings.Settings {
+func (d *Demo) settingsOf(p Component) settings.Settings {
 	s := settings.Default()
 	s.Node, s.Zone, s.Advertise, s.Platform = p.Name, p.Zone, p.URL, d.info.Platform
 	s.Listen = p.URL[len("http://"):]
@@ -202,8 +202,8 @@
 	return s
 }
 
-func (d *Demo) startNode(p Place) error {
-	port := d.fabric.Port(fabric.Place(p.Zone))
+func (d *Demo) startNode(p Component) error {
+	port := d.fabric.Port(fabric.Location(p.Zone))
 	n, err := node.New(d.ctx, node.Options{
 		Settings:       d.settingsOf(p),
 		FleetKey:       d.fleetKey,
@@ -215,39 +215,39 @@
 	if err != nil {
 		return errors.Wrapf(err, "start node %s", p.Name)
 	}
-	l := &life{place: p, node: n, port: port, done: make(chan struct{})}
+	i := &incarnation{component: p, node: n, port: port, done: make(chan struct{})}
 	d.mu.Lock()
-	d.nodes[p.Name] = l
+	d.running[p.Name] = i
 	d.mu.Unlock()
 	d.platform.SetVM(platform.VM{Name: p.Name, Zone: p.Zone, URL: p.URL, State: "live"})
-	d.work.Go(func() { d.live(l) })
+	d.wg.Go(func() { d.runNode(i) })
 	return nil
 }
 
-// live runs a node to its end; after a planned stop its VM is gone.
-func (d *Demo) live(l *life) {
-	defer close(l.done)
-	if err := l.node.Run(d.ctx); err != nil && d.ctx.Err() == nil {
-		d.log.WithError(err).WithField("node", l.place.Name).Warn("node ended")
+// runNode runs a node until it ends. A node that ended by itself, after a planned stop, loses its VM.
+func (d *Demo) runNode(i *incarnation) {
+	defer close(i.done)
+	if err := i.node.Run(d.ctx); err != nil && d.ctx.Err() == nil {
+		d.log.WithError(err).WithField("node", i.component.Name).Warn("node ended")
 	}
 	d.mu.Lock()
-	current := d.nodes[l.place.Name] == l
+	current := d.running[i.component.Name] == i
 	if current {
-		delete(d.nodes, l.place.Name)
+		delete(d.running, i.component.Name)
 	}
 	d.mu.Unlock()
 	if current && d.ctx.Err() == nil {
-		d.platform.RemoveVM(l.place.Name)
+		d.platform.RemoveVM(i.component.Name)
 	}
 }
 
-// fill puts the rows into the table and waits until every node runs them.
-func (d *Demo) fill(ctx context.Context) error {
+// seedTable writes the rows of the deployment to the table and waits until all nodes are ready.
+func (d *Demo) seedTable(ctx context.Context) error {
 	c := client.New([]string{d.info.Nodes[0].URL}, d.info.OperatorKey)
 	deadline := time.Now().Add(readyTimeout)
 	var revision int64
 	for {
-		accepted, err := c.Edit(ctx, "fill-"+d.deployment.Name, "demo", d.rows())
+		accepted, err := c.Edit(ctx, "fill-"+d.deployment.Name, "demo", d.seedEdits())
 		if err == nil {
 			revision = accepted.Revision
 			break
@@ -256,27 +256,27 @@
 		if refused := errors.As(err, &p) && p.Reason != problem.PlatformOut; refused || time.Now().After(deadline) {
 			return errors.Wrap(err, "fill the table")
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 	for !d.ready(revision) {
 		if time.Now().After(deadline) {
 			return errors.New("the nodes did not become ready")
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 	return nil
 }
 
-// ready reports whether every node runs the revision, sees all others and holds its share of the budgets.
+// ready reports whether all nodes run the revision, know all others and hold their share of the budgets.
 func (d *Demo) ready(revision int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held := 0
-	for _, l := range d.nodes {
-		if l.node.Revision() < revision || len(l.node.View().Members()) < len(d.info.Nodes)-1 {
+	for _, i := range d.running {
+		if i.node.Revision() < revision || len(i.node.View().Members()) < len(d.info.Nodes)-1 {
 			return false
 		}
-		for _, h := range l.node.Keeper().Holding().Holdings() {
+		for _, h := range i.node.Keeper().Holding().Holdings() {
 			if h.Held > 0 {
 				held++
 			}
@@ -285,14 +285,14 @@
 	return held >= len(d.deployment.Zones)*d.deployment.Customers
 }
 
-// Info tells where everything is.
+// Info returns the addresses and keys of the demo.
 func (d *Demo) Info() Info { return d.info }
 
-// Close ends everything at once.
+// Close stops all nodes and servers and waits until they have ended.
 func (d *Demo) Close() {
 	d.cancel()
 	for _, s := range d.servers {
 		_ = s.Close()
 	}
-	d.work.Wait()
+	d.wg.Wait()
 }
--- a/ctl/demo/deployment.go
+++ b/ctl/demo/deployment.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole small deployment in one process on loopback ports:
-// the platform's stand-in, endpoints, and nodes in each availability zone.
+// Package demo runs a small deployment in one process on loopback ports: the stand-in of the platform,
+// endpoints, and nodes in each availability zone.
 package demo
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Deployment says what a demo consists of.
+// Deployment describes the size and the services of a demo.
 type Deployment struct {
 	Name         string
 	Zones        []string
@@ -21,7 +21,7 @@
 	TokenTime    time.Duration
 }
 
-// ServiceRow is a service of a demo's table.
+// ServiceRow is a row of the table for a service.
 type ServiceRow struct {
 	Name       string
 	Model      bool
@@ -38,7 +38,7 @@
 	maxOutputTokens   = 8192
 )
 
-// Sofia is translation engines beside a translation memory, in four zones.
+// Sofia returns a deployment of translation engines and a translation memory in four zones.
 func Sofia() Deployment {
 	return Deployment{
 		Name: "sofia", Zones: []string{"zone-a", "zone-b", "zone-c", "zone-d"},
@@ -53,7 +53,7 @@
 	}
 }
 
-// Chile is language models beside tournament records, in three zones.
+// Chile returns a deployment of language models and tournament records in three zones.
 func Chile() Deployment {
 	return Deployment{
 		Name: "chile", Zones: []string{"zone-a", "zone-b", "zone-c"},
@@ -68,7 +68,7 @@
 	}
 }
 
-// Get finds a deployment by name.
+// Get returns a deployment by name.
 func Get(name string) (Deployment, error) {
 	switch name {
 	case "sofia":
@@ -80,7 +80,7 @@
 	}
 }
 
-// WithNodes is the deployment with another number of nodes; 0 leaves it.
+// WithNodes returns the deployment with n nodes, or unchanged if n is not positive.
 func (d Deployment) WithNodes(n int) Deployment {
 	if n > 0 {
 		d.Nodes = n
@@ -90,7 +90,7 @@
 
 func (d Deployment) zoneOf(i int) string { return d.Zones[i%len(d.Zones)] }
 
-// nodeName is a node's name: the deployment, its zone and its number in the zone.
+// nodeName joins the deployment's name, the last letter of the zone and the node's number in the zone.
 func (d Deployment) nodeName(i int) string {
 	zone := d.zoneOf(i)
 	return fmt.Sprintf("%s-%s-%d", d.Name, zone[len(zone)-1:], i/len(d.Zones)+1)
--- a/ctl/demo/rows.go
+++ b/ctl/demo/rows.go
@@ -10,8 +10,8 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// rows are the edits that fill the table of a fresh deployment.
-func (d *Demo) rows() []table.Edit {
+// seedEdits returns the edits that create the table of a new deployment.
+func (d *Demo) seedEdits() []table.Edit {
 	var edits []table.Edit
 	for _, s := range d.deployment.Services {
 		kind := lo.Ternary(s.Model, "model", "plain")
@@ -33,9 +33,9 @@
 	return append(edits, d.endpointRows(d.info.Applications, false)...)
 }
 
-func (d *Demo) endpointRows(places []Place, model bool) []table.Edit {
+func (d *Demo) endpointRows(components []Component, model bool) []table.Edit {
 	services := lo.FilterMap(d.deployment.Services, func(s ServiceRow, _ int) (string, bool) { return s.Name, s.Model == model })
-	return lo.Map(places, func(p Place, _ int) table.Edit {
+	return lo.Map(components, func(p Component, _ int) table.Edit {
 		return row(table.Endpoint, p.Name, table.Cells{
 			"services": strings.Join(services, ","), "zone": p.Zone, "url": p.URL,
 			"maxInFlight": strconv.Itoa(maxInFlight), "weight": "1", "checksFence": "true",
--- a/ctl/demo/stop_test.go
+++ b/ctl/demo/stop_test.go
@@ -20,50 +20,50 @@
 	"github.com/lynxshed/lynxshed/ctl/demo"
 )
 
-// A node is stopped as planned while callers on kept connections send calls that may run
-// once: a call that ran was answered, and one whose connection closed under it did not run.
-func TestAPlannedStopCutsNoCallThatRan(t *testing.T) {
+// A planned stop closes keep-alive connections while callers send calls that must not run twice; a call
+// that ran must get its answer, and a call whose connection is closed must not have run.
+func TestPlannedStopInterruptsNoCallThatRan(t *testing.T) {
 	const callers = 8
 	d, err := demo.Start(context.Background(), demo.Sofia().WithNodes(4), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
 	require.NoError(t, err)
 	defer d.Close()
 	node := d.Info().Nodes[0]
 	var mu sync.Mutex
-	cut := map[string]bool{}
+	interrupted := map[string]bool{}
 	answered := 0
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range callers {
-		work.Go(func() {
+		wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			defer client.CloseIdleConnections()
 			for n := 0; ; n++ {
 				body := fmt.Sprintf("lock-%d-%d", i, n)
-				status, err := lock(client, node.URL, d.Info().Customers[0].Key, body)
+				status, err := callLock(client, node.URL, d.Info().Customers[0].Key, body)
 				mu.Lock()
 				if err != nil {
-					cut[body] = true
+					interrupted[body] = true
 				} else if status == http.StatusOK {
 					answered++
 				}
 				mu.Unlock()
 				if err != nil || status != http.StatusOK {
-					return // the node is leaving, or has left
+					return // the node is draining, or has ended
 				}
 			}
 		})
 	}
-	time.Sleep(200 * time.Millisecond) // until calls are under way
+	time.Sleep(200 * time.Millisecond) // until calls are in flight
 	require.NoError(t, d.Drain(node.Name))
-	work.Wait()
+	wg.Wait()
 	assert.Positive(t, answered)
 	for _, a := range d.Info().Applications {
-		for _, body := range ran(t, a.URL) {
-			assert.False(t, cut[body], "%s ran, and its caller got no answer", body)
+		for _, body := range executedBodies(t, a.URL) {
+			assert.False(t, interrupted[body], "%s ran, and its caller got no answer", body)
 		}
 	}
 }
 
-func lock(client *http.Client, url, key, body string) (int, error) {
+func callLock(client *http.Client, url, key, body string) (int, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/services/locks/term", strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -78,17 +78,17 @@
 	return resp.StatusCode, err
 }
 
-// ran lists the bodies of the calls that an application ran, by its own record.
-func ran(t *testing.T, url string) []string {
+// executedBodies returns the bodies of the calls that an application recorded as started.
+func executedBodies(t *testing.T, url string) []string {
 	t.Helper()
 	resp, err := http.Get(url + "/ran")
 	require.NoError(t, err)
 	defer resp.Body.Close()
-	var runs []run
+	var runs []executedCall
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&runs))
-	return lo.Map(runs, func(r run, _ int) string { return r.Body })
+	return lo.Map(runs, func(r executedCall, _ int) string { return r.Body })
 }
 
-type run struct {
+type executedCall struct {
 	Body string `json:"body"`
 }
--- a/ctl/fabric/fabric.go
+++ b/ctl/fabric/fabric.go
@@ -1,5 +1,5 @@
-// Package fabric is the network of a demo: TCP on loopback on which zones can be
-// cut from each other and nodes paused or killed.
+// Package fabric simulates the network of a demo: TCP on loopback, on which zones can be partitioned and
+// nodes paused or killed.
 package fabric
 
 import (
@@ -11,77 +11,79 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Place is where an address lies: a zone, or the platform.
-type Place string
+// Location is the location of an address: a zone, or the platform.
+type Location string
 
-// Platform is the place of the platform's service.
-const Platform Place = "platform"
+// Platform is the location of the platform's service.
+const Platform Location = "platform"
 
-// ErrCut is what a dial across a cut ends with, after its time is up.
-var ErrCut = errors.New("cut off")
+// ErrPartitioned is the error of a dial across a partition, once its context has ended.
+var ErrPartitioned = errors.New("cut off")
 
-// Fabric knows where every address lies and which places are cut off from each other.
+// Fabric holds the location of every address and the partitions between locations.
 type Fabric struct {
-	mu     sync.Mutex
-	places map[string]Place
-	groups map[Place]int
-	conns  map[*conn]struct{}
+	mu        sync.Mutex
+	locations map[string]Location
+	groups    map[Location]int
+	conns     map[*conn]struct{}
 }
 
-// New makes a fabric without cuts.
+// New returns a fabric without partitions.
 func New() *Fabric {
-	return &Fabric{places: map[string]Place{}, groups: map[Place]int{}, conns: map[*conn]struct{}{}}
+	return &Fabric{locations: map[string]Location{}, groups: map[Location]int{}, conns: map[*conn]struct{}{}}
 }
 
-// Put says where an address lies.
-func (f *Fabric) Put(address string, p Place) {
+// SetLocation sets the location of an address.
+func (f *Fabric) SetLocation(address string, p Location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.places[address] = p
+	f.locations[address] = p
 }
 
-// Cut parts the places into groups that can't reach each other; places that
-// stand in no group reach all.
-func (f *Fabric) Cut(groups [][]Place) {
+// Partition splits the locations into groups that cannot reach each other and closes the connections
+// between them. Locations in no group reach all others.
+func (f *Fabric) Partition(groups [][]Location) {
 	f.mu.Lock()
-	f.groups = map[Place]int{}
+	f.groups = map[Location]int{}
 	for i, group := range groups {
 		for _, p := range group {
 			f.groups[p] = i + 1
 		}
 	}
-	var broken []*conn
+	var severed []*conn
 	for c := range f.conns {
-		if !f.reaches(c.from, c.to) {
-			broken = append(broken, c)
+		if !f.reachable(c.from, c.to) {
+			severed = append(severed, c)
 		}
 	}
 	f.mu.Unlock()
-	for _, c := range broken {
+	for _, c := range severed {
 		_ = c.Close()
 	}
 }
 
-// Heal ends every cut.
-func (f *Fabric) Heal() { f.Cut(nil) }
+// Heal removes all partitions.
+func (f *Fabric) Heal() { f.Partition(nil) }
 
-// reaches needs the lock.
-func (f *Fabric) reaches(from, to Place) bool {
+// reachable reports whether one location can reach another. The caller holds f.mu.
+func (f *Fabric) reachable(from, to Location) bool {
 	a, b := f.groups[from], f.groups[to]
 	return a == 0 || b == 0 || a == b
 }
 
-func (f *Fabric) allowed(from Place, address string) (Place, bool) {
+// resolve returns the location of an address and reports whether it is reachable. An address without a
+// location is reachable.
+func (f *Fabric) resolve(from Location, address string) (Location, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	to, ok := f.places[address]
-	return to, !ok || f.reaches(from, to)
+	to, ok := f.locations[address]
+	return to, !ok || f.reachable(from, to)
 }
 
 func (f *Fabric) add(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.reaches(c.from, c.to) {
+	if !f.reachable(c.from, c.to) {
 		return false
 	}
 	f.conns[c] = struct{}{}
@@ -94,10 +96,10 @@
 	delete(f.conns, c)
 }
 
-// Port is one node's access to the fabric; it can be paused and killed.
+// Port is the network interface of one node. It can be paused and killed.
 type Port struct {
-	fabric *Fabric
-	place  Place
+	fabric   *Fabric
+	location Location
 
 	mu     sync.Mutex
 	paused chan struct{} // closed when the pause ends; nil while not paused
@@ -105,38 +107,38 @@
 	conns  map[*conn]struct{}
 }
 
-// Port makes a node's access from a place.
-func (f *Fabric) Port(place Place) *Port {
-	return &Port{fabric: f, place: place, conns: map[*conn]struct{}{}}
+// Port returns a new network interface at a location.
+func (f *Fabric) Port(location Location) *Port {
+	return &Port{fabric: f, location: location, conns: map[*conn]struct{}{}}
 }
 
-// Pause stops the node's input and output for a while; it does not notice.
+// Pause blocks the node's input and output for the given time. The node is not informed.
 func (p *Port) Pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.paused != nil {
 		return
 	}
-	over := make(chan struct{})
-	p.paused = over
+	resumed := make(chan struct{})
+	p.paused = resumed
 	time.AfterFunc(d, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.paused = nil
-		close(over)
+		close(resumed)
 	})
 }
 
-// Kill breaks every connection of the node and lets no other come about.
+// Kill resets all connections of the node and refuses new ones.
 func (p *Port) Kill() {
 	p.mu.Lock()
 	p.killed = true
-	broken := make([]*conn, 0, len(p.conns))
+	severed := make([]*conn, 0, len(p.conns))
 	for c := range p.conns {
-		broken = append(broken, c)
+		severed = append(severed, c)
 	}
 	p.mu.Unlock()
-	for _, c := range broken {
+	for _, c := range severed {
 		c.reset()
 	}
 }
@@ -151,28 +153,28 @@
 	}
 }
 
-// Dial connects from the port's place; across a cut it hangs until the context ends.
+// Dial connects from the port's location. Across a partition it blocks until the context ends.
 func (p *Port) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.Gate()
-	to, ok := p.fabric.allowed(p.place, address)
+	to, ok := p.fabric.resolve(p.location, address)
 	if !ok {
 		<-ctx.Done()
-		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrCut}
+		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrPartitioned}
 	}
 	var d net.Dialer
 	inner, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: inner, port: p, from: p.place, to: to}
+	c := &conn{Conn: inner, port: p, from: p.location, to: to}
 	if !p.fabric.add(c) || !p.add(c) {
 		_ = c.Close()
-		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrCut}
+		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrPartitioned}
 	}
 	return c, nil
 }
 
-// Listen takes connections for the node.
+// Listen listens for connections to the node.
 func (p *Port) Listen(address string) (net.Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -215,11 +217,11 @@
 	return c, nil
 }
 
-// conn waits while its node is paused.
+// conn is a connection of a node; its reads and writes block while the node is paused.
 type conn struct {
 	net.Conn
 	port     *Port
-	from, to Place
+	from, to Location
 }
 
 // Read implements net.Conn.
@@ -242,7 +244,7 @@
 	return c.Conn.Close()
 }
 
-// reset breaks the connection without a word, as a dead VM does.
+// reset closes the connection with a TCP reset, as when its VM dies.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/ctl/load/call.go
+++ b/ctl/load/call.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxAnswer = 8 << 20
-	endMark   = "[DONE]"
-	// callTime bounds one call, so that a run ends.
-	callTime = 2 * time.Minute
+	maxResponseBytes = 8 << 20
+	endMarker        = "[DONE]"
+	// callTimeout bounds a call, so that a run ends.
+	callTimeout = 2 * time.Minute
 )
 
-// call is one request to make.
+// call is one request of a run.
 type call struct {
-	part     Part
+	entry    MixEntry
 	url      string
 	key      string
 	customer string
@@ -46,9 +46,9 @@
 }
 
 func (c call) run(ctx context.Context, client *http.Client) answer {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a := answer{part: c.part}
+	a := answer{entry: c.entry}
 	start := time.Now()
 	req, err := c.request(ctx)
 	if err != nil {
@@ -64,26 +64,26 @@
 	a.request = res.Header.Get("Lynxshed-Request-Id")
 	switch {
 	case res.StatusCode != http.StatusOK:
-		a.reason = reasonOf(res)
-	case c.part.Model:
+		a.reason = refusalReason(res)
+	case c.entry.Model:
 		c.readStream(res.Body, start, &a)
 	default:
-		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxAnswer))
-		a.whole, a.first = err == nil, time.Since(start)
+		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxResponseBytes))
+		a.complete, a.first = err == nil, time.Since(start)
 	}
 	a.total = time.Since(start)
 	return a
 }
 
 func (c call) request(ctx context.Context) (*http.Request, error) {
-	if !c.part.Model {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"/v1/services/"+c.part.Service+"/lookup/1", nil)
+	if !c.entry.Model {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"/v1/services/"+c.entry.Service+"/lookup/1", nil)
 		if err == nil {
 			req.Header.Set("Authorization", "Bearer "+c.key)
 		}
 		return req, err
 	}
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]%s}`, c.part.Service, c.tokens, c.prompt, c.priority())
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]%s}`, c.entry.Service, c.tokens, c.prompt, c.priorityField())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -95,59 +95,61 @@
 	return req, nil
 }
 
-func (c call) priority() string {
-	if c.part.Priority == "" {
+// priorityField returns the JSON member of the priority, if one is set.
+func (c call) priorityField() string {
+	if c.entry.Priority == "" {
 		return ""
 	}
-	return fmt.Sprintf(`,"priority":%q`, c.part.Priority)
+	return fmt.Sprintf(`,"priority":%q`, c.entry.Priority)
 }
 
-func reasonOf(res *http.Response) string {
+// refusalReason returns the reason and outcome of a problem, or the HTTP status.
+func refusalReason(res *http.Response) string {
 	var p problem.Problem
-	if json.NewDecoder(io.LimitReader(res.Body, maxAnswer)).Decode(&p) == nil && p.Reason != "" {
+	if json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(&p) == nil && p.Reason != "" {
 		return string(p.Reason) + " (" + string(p.Outcome) + ")"
 	}
 	return res.Status
 }
 
-// readStream holds the answer against what a whole one must be: every token
-// once and in order, the token count, and the end mark.
+// readStream checks that an answer is complete: every token once and in order, the number of tokens in the
+// usage, and the end marker.
 func (c call) readStream(body io.Reader, start time.Time, a *answer) {
-	last, count := start, 0
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxAnswer}) {
+	lastToken, count := start, 0
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxResponseBytes}) {
 		if err != nil {
 			a.fault = err.Error()
 			return
 		}
-		if event.Data == endMark {
-			a.whole = a.fault == "" && a.tokens > 0
+		if event.Data == endMarker {
+			a.complete = a.fault == "" && a.tokens > 0
 			return
 		}
-		var piece chunk
-		if event.Type != "" || json.Unmarshal([]byte(event.Data), &piece) != nil {
+		var received chunk
+		if event.Type != "" || json.Unmarshal([]byte(event.Data), &received) != nil {
 			a.fault = event.Type + " " + event.Data
 			return
 		}
 		now := time.Now()
-		for _, choice := range piece.Choices {
+		for _, choice := range received.Choices {
 			if choice.Delta.Content == "" {
 				continue
 			}
-			if strings.TrimSpace(choice.Delta.Content) != fmt.Sprintf("t%d", count) || (!c.direct && piece.ID != a.request) {
-				a.fault = fmt.Sprintf("request %s: token %d reads %q of %s", a.request, count, choice.Delta.Content, piece.ID)
+			if strings.TrimSpace(choice.Delta.Content) != fmt.Sprintf("t%d", count) || (!c.direct && received.ID != a.request) {
+				a.fault = fmt.Sprintf("request %s: token %d reads %q of %s", a.request, count, choice.Delta.Content, received.ID)
 			}
 			count++
 			if count == 1 {
 				a.first = now.Sub(start)
 			} else {
-				a.between = append(a.between, now.Sub(last))
+				a.between = append(a.between, now.Sub(lastToken))
 			}
-			last = now
+			lastToken = now
 		}
-		if piece.Usage != nil {
-			a.tokens = piece.Usage.Total
-			if piece.Usage.Completion != int64(count) {
-				a.fault = fmt.Sprintf("request %s: %d tokens came, %d are counted", a.request, count, piece.Usage.Completion)
+		if received.Usage != nil {
+			a.tokens = received.Usage.Total
+			if received.Usage.Completion != int64(count) {
+				a.fault = fmt.Sprintf("request %s: %d tokens came, %d are counted", a.request, count, received.Usage.Completion)
 			}
 		}
 	}
--- a/ctl/load/collect.go
+++ b/ctl/load/collect.go
@@ -11,10 +11,10 @@
 
 const maxFaults = 10
 
-// collector gathers answers to figures.
+// collector aggregates answers into the statistics of a run.
 type collector struct {
 	classes map[string]*Class
-	tokens  map[string]int64 // of whole answers, by request
+	tokens  map[string]int64 // of complete answers, by request
 	faults  []string
 }
 
@@ -27,9 +27,9 @@
 }
 
 func (c *collector) add(a answer) {
-	name := a.part.Service
-	if a.part.Priority != "" {
-		name += "/" + a.part.Priority
+	name := a.entry.Service
+	if a.entry.Priority != "" {
+		name += "/" + a.entry.Priority
 	}
 	class, ok := c.classes[name]
 	if !ok {
@@ -42,16 +42,16 @@
 		class.Refused++
 		class.Refusals[a.reason]++
 		return
-	case !a.whole:
+	case !a.complete:
 		class.Broken++
 		if len(c.faults) < maxFaults {
 			c.faults = append(c.faults, a.fault)
 		}
 		return
 	}
-	class.Whole++
+	class.Complete++
 	class.Tokens += a.tokens
-	if a.part.Model {
+	if a.entry.Model {
 		c.tokens[a.request] = a.tokens
 	}
 	_ = class.first.RecordValue(a.first.Microseconds())
@@ -61,8 +61,8 @@
 	}
 }
 
-func (c *collector) report(took time.Duration) *Report {
-	r := &Report{Took: took, Faults: c.faults}
+func (c *collector) report(elapsed time.Duration) *Report {
+	r := &Report{Elapsed: elapsed, Faults: c.faults}
 	var tokens int64
 	for _, class := range c.classes {
 		class.First, class.Between, class.Total = quantiles(class.first), quantiles(class.between), quantiles(class.total)
@@ -75,11 +75,11 @@
 		}
 		return 1
 	})
-	r.TokensPerSec = float64(tokens) / took.Seconds()
+	r.TokensPerSec = float64(tokens) / elapsed.Seconds()
 	return r
 }
 
-// checkBills holds every whole answer against its bill.
+// checkBills compares the tokens of every complete answer with its bill.
 func checkBills(ctx context.Context, o Options, c *collector, r *Report) error {
 	if o.Direct || o.Info.OperatorKey == "" {
 		return nil
@@ -88,22 +88,22 @@
 	for _, n := range o.Info.Nodes {
 		nodes = append(nodes, n.URL)
 	}
-	time.Sleep(o.Wait)
+	time.Sleep(o.BillDelay)
 	bills, err := client.New(nodes, o.Info.OperatorKey).Bills(ctx, "")
 	if err != nil {
 		return err
 	}
 	billed := make(map[string]int64, len(bills))
 	for _, b := range bills {
-		if _, twice := billed[string(b.Request)]; twice {
-			r.BillsWrong++
+		if _, duplicate := billed[string(b.Request)]; duplicate {
+			r.WrongBills++
 		}
 		billed[string(b.Request)] = b.Tokens
 	}
 	for request, tokens := range c.tokens {
-		r.BillsChecked++
+		r.CheckedBills++
 		if billed[request] != tokens {
-			r.BillsWrong++
+			r.WrongBills++
 			if len(r.Faults) < maxFaults {
 				r.Faults = append(r.Faults, fmt.Sprintf("request %s: the answer counts %d tokens, the bill %d", request, tokens, billed[request]))
 			}
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -1,5 +1,5 @@
-// Package load drives a deployment with a bounded, seeded load and checks what
-// comes back: latencies, refusals, whole answers, and bills against answers.
+// Package load generates a bounded, seeded load on a deployment. It measures latencies and refusals, and
+// checks that answers are complete and that bills match them.
 package load
 
 import (
@@ -15,42 +15,42 @@
 	"github.com/lynxshed/lynxshed/ctl/demo"
 )
 
-// Limits of one run, so that it stops by itself.
+// Limits of a run, so that it always ends.
 const (
 	MaxRate     = 5000
 	MaxDuration = 30 * time.Minute
 	maxInFlight = 4096
 )
 
-// Part is one service of the mix.
-type Part struct {
+// MixEntry is one service of the mix.
+type MixEntry struct {
 	Service  string
 	Weight   float64
 	Model    bool
-	Priority string // asked for; "" is the service's own
+	Priority string // requested priority; empty means that of the service
 }
 
 // Options of a run.
 type Options struct {
-	Info    demo.Info
-	Rate    float64 // requests a second, all parts together
-	For     time.Duration
-	Mix     []Part
-	Tokens  int // output tokens of a model's call
-	Prompt  int // bytes of a prompt
-	Prefix  int // different prompts; 0 makes every one its own
-	Seed    uint64
-	Direct  bool // call engines without a node between, as a baseline
-	Wait    time.Duration
-	Sampler func(customers int, r *rand.Rand) int // which customer asks; even when nil
+	Info           demo.Info
+	Rate           float64 // requests per second over the whole mix
+	Duration       time.Duration
+	Mix            []MixEntry
+	OutputTokens   int // output tokens of a call to a model
+	PromptBytes    int // length of a prompt
+	Prompts        int // number of different prompts; 0 makes each prompt unique
+	Seed           uint64
+	Direct         bool                                  // call engines without a node in between, as a baseline
+	BillDelay      time.Duration                         // between the last answer and the reading of bills
+	ChooseCustomer func(customers int, r *rand.Rand) int // index of the customer of a call; uniform if nil
 }
 
 func (o Options) check() error {
 	switch {
 	case o.Rate <= 0 || o.Rate > MaxRate:
 		return errors.Newf("rate %g: want over 0 and at most %d a second", o.Rate, MaxRate)
-	case o.For <= 0 || o.For > MaxDuration:
-		return errors.Newf("duration %s: want over 0 and at most %s", o.For, MaxDuration)
+	case o.Duration <= 0 || o.Duration > MaxDuration:
+		return errors.Newf("duration %s: want over 0 and at most %s", o.Duration, MaxDuration)
 	case len(o.Mix) == 0:
 		return errors.New("mix: want at least one service")
 	case len(o.Info.Nodes) == 0:
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// Class is the figures of one part of the mix.
+// Class holds the statistics of one entry of the mix.
 type Class struct {
 	Name     string         `json:"name"`
 	Sent     int            `json:"sent"`
-	Whole    int            `json:"whole"`
+	Complete int            `json:"whole"`
 	Refused  int            `json:"refused"`
-	Broken   int            `json:"broken"` // ended without an end mark, or not whole
+	Broken   int            `json:"broken"` // ended without an end marker, or incomplete
 	Tokens   int64          `json:"tokens"`
 	Refusals map[string]int `json:"refusals"`
 	First    Quantiles      `json:"firstTokenMs"`
@@ -85,15 +85,15 @@
 
 // The histograms hold 1 microsecond to 10 minutes with 3 digits.
 const (
-	lowest  = 1
-	highest = 600_000_000
-	digits  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
 )
 
 func newClass(name string) *Class {
 	return &Class{
 		Name: name, Refusals: map[string]int{},
-		first: hdrhistogram.New(lowest, highest, digits), between: hdrhistogram.New(lowest, highest, digits), total: hdrhistogram.New(lowest, highest, digits),
+		first: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits), between: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits), total: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 }
 
@@ -102,33 +102,33 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// Report is the figures of a run.
+// Report holds the statistics of a run.
 type Report struct {
 	Classes      []*Class      `json:"classes"`
-	Took         time.Duration `json:"tookNs"`
+	Elapsed      time.Duration `json:"tookNs"`
 	TokensPerSec float64       `json:"tokensPerSecond"`
-	// BillsChecked is how many answers were held against their bills.
-	BillsChecked int `json:"billsChecked"`
-	// BillsWrong is how many differ, are missing or stand twice.
-	BillsWrong int      `json:"billsWrong"`
-	Dropped    int      `json:"dropped"` // arrivals over the bound of calls in flight
+	// CheckedBills is the number of answers that were compared with their bills.
+	CheckedBills int `json:"billsChecked"`
+	// WrongBills is the number of bills that differ, are missing or occur twice.
+	WrongBills int      `json:"billsWrong"`
+	Dropped    int      `json:"dropped"` // arrivals above the limit of calls in flight
 	Faults     []string `json:"faults"`
 }
 
-// answer is what came of one call.
+// answer is the result of one call.
 type answer struct {
-	part    Part
-	request string
-	whole   bool
-	reason  string // of a refusal
-	fault   string
-	tokens  int64
-	first   time.Duration
-	between []time.Duration
-	total   time.Duration
+	entry    MixEntry
+	request  string
+	complete bool
+	reason   string // of a refusal
+	fault    string
+	tokens   int64
+	first    time.Duration
+	between  []time.Duration
+	total    time.Duration
 }
 
-// Run drives the deployment until the time is up and every call has ended.
+// Run generates load until the duration has elapsed and all calls have ended.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	go func() { collected <- collect(answers) }()
 	var calls sync.WaitGroup
 	start, dropped, at := time.Now(), 0, time.Duration(0)
-	for at < o.For && ctx.Err() == nil {
+	for at < o.Duration && ctx.Err() == nil {
 		at += time.Duration(random.ExpFloat64() / o.Rate * float64(time.Second))
 		sleepUntil(ctx, start.Add(at))
 		call := o.next(random)
@@ -157,10 +157,10 @@
 		})
 	}
 	calls.Wait()
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	close(answers)
 	c := <-collected
-	report := c.report(took)
+	report := c.report(elapsed)
 	report.Dropped = dropped
 	return report, checkBills(ctx, o, c, report)
 }
@@ -174,25 +174,25 @@
 	}
 }
 
-// next draws the next call.
+// next draws the next call at random.
 func (o Options) next(r *rand.Rand) call {
-	var sum float64
+	var totalWeight float64
 	for _, p := range o.Mix {
-		sum += p.Weight
+		totalWeight += p.Weight
 	}
-	at := r.Float64() * sum
-	part := o.Mix[len(o.Mix)-1]
+	at := r.Float64() * totalWeight
+	entry := o.Mix[len(o.Mix)-1]
 	for _, p := range o.Mix {
 		if at -= p.Weight; at < 0 {
-			part = p
+			entry = p
 			break
 		}
 	}
 	customer := r.IntN(len(o.Info.Customers))
-	if o.Sampler != nil {
-		customer = o.Sampler(len(o.Info.Customers), r)
+	if o.ChooseCustomer != nil {
+		customer = o.ChooseCustomer(len(o.Info.Customers), r)
 	}
-	c := call{part: part, key: o.Info.Customers[customer].Key, customer: o.Info.Customers[customer].Name, tokens: o.Tokens}
+	c := call{entry: entry, key: o.Info.Customers[customer].Key, customer: o.Info.Customers[customer].Name, tokens: o.OutputTokens}
 	c.url = o.Info.Nodes[r.IntN(len(o.Info.Nodes))].URL
 	c.direct = o.Direct
 	if o.Direct {
@@ -204,13 +204,13 @@
 
 func (o Options) prompt(r *rand.Rand) string {
 	seed := r.Uint64()
-	if o.Prefix > 0 {
-		seed = uint64(r.IntN(o.Prefix))
+	if o.Prompts > 0 {
+		seed = uint64(r.IntN(o.Prompts))
 	}
 	letters := rand.New(rand.NewPCG(seed, o.Seed))
-	text := make([]byte, max(1, o.Prompt))
-	for i := range text {
-		text[i] = byte('a' + letters.IntN(26))
+	prompt := make([]byte, max(1, o.PromptBytes))
+	for i := range prompt {
+		prompt[i] = byte('a' + letters.IntN(26))
 	}
-	return string(text)
+	return string(prompt)
 }
--- a/ctl/story/losses.go
+++ b/ctl/story/losses.go
@@ -7,21 +7,20 @@
 	"time"
 )
 
-// callEnded is the message of the line that a node writes when a call ended.
+// callEnded is the message that a node logs when a call ends.
 const callEnded = "call ended"
 
-// Reasons of calls that ended well.
+// Reasons of calls that were served.
 var servedReasons = []string{"answered", "streamed"}
 
-// Loss is how many calls of a route ended for one reason, other than served, within
-// one slice of time.
+// Loss counts the calls of a route that were not served for one reason within one time window.
 type Loss struct {
 	From    time.Time `json:"from"`
 	Route   string    `json:"route"`
 	Reason  string    `json:"reason"`
 	Calls   int       `json:"calls"`
-	Of      int       `json:"of"`      // calls of the route that ended in the slice
-	Example string    `json:"example"` // the id of the first of them, for `story`
+	Total   int       `json:"of"`      // all calls of the route that ended in the window
+	Example string    `json:"example"` // id of the first such call, for the story command
 }
 
 type lossKey struct {
@@ -29,21 +28,20 @@
 	route, reason string
 }
 
-type routeSlice struct {
+type routeWindow struct {
 	from  time.Time
 	route string
 }
 
-// Losses sums up the calls that were not served, by slice of time, route and
-// reason, in that order.
-func Losses(lines []Line, slice time.Duration) []Loss {
+// SummarizeLosses counts the calls that were not served, ordered by time window, route and reason.
+func SummarizeLosses(lines []Line, window time.Duration) []Loss {
 	losses := map[lossKey]Loss{}
-	ended := map[routeSlice]int{}
+	ended := map[routeWindow]int{}
 	for _, l := range lines {
 		if l.Message != callEnded {
 			continue
 		}
-		at := routeSlice{from: l.Time.Truncate(slice), route: l.text("route")}
+		at := routeWindow{from: l.Time.Truncate(window), route: l.text("route")}
 		ended[at]++
 		reason := l.text("reason")
 		if slices.Contains(servedReasons, reason) {
@@ -59,7 +57,7 @@
 	}
 	all := slices.Collect(maps.Values(losses))
 	for i, l := range all {
-		all[i].Of = ended[routeSlice{from: l.From, route: l.Route}]
+		all[i].Total = ended[routeWindow{from: l.From, route: l.Route}]
 	}
 	slices.SortFunc(all, func(a, b Loss) int {
 		return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Reason, b.Reason))
--- a/ctl/story/losses_test.go
+++ b/ctl/story/losses_test.go
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/ctl/story"
 )
 
-func TestLossesAreSummedUpBySliceRouteAndReason(t *testing.T) {
+func TestLossesAreSummarizedByWindowRouteAndReason(t *testing.T) {
 	ends := []struct{ at, route, reason, id string }{
 		{"10:00:01", "a", "streamed", "1"},
 		{"10:00:01", "a", "budget-insufficient-here", "2"},
@@ -31,8 +31,8 @@
 	from := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	next := from.Add(4 * time.Second)
 	assert.Equal(t, []story.Loss{
-		{From: from, Route: "a", Reason: "budget-insufficient-here", Calls: 2, Of: 3, Example: "2"},
-		{From: from, Route: "b", Reason: "broken-off", Calls: 1, Of: 1, Example: "4"},
-		{From: next, Route: "a", Reason: "budget-insufficient-here", Calls: 1, Of: 1, Example: "5"},
-	}, story.Losses(lines, 4*time.Second))
+		{From: from, Route: "a", Reason: "budget-insufficient-here", Calls: 2, Total: 3, Example: "2"},
+		{From: from, Route: "b", Reason: "broken-off", Calls: 1, Total: 1, Example: "4"},
+		{From: next, Route: "a", Reason: "budget-insufficient-here", Calls: 1, Total: 1, Example: "5"},
+	}, story.SummarizeLosses(lines, 4*time.Second))
 }
--- a/ctl/story/placements.go
+++ b/ctl/story/placements.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// Placements is how well the first events of a route's streams were foreseen at one
-// node: times in ms.
-type Placements struct {
+// PlacementStats compares the expected with the observed time to the first event, over the streams of
+// one route on one node.
+type PlacementStats struct {
 	Node     string  `json:"node"`
 	Route    string  `json:"route"`
 	Streams  int     `json:"streams"`
-	Expected int64   `json:"expectedMs"` // until the first event, the middle of all
-	Met      int64   `json:"metMs"`
-	Later    int64   `json:"laterMs"` // than expected, in one of ten
-	Fetched  float64 `json:"fetched"` // share that took parts of their prompts from elsewhere
+	Expected int64   `json:"expectedMs"` // median time to the first event, in ms
+	Observed int64   `json:"metMs"`      // median, in ms
+	LateP90  int64   `json:"laterMs"`    // 90th percentile of the delay beyond the expected time, in ms
+	Fetched  float64 `json:"fetched"`    // share of streams that fetched cached prompt tokens from another endpoint
 }
 
 type placementKey struct{ node, route string }
 
-// placed are the streams of one node and route.
-type placed struct{ expected, met, later []int64 }
+// samples holds the times of the streams of one node and route, in ms.
+type samples struct{ expected, observed, late []int64 }
 
-// PlacementsOf compares what was expected of streams with what they met, by node and
-// route, the nodes with most streams first.
-func PlacementsOf(lines []Line) []Placements {
-	byKey := map[placementKey]placed{}
+// SummarizePlacements returns the statistics by node and route, ordered by descending number of
+// streams.
+func SummarizePlacements(lines []Line) []PlacementStats {
+	byKey := map[placementKey]samples{}
 	fetched := map[placementKey]int{}
 	for _, l := range lines {
 		if l.Message != callEnded || l.text("reason") != "streamed" || l.number("firstMs") == 0 {
@@ -34,28 +34,28 @@
 		}
 		key := placementKey{node: l.Node(), route: l.text("route")}
 		p := byKey[key]
-		expected, met := l.number("expectedFirstMs"), l.number("firstMs")
-		byKey[key] = placed{append(p.expected, expected), append(p.met, met), append(p.later, met-expected)}
+		expected, observed := l.number("expectedFirstMs"), l.number("firstMs")
+		byKey[key] = samples{append(p.expected, expected), append(p.observed, observed), append(p.late, observed-expected)}
 		if l.number("fetched") > 0 {
 			fetched[key]++
 		}
 	}
-	all := make([]Placements, 0, len(byKey))
+	all := make([]PlacementStats, 0, len(byKey))
 	for key := range maps.Keys(byKey) {
 		p := byKey[key]
-		const middle, mostly = 0.5, 0.9
-		all = append(all, Placements{
-			Node: key.node, Route: key.route, Streams: len(p.met), Expected: quantile(p.expected, middle), Met: quantile(p.met, middle),
-			Later: quantile(p.later, mostly), Fetched: float64(fetched[key]) / float64(len(p.met)),
+		const median, p90 = 0.5, 0.9
+		all = append(all, PlacementStats{
+			Node: key.node, Route: key.route, Streams: len(p.observed), Expected: quantile(p.expected, median), Observed: quantile(p.observed, median),
+			LateP90: quantile(p.late, p90), Fetched: float64(fetched[key]) / float64(len(p.observed)),
 		})
 	}
-	slices.SortFunc(all, func(a, b Placements) int {
+	slices.SortFunc(all, func(a, b PlacementStats) int {
 		return cmp.Or(cmp.Compare(b.Streams, a.Streams), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Route, b.Route))
 	})
 	return all
 }
 
-// quantile of numbers that are not empty.
+// quantile returns the q-quantile of a non-empty list.
 func quantile(numbers []int64, q float64) int64 {
 	sorted := slices.Sorted(slices.Values(numbers))
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
--- a/ctl/story/rollouts_test.go
+++ b/ctl/story/rollouts_test.go
@@ -12,8 +12,8 @@
 	"github.com/lynxshed/lynxshed/ctl/story"
 )
 
-// Two nodes' lines of an order that was reverted, one that was taken away and one that
-// makes no sense; the lines of the second node come first.
+// The lines of two nodes about three orders: one reverted, one deleted and one invalid. The lines of the
+// second node come first.
 const rolloutLog = `{"timestamp":"2026-12-02T10:00:00.2Z","message":"rollout in force","fields":{"node":"b","service":"s","target":"v2","made":5,"revision":5,"durationMs":12000,"state":"ordered","stage":"sampling","share":0}}
 {"timestamp":"2026-12-02T10:00:01.3Z","message":"rollout in force","fields":{"node":"b","service":"s","target":"v2","made":5,"revision":9,"durationMs":12000,"state":"in-progress","stage":"sampling","share":0.05,"usedMs":900}}
 {"timestamp":"2026-12-02T10:00:03.1Z","message":"version found bad: it gets nothing","fields":{"node":"b","service":"s","target":"v2","made":5,"by":"a","why":"route \"r\""}}
@@ -30,7 +30,7 @@
 {"timestamp":"2026-12-02T10:02:01Z","message":"call ended","fields":{"node":"a","service":"p"}}
 `
 
-func TestRolloutsAreToldOrderByOrder(t *testing.T) {
+func TestRolloutsAreGroupedByOrder(t *testing.T) {
 	lines, err := story.Read(strings.NewReader(rolloutLog))
 	require.NoError(t, err)
 	all := story.Rollouts(lines)
@@ -38,12 +38,12 @@
 	at := func(ms int) time.Time { return time.Date(2026, 12, 2, 10, 0, 0, ms*int(time.Millisecond), time.UTC) }
 	r := all[0]
 	assert.Equal(t, "s v2 reverted", r.Service+" "+r.Target+" "+r.State)
-	assert.Equal(t, at(100), r.Seen)
+	assert.Equal(t, at(100), r.FirstObserved)
 	assert.EqualValues(t, 12000, r.DurationMs)
 	assert.Equal(t, `bad: route "r"`, r.Why)
-	assert.Equal(t, 1, r.Refused)
+	assert.Equal(t, 1, r.RefusedWrites)
 	assert.Equal(t, []story.RouteAnswers{{Route: "q", Old: 3, Target: 1}, {Route: "r", Old: 90, OldBad: 1, Target: 15, TargetBad: 8}}, r.Answers)
-	assert.Equal(t, []story.RolloutNotice{{At: at(3100), Node: "b", By: "a", Why: `route "r"`}}, r.Bad)
+	assert.Equal(t, []story.BadTargetReport{{At: at(3100), Node: "b", Reporter: "a", Why: `route "r"`}}, r.BadReports)
 	steps := []struct {
 		at     time.Time
 		state  string
@@ -64,24 +64,25 @@
 		assert.Equal(t, want.at, s.At)
 		assert.Equal(t, want.state, s.State)
 		assert.Equal(t, want.share, s.Share)
-		assert.Equal(t, want.used, s.UsedMs)
+		assert.Equal(t, want.used, s.ElapsedMs)
 		assert.Equal(t, want.writer, s.Writer)
 		assert.Equal(t, want.nodes, s.Nodes)
-		assert.Equal(t, want.last, s.Last)
-		assert.Equal(t, want.lastMs, s.LastMs)
+		assert.Equal(t, want.last, s.LastNode)
+		assert.Equal(t, want.lastMs, s.LastDelayMs)
 	}
 	assert.Equal(t, "taken away", all[1].State)
 	assert.Equal(t, "without effect: it names no version", all[2].State+": "+all[2].Why)
 }
 
-// Guards against the steps of a rollout being told in another order after the store came back from a copy.
-func TestStepsOfARolloutFollowTheErasOfTheStore(t *testing.T) {
-	const told = `{"timestamp":"2026-12-03T10:00:00Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":5,"era":1,"state":"ordered"}}
+// The store is restored from a copy, so that its revision numbers go back while its era goes up; the steps
+// of the rollout must still be listed in the order of time.
+func TestRolloutStepsAreOrderedByEra(t *testing.T) {
+	const log = `{"timestamp":"2026-12-03T10:00:00Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":5,"era":1,"state":"ordered"}}
 {"timestamp":"2026-12-03T10:00:01Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":9,"era":1,"state":"in-progress"}}
 {"timestamp":"2026-12-03T10:00:04Z","message":"status of a rollout written","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":9,"toState":"reverted","at":7,"atEra":2,"why":"bad","written":true}}
 {"timestamp":"2026-12-03T10:00:04.1Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":7,"era":2,"state":"reverted"}}
 `
-	lines, err := story.Read(strings.NewReader(told))
+	lines, err := story.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	all := story.Rollouts(lines)
 	require.Len(t, all, 1)
--- a/ctl/story/spending_test.go
+++ b/ctl/story/spending_test.go
@@ -20,20 +20,20 @@
 {"timestamp":"2026-12-02T10:00:06Z","message":"accounts: written","fields":{"node":"n","tokens":{"a":-10},"pools":{"a":710}}}
 `
 
-func TestSpendingIsSummedUpByCustomerAndSlice(t *testing.T) {
+func TestSpendingIsSummarizedByCustomerAndWindow(t *testing.T) {
 	lines, err := story.Read(strings.NewReader(budgetLog))
 	require.NoError(t, err)
 	from := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	next := from.Add(4 * time.Second)
 	assert.Equal(t, []story.Spending{
-		{Customer: "a", Prepaid: 1000, Asked: 180, Refused: 80, Calls: 1, Spent: 60, Drawn: 290, Lost: 240, PoolLeft: 710},
+		{Customer: "a", Prepaid: 1000, Requested: 180, Refused: 80, RefusedCalls: 1, Spent: 60, Drawn: 290, Lost: 240, PoolRemaining: 710},
 		{Customer: "b", Prepaid: 50},
-		{From: from, Customer: "a", Asked: 100, Spent: 60, Drawn: 300, PoolLeft: 700},
-		{From: next, Customer: "a", Asked: 80, Refused: 80, Calls: 1, Drawn: -10, Lost: 240, PoolLeft: 710},
-	}, story.Spendings(lines, 4*time.Second))
+		{From: from, Customer: "a", Requested: 100, Spent: 60, Drawn: 300, PoolRemaining: 700},
+		{From: next, Customer: "a", Requested: 80, Refused: 80, RefusedCalls: 1, Drawn: -10, Lost: 240, PoolRemaining: 710},
+	}, story.SummarizeSpending(lines, 4*time.Second))
 }
 
-func TestPlacementsCompareWhatWasExpectedWithWhatWasMet(t *testing.T) {
+func TestPlacementsCompareExpectedWithObservedTimes(t *testing.T) {
 	const log = `{"message":"call ended","fields":{"node":"n","route":"r","reason":"streamed","expectedFirstMs":100,"firstMs":90,"fetched":5}}
 {"message":"call ended","fields":{"node":"n","route":"r","reason":"streamed","expectedFirstMs":120,"firstMs":150}}
 {"message":"call ended","fields":{"node":"n","route":"r","reason":"streamed","expectedFirstMs":130,"firstMs":730}}
@@ -43,8 +43,8 @@
 `
 	lines, err := story.Read(strings.NewReader(log))
 	require.NoError(t, err)
-	assert.Equal(t, []story.Placements{
-		{Node: "n", Route: "r", Streams: 3, Expected: 120, Met: 150, Later: 600, Fetched: 1.0 / 3},
-		{Node: "m", Route: "r", Streams: 1, Expected: 10, Met: 20, Later: 10},
-	}, story.PlacementsOf(lines))
+	assert.Equal(t, []story.PlacementStats{
+		{Node: "n", Route: "r", Streams: 3, Expected: 120, Observed: 150, LateP90: 600, Fetched: 1.0 / 3},
+		{Node: "m", Route: "r", Streams: 1, Expected: 10, Observed: 20, LateP90: 10},
+	}, story.SummarizePlacements(lines))
 }
--- a/ctl/story/story.go
+++ b/ctl/story/story.go
@@ -1,5 +1,6 @@
-// Package story reads the logs of relaying nodes and tells what happened to one
-// call, on every node in order, with what each node believed at that time.
+// Package story analyzes the logs of relaying nodes. It reconstructs the course of a call on all nodes,
+// with the state known to each node at that time, and summarizes unserved calls, spending, placements
+// and rollouts.
 package story
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a log.
+// Line is one structured log line.
 type Line struct {
 	Time    time.Time      `json:"timestamp"`
 	Level   string         `json:"level"`
@@ -23,10 +24,10 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// Node is the node that wrote the line.
+// Node returns the node that wrote the line.
 func (l Line) Node() string { return l.text("node") }
 
-// Request is the call that the line is about; "" is none.
+// Request returns the id of the call that the line is about, or "" if there is none.
 func (l Line) Request() string { return l.text("request") }
 
 func (l Line) text(field string) string {
@@ -34,15 +35,15 @@
 	return s
 }
 
-// maxLine is the longest line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line.
+const maxLineBytes = 1 << 20
 
-// Read reads lines; what stands before a line's brace, and lines that are no
-// JSON, are passed over.
+// Read parses log lines. It ignores any prefix before the first brace of a line, and lines that are not
+// JSON.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, maxLine), maxLine)
+	scanner.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -56,29 +57,29 @@
 	return lines, errors.Wrap(scanner.Err(), "read log")
 }
 
-// Tell picks the lines about a call, and before them the last word of each kind
-// that the nodes concerned wrote about what they believed.
-func Tell(lines []Line, request string) []Line {
+// CallLines returns the lines about a call in order of time. Before the first line of a node come the
+// latest lines of each kind in which that node had logged its state.
+func CallLines(lines []Line, request string) []Line {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	var told []Line
-	tried := endpointsOf(sorted, request)
-	beliefs := map[string]map[string]Line{} // by node and what it is about
+	var selected []Line
+	attempted := endpointsOf(sorted, request)
+	states := map[string]map[string]Line{} // by node, then by message and subject
 	for _, l := range sorted {
 		if l.Request() == request {
-			told = append(told, takeBeliefs(beliefs, l)...)
-			told = append(told, l)
+			selected = append(selected, takeStates(states, l)...)
+			selected = append(selected, l)
 			continue
 		}
-		if l.Request() == "" && (l.text("endpoint") == "" || tried[l.text("endpoint")]) {
-			believe(beliefs, l)
+		if l.Request() == "" && (l.text("endpoint") == "" || attempted[l.text("endpoint")]) {
+			recordState(states, l)
 		}
 	}
-	return told
+	return selected
 }
 
-// endpointsOf is which endpoints the lines of a call name: what is known of others says
-// nothing of it.
+// endpointsOf returns the endpoints named in the lines of a call. The state of other endpoints is
+// irrelevant to that call.
 func endpointsOf(lines []Line, request string) map[string]bool {
 	named := map[string]bool{}
 	for _, l := range lines {
@@ -89,18 +90,18 @@
 	return named
 }
 
-func believe(beliefs map[string]map[string]Line, l Line) {
-	if beliefs[l.Node()] == nil {
-		beliefs[l.Node()] = map[string]Line{}
+func recordState(states map[string]map[string]Line, l Line) {
+	if states[l.Node()] == nil {
+		states[l.Node()] = map[string]Line{}
 	}
-	beliefs[l.Node()][l.Message+l.text("of")+l.text("service")+l.text("endpoint")] = l
+	states[l.Node()][l.Message+l.text("of")+l.text("service")+l.text("endpoint")] = l
 }
 
-// takeBeliefs lists what a node believed, in order, and forgets it, so that it
-// is told once.
-func takeBeliefs(beliefs map[string]map[string]Line, l Line) []Line {
-	all := slices.Collect(maps.Values(beliefs[l.Node()]))
-	delete(beliefs, l.Node())
+// takeStates removes and returns the state lines of a node in order of time, so that each is listed
+// once.
+func takeStates(states map[string]map[string]Line, l Line) []Line {
+	all := slices.Collect(maps.Values(states[l.Node()]))
+	delete(states, l.Node())
 	slices.SortFunc(all, func(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Message, b.Message)) })
 	return all
 }
--- a/ctl/story/story_test.go
+++ b/ctl/story/story_test.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/ctl/story"
 )
 
-// Two nodes' logs, mixed and out of order, with what is no line between them.
+// Logs of several nodes, mixed and out of order, with text between them that is not JSON.
 const logs = `building
   4.0 node-a {"fields":{"node":"a","request":"other","reason":"streamed"},"level":"info","timestamp":"2026-01-01T00:00:04Z","message":"call ended"}
   1.0 node-a {"fields":{"node":"a","policy":2},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"policy in force"}
@@ -27,7 +27,7 @@
 {half
 `
 
-func TestTell(t *testing.T) {
+func TestCallLines(t *testing.T) {
 	lines, err := story.Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	cases := []struct {
@@ -36,15 +36,15 @@
 	}{
 		{"c", []string{"a policy in force", "a accounts: store lost", "a endpoint seen", "a rollout in force", "a rollout in force", "a attempt failed", "a call ended"}},
 		{"d", []string{"c call ended"}},
-		{"unheard", nil},
+		{"unknown", nil},
 	}
 	for _, c := range cases {
 		var got []string
-		for _, l := range story.Tell(lines, c.request) {
+		for _, l := range story.CallLines(lines, c.request) {
 			got = append(got, l.Node()+" "+l.Message)
 		}
 		assert.Equal(t, c.want, got)
 	}
-	assert.Equal(t, "v2", story.Tell(lines, "c")[2].Fields["version"], "of the endpoint that was tried")
-	assert.EqualValues(t, 3, story.Tell(lines, "c")[0].Fields["policy"], "the policy of that moment")
+	assert.Equal(t, "v2", story.CallLines(lines, "c")[2].Fields["version"], "version of the attempted endpoint")
+	assert.EqualValues(t, 3, story.CallLines(lines, "c")[0].Fields["policy"], "policy in force at the time of the call")
 }
