--- a/ctl/demo/demo.go
+++ b/ctl/demo/demo.go
@@ -33,7 +33,7 @@
 	demoFlushMs = 1000
 )
 
-// Component is a process of the demo that listens on a URL: a node, an engine or an application.
+// Component is a part of the demo that serves a URL: a node, an engine or an application.
 type Component struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -208,9 +208,9 @@
 		seed = uint64(r.IntN(o.Prompts))
 	}
 	letters := rand.New(rand.NewPCG(seed, o.Seed))
-	prompt := make([]byte, max(1, o.PromptBytes))
-	for i := range prompt {
-		prompt[i] = byte('a' + letters.IntN(26))
+	text := make([]byte, max(1, o.PromptBytes))
+	for i := range text {
+		text[i] = byte('a' + letters.IntN(26))
 	}
-	return string(prompt)
+	return string(text)
 }
