--- a/standin/application/application.go
+++ b/standin/application/application.go
@@ -1,5 +1,5 @@
-// Package application stands in for a plain service beside the model engines,
-// such as the translation memory or the tournament records.
+// Package application is the stand-in of a plain service that runs beside the model engines, such as a
+// translation memory or tournament records.
 package application
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/lynxshed/lynxshed/standin/fault"
 )
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// Ran is the record of one call that the application started.
-type Ran struct {
+// CallRecord records one call that the application started.
+type CallRecord struct {
 	RequestID string    `json:"requestId"`
 	Method    string    `json:"method"`
 	Path      string    `json:"path"`
@@ -24,7 +24,7 @@
 	StartedAt time.Time `json:"startedAt"`
 }
 
-// Answer is what the application sends back.
+// Answer is the body of an answer to a call.
 type Answer struct {
 	Application string `json:"application"`
 	RequestID   string `json:"requestId"`
@@ -33,68 +33,68 @@
 	Sequence    int    `json:"sequence"`
 }
 
-// Load is the application's own report.
+// Load is the load report of an application.
 type Load struct {
 	InFlight int64 `json:"inFlight"`
 	Leaving  bool  `json:"leaving"`
 }
 
-// Application is the stand-in; New makes one.
+// Application is the stand-in, created by New.
 type Application struct {
 	Faults fault.Set
 
 	name     string
-	work     time.Duration
+	callTime time.Duration // duration of a call
 	inFlight atomic.Int64
 
-	mu  sync.Mutex
-	ran []Ran
+	mu    sync.Mutex
+	calls []CallRecord
 }
 
-// New makes an application whose calls take the given time.
-func New(name string, work time.Duration) *Application {
-	return &Application{name: name, work: work}
+// New returns an application whose calls take the given time.
+func New(name string, callTime time.Duration) *Application {
+	return &Application{name: name, callTime: callTime}
 }
 
-// Handler serves the application.
+// Handler returns the HTTP handler of the application.
 func (a *Application) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/faults", &a.Faults)
-	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, a.Ran()) })
+	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, a.Calls()) })
 	mux.HandleFunc("GET /load", a.load)
 	mux.Handle("/", a.Faults.Middleware(http.HandlerFunc(a.serve)))
 	return mux
 }
 
-// Ran returns the record of the calls that started.
-func (a *Application) Ran() []Ran {
+// Calls returns the calls that were started, in order.
+func (a *Application) Calls() []CallRecord {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]Ran{}, a.ran...)
+	return append([]CallRecord{}, a.calls...)
 }
 
 func (a *Application) load(w http.ResponseWriter, _ *http.Request) {
-	_, leaving := a.Faults.Take(fault.Leave)
+	_, leaving := a.Faults.Trigger(fault.Leave)
 	writeJSON(w, Load{InFlight: a.inFlight.Load(), Leaving: leaving})
 }
 
 func (a *Application) serve(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "body too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	if f, ok := a.Faults.Take(fault.Late); ok {
+	if f, ok := a.Faults.Trigger(fault.Late); ok {
 		time.Sleep(f.Delay())
 	}
 	a.inFlight.Add(1)
 	defer a.inFlight.Add(-1)
 	answer := a.record(r, body)
-	time.Sleep(a.work)
-	if _, ok := a.Faults.Take(fault.Reset); ok {
+	time.Sleep(a.callTime)
+	if _, ok := a.Faults.Trigger(fault.Reset); ok {
 		panic(http.ErrAbortHandler)
 	}
-	if _, ok := a.Faults.Take(fault.Truncate); ok {
+	if _, ok := a.Faults.Trigger(fault.Truncate); ok {
 		w.Header().Set("Content-Length", "4096")
 		_, _ = w.Write([]byte(`{"application":`))
 		panic(http.ErrAbortHandler)
@@ -106,15 +106,15 @@
 func (a *Application) record(r *http.Request, body []byte) Answer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ran := Ran{
+	call := CallRecord{
 		RequestID: r.Header.Get("Lynxshed-Request-Id"),
 		Method:    r.Method,
 		Path:      r.URL.Path,
 		Body:      string(body),
 		StartedAt: time.Now(),
 	}
-	a.ran = append(a.ran, ran)
-	return Answer{Application: a.name, RequestID: ran.RequestID, Method: ran.Method, Path: ran.Path, Sequence: len(a.ran)}
+	a.calls = append(a.calls, call)
+	return Answer{Application: a.name, RequestID: call.RequestID, Method: call.Method, Path: call.Path, Sequence: len(a.calls)}
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,16 +1,16 @@
-// Package engine stands in for a model engine that batches continuously.
+// Package engine is the stand-in of a model engine with continuous batching.
 //
-//	POST   /v1/chat/completions        the OpenAI form, streamed or whole
-//	GET    /v1/outcomes/{id}?attempt=N what became of an attempt
-//	GET    /v1/streams/{id}?attempt=N&from=K   the stream again from chunk K
-//	DELETE /v1/requests/{id}?attempt=N cancels; answers the outcome
-//	GET    /load                       a report that lags
-//	GET    /cache-events?after=N       prefix-cache events, late and with gaps
-//	POST   /orders                     fenced orders (load a model, change role)
-//	GET    /kv/{prefix}, PUT           KV cache out and in
-//	GET    /ran                        the independent record
+//	POST   /v1/chat/completions        chat completion as in the OpenAI API, streamed or complete
+//	GET    /v1/outcomes/{id}?attempt=N outcome of an attempt
+//	GET    /v1/streams/{id}?attempt=N&from=K   resumes a stream from chunk K
+//	DELETE /v1/requests/{id}?attempt=N cancels an attempt and returns its outcome
+//	GET    /load                       load report, delayed
+//	GET    /cache-events?after=N       prefix-cache events, delayed and with gaps
+//	POST   /orders                     fenced orders (load a model, change the role)
+//	GET    /kv/{prefix}, PUT           exports and imports the KV cache of a prefix
+//	GET    /ran                        all attempts that were started
 //
-// A run goes on when its connection breaks: it is resumed or cancelled by id.
+// A run continues when its connection breaks; it can be resumed or cancelled by id.
 package engine
 
 import (
@@ -23,17 +23,17 @@
 	"github.com/lynxshed/lynxshed/standin/fault"
 )
 
-// Options of an engine; zero values choose the documented defaults.
+// Options configures an engine. Zero values select the documented defaults.
 type Options struct {
 	Name         string
-	MaxBatch     int           // requests that run at once; 16 when zero
-	TokenTime    time.Duration // between tokens of a request that runs alone; 2 ms when zero
-	BatchSlope   float64       // how much each further request slows a token; 0.05 when zero
-	PrefillTime  time.Duration // for 1,000 prompt tokens that are not cached; 20 ms when zero
-	CacheBlocks  int           // blocks of the prefix cache; 4096 when zero
-	LoadLag      time.Duration // age of the load report; 500 ms when zero
-	ChecksFence  bool
-	DefaultLimit int // output tokens when the caller names none; 64 when zero
+	MaxBatch     int           // maximum number of concurrent requests; default 16
+	TokenTime    time.Duration // time per token of a request that runs alone; default 2 ms
+	BatchSlope   float64       // relative increase of the time per token for each further request; default 0.05
+	PrefillTime  time.Duration // time per 1,000 prompt tokens that are not cached; default 20 ms
+	CacheBlocks  int           // capacity of the prefix cache; default 4096
+	LoadLag      time.Duration // age of the load report; default 500 ms
+	ChecksFence  bool          // refuses orders with an outdated fence
+	DefaultLimit int           // output tokens if the caller sets no limit; default 64
 }
 
 func (o Options) withDefaults() Options {
@@ -61,21 +61,21 @@
 	return o
 }
 
-// Engine is the stand-in; New makes one.
+// Engine is the stand-in, created by New.
 type Engine struct {
 	Faults fault.Set
 
 	options Options
 
-	mu      sync.Mutex
-	runs    map[runKey]*run
-	ordered []*run
-	batch   int
-	waiting []*run
-	cache   *prefixCache
-	orders  orderBook
-	kv      map[string][]byte
-	reports []report
+	mu       sync.Mutex
+	runs     map[runKey]*run
+	arrivals []*run // all runs in order of arrival
+	batch    int    // number of runs in the batch
+	waiting  []*run // queued
+	cache    *prefixCache
+	orders   orderLog
+	kv       map[string][]byte
+	reports  []report // load reports, oldest first
 }
 
 type report struct {
@@ -83,7 +83,7 @@
 	load Load
 }
 
-// New makes an idle engine.
+// New returns an idle engine.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	return &Engine{
@@ -94,26 +94,26 @@
 	}
 }
 
-// Handler serves the engine.
+// Handler returns the HTTP handler of the engine.
 func (e *Engine) Handler() http.Handler {
 	api := http.NewServeMux()
-	api.HandleFunc("POST /v1/chat/completions", e.complete)
-	api.HandleFunc("GET /v1/outcomes/{id}", e.outcome)
-	api.HandleFunc("GET /v1/streams/{id}", e.resume)
-	api.HandleFunc("DELETE /v1/requests/{id}", e.cancel)
+	api.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	api.HandleFunc("GET /v1/outcomes/{id}", e.serveOutcome)
+	api.HandleFunc("GET /v1/streams/{id}", e.resumeStream)
+	api.HandleFunc("DELETE /v1/requests/{id}", e.cancelAttempt)
 	api.HandleFunc("GET /load", e.serveLoad)
-	api.HandleFunc("GET /cache-events", e.cacheEvents)
-	api.HandleFunc("POST /orders", e.order)
+	api.HandleFunc("GET /cache-events", e.serveCacheEvents)
+	api.HandleFunc("POST /orders", e.serveOrder)
 	api.HandleFunc("GET /kv/{prefix}", e.exportKV)
 	api.HandleFunc("PUT /kv/{prefix}", e.importKV)
 	mux := http.NewServeMux()
 	mux.Handle("/faults", &e.Faults)
-	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Ran()) })
+	mux.HandleFunc("GET /ran", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Attempts()) })
 	mux.Handle("/", e.Faults.Middleware(api))
 	return mux
 }
 
-// Load is the engine's own report.
+// Load is the load report of an engine.
 type Load struct {
 	InFlight int  `json:"inFlight"`
 	Queued   int  `json:"queued"`
@@ -122,8 +122,8 @@
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	_, leaving := e.Faults.Take(fault.Leave)
-	_, stale := e.Faults.Take(fault.StaleLoad)
+	_, leaving := e.Faults.Trigger(fault.Leave)
+	_, stale := e.Faults.Trigger(fault.StaleLoad)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -138,8 +138,8 @@
 	writeJSON(w, http.StatusOK, load)
 }
 
-// Ran is the record of one attempt that the engine started.
-type Ran struct {
+// AttemptRecord records one attempt that the engine started.
+type AttemptRecord struct {
 	RequestID    string    `json:"requestId"`
 	Attempt      int       `json:"attempt"`
 	Customer     string    `json:"customer"`
@@ -150,12 +150,12 @@
 	StartedAt    time.Time `json:"startedAt"`
 }
 
-// Ran returns the record of the attempts that started.
-func (e *Engine) Ran() []Ran {
+// Attempts returns the attempts that were started, in order of arrival.
+func (e *Engine) Attempts() []AttemptRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	records := make([]Ran, 0, len(e.ordered))
-	for _, r := range e.ordered {
+	records := make([]AttemptRecord, 0, len(e.arrivals))
+	for _, r := range e.arrivals {
 		records = append(records, r.record())
 	}
 	return records
@@ -167,7 +167,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func attemptOf(value string) int {
+// parseAttempt parses the number of an attempt; it is 1 if the value is missing or invalid.
+func parseAttempt(value string) int {
 	n, err := strconv.Atoi(value)
 	if err != nil || n < 1 {
 		return 1
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -6,24 +6,24 @@
 	"net/http"
 )
 
-const maxKV = 16 << 20
+const maxKVBytes = 16 << 20
 
-// Order tells the engine to load a model or to change its role.
+// Order instructs the engine to load a model or to change its role.
 type Order struct {
-	Fence int64  `json:"fence"`
-	Kind  string `json:"kind"` // load or role
+	Fence int64  `json:"fence"` // fencing token
+	Kind  string `json:"kind"`  // load or role
 	Value string `json:"value"`
 }
 
-// orderBook keeps the orders taken and the highest fence seen.
-type orderBook struct {
-	fence int64
-	taken []Order
+// orderLog holds the accepted orders and their highest fence.
+type orderLog struct {
+	fence    int64
+	accepted []Order
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, "order: "+err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -34,7 +34,7 @@
 		return
 	}
 	e.orders.fence = max(e.orders.fence, o.Fence)
-	e.orders.taken = append(e.orders.taken, o)
+	e.orders.accepted = append(e.orders.accepted, o)
 	writeJSON(w, http.StatusOK, o)
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKV))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKVBytes))
 	if err != nil {
 		http.Error(w, "kv: too large", http.StatusRequestEntityTooLarge)
 		return
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -7,10 +7,10 @@
 	"github.com/lynxshed/lynxshed/standin/fault"
 )
 
-// State is where a run stands.
+// State is the state of a run.
 type State string
 
-// The states of a run.
+// States of a run.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
@@ -19,11 +19,11 @@
 )
 
 const (
-	interactive    = "interactive"
-	bytesPerToken  = 4
-	messageTokens  = 4
-	prefillPer     = 1000
-	cacheBlockSize = 64
+	interactive      = "interactive"
+	bytesPerToken    = 4
+	tokensPerMessage = 4
+	prefillUnit      = 1000
+	cacheBlockSize   = 64
 )
 
 type runKey struct {
@@ -31,38 +31,40 @@
 	attempt int
 }
 
-// run is one attempt; the engine's lock guards it.
+// run is one attempt. The lock of the engine guards it.
 type run struct {
-	key      runKey
-	customer string
-	priority string
-	model    string
-	prompt   string
-	tokens   int // of the prompt
-	limit    int
-	state    State
-	started  time.Time
-	output   []string
-	prefill  bool
-	changed  chan struct{}
+	key          runKey
+	customer     string
+	priority     string
+	model        string
+	prompt       string
+	promptLength int // tokens
+	maxTokens    int // maximum number of output tokens
+	state        State
+	started      time.Time
+	output       []string      // generated tokens
+	prefilled    bool          // whether the prompt has been read
+	changed      chan struct{} // closed and replaced on each change
 }
 
 func (r *run) ended() bool { return r.state == Done || r.state == Cancelled }
 
-func (r *run) wake() {
+// notify informs the readers of a change.
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
+// promptTokens returns the number of prompt tokens that count as used: none before the prefill.
 func (r *run) promptTokens() int {
-	if !r.prefill {
+	if !r.prefilled {
 		return 0
 	}
-	return r.tokens
+	return r.promptLength
 }
 
-func (r *run) record() Ran {
-	return Ran{
+func (r *run) record() AttemptRecord {
+	return AttemptRecord{
 		RequestID:    r.key.id,
 		Attempt:      r.key.attempt,
 		Customer:     r.customer,
@@ -74,16 +76,16 @@
 	}
 }
 
-// start begins a run, or finds the one that has begun under the same key.
+// start starts a run, or returns the one that was started under the same key.
 func (e *Engine) start(r *run) *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if old, ok := e.runs[r.key]; ok {
-		return old
+	if existing, ok := e.runs[r.key]; ok {
+		return existing
 	}
 	r.state, r.started, r.changed = Queued, time.Now(), make(chan struct{})
 	e.runs[r.key] = r
-	e.ordered = append(e.ordered, r)
+	e.arrivals = append(e.arrivals, r)
 	if e.batch < e.options.MaxBatch {
 		e.launch(r)
 		return r
@@ -92,20 +94,20 @@
 	return r
 }
 
-// enqueue keeps interactive runs before the others, each in order of arrival.
+// enqueue queues a run: interactive runs before all others, each group in order of arrival.
 func (e *Engine) enqueue(r *run) {
-	at := len(e.waiting)
+	position := len(e.waiting)
 	if r.priority == interactive {
-		for i, w := range e.waiting {
-			if w.priority != interactive {
-				at = i
+		for i, queued := range e.waiting {
+			if queued.priority != interactive {
+				position = i
 				break
 			}
 		}
 	}
 	e.waiting = append(e.waiting, nil)
-	copy(e.waiting[at+1:], e.waiting[at:])
-	e.waiting[at] = r
+	copy(e.waiting[position+1:], e.waiting[position:])
+	e.waiting[position] = r
 }
 
 func (e *Engine) launch(r *run) {
@@ -115,7 +117,7 @@
 }
 
 func (e *Engine) generate(r *run) {
-	if f, ok := e.Faults.Take(fault.Late); ok {
+	if f, ok := e.Faults.Trigger(fault.Late); ok {
 		time.Sleep(f.Delay())
 	}
 	time.Sleep(e.prefill(r))
@@ -124,35 +126,37 @@
 	}
 }
 
+// prefill stores the prompt in the prefix cache and returns the time to process its uncached tokens.
 func (e *Engine) prefill(r *run) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.ended() {
 		return 0
 	}
-	r.prefill = true
-	cached := e.cache.touch(r.prompt)
-	fresh := max(0, r.tokens-cached*cacheBlockSize/bytesPerToken)
-	return e.options.PrefillTime * time.Duration(fresh) / prefillPer
+	r.prefilled = true
+	cached := e.cache.store(r.prompt)
+	uncached := max(0, r.promptLength-cached*cacheBlockSize/bytesPerToken)
+	return e.options.PrefillTime * time.Duration(uncached) / prefillUnit
 }
 
+// tokenTime returns the time per token at the current size of the batch.
 func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	slow := 1 + e.options.BatchSlope*float64(e.batch-1)
-	return time.Duration(float64(e.options.TokenTime) * slow)
+	slowdown := 1 + e.options.BatchSlope*float64(e.batch-1)
+	return time.Duration(float64(e.options.TokenTime) * slowdown)
 }
 
-// step makes one token and reports whether the run goes on.
+// step generates one token and reports whether the run continues.
 func (e *Engine) step(r *run) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !r.ended() {
 		r.output = append(r.output, fmt.Sprintf("t%d ", len(r.output)))
-		if len(r.output) >= r.limit {
+		if len(r.output) >= r.maxTokens {
 			r.state = Done
 		}
-		r.wake()
+		r.notify()
 	}
 	if r.ended() {
 		e.leaveBatch()
@@ -161,6 +165,7 @@
 	return true
 }
 
+// leaveBatch frees one place in the batch and launches queued runs. The caller holds e.mu.
 func (e *Engine) leaveBatch() {
 	e.batch--
 	for len(e.waiting) > 0 && e.batch < e.options.MaxBatch {
@@ -172,13 +177,13 @@
 	}
 }
 
-// stop cancels a run; the tokens it made stay counted.
-func (e *Engine) stop(r *run) {
+// cancelRun cancels a run. The tokens generated so far remain counted.
+func (e *Engine) cancelRun(r *run) {
 	if r.ended() {
 		return
 	}
 	r.state = Cancelled
-	r.wake()
+	r.notify()
 }
 
 func countTokens(text string) int {
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -13,9 +13,9 @@
 	"github.com/lynxshed/lynxshed/standin/fault"
 )
 
-const maxBody = 8 << 20
+const maxBodyBytes = 8 << 20
 
-// The headers by which the fleet names an attempt.
+// Headers in which the fleet identifies an attempt.
 const (
 	HeaderRequest  = "Lynxshed-Request-Id"
 	HeaderAttempt  = "Lynxshed-Attempt"
@@ -57,46 +57,46 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var q completionRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&q); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&q); err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if _, leaving := e.Faults.Take(fault.Leave); leaving {
+	if _, leaving := e.Faults.Trigger(fault.Leave); leaving {
 		http.Error(w, `{"error":"leaving: takes no new work"}`, http.StatusServiceUnavailable)
 		return
 	}
 	n := e.start(e.newRun(r, q))
 	if q.Stream {
-		e.stream(w, r, n, 0)
+		e.writeStream(w, r, n, 0)
 		return
 	}
-	e.whole(w, r, n)
+	e.writeAnswer(w, r, n)
 }
 
 func (e *Engine) newRun(r *http.Request, q completionRequest) *run {
 	n := &run{
-		key:      runKey{id: r.Header.Get(HeaderRequest), attempt: attemptOf(r.Header.Get(HeaderAttempt))},
-		customer: r.Header.Get(HeaderCustomer),
-		priority: q.Priority,
-		model:    q.Model,
-		limit:    q.MaxTokens,
+		key:       runKey{id: r.Header.Get(HeaderRequest), attempt: parseAttempt(r.Header.Get(HeaderAttempt))},
+		customer:  r.Header.Get(HeaderCustomer),
+		priority:  q.Priority,
+		model:     q.Model,
+		maxTokens: q.MaxTokens,
 	}
-	if n.limit <= 0 {
-		n.limit = e.options.DefaultLimit
+	if n.maxTokens <= 0 {
+		n.maxTokens = e.options.DefaultLimit
 	}
 	var prompt strings.Builder
 	for _, m := range q.Messages {
 		prompt.WriteString(m.Content)
-		n.tokens += countTokens(m.Content) + messageTokens
+		n.promptLength += countTokens(m.Content) + tokensPerMessage
 	}
 	n.prompt = prompt.String()
 	return n
 }
 
-func (e *Engine) find(w http.ResponseWriter, r *http.Request) (*run, bool) {
-	key := runKey{id: r.PathValue("id"), attempt: attemptOf(r.URL.Query().Get("attempt"))}
+func (e *Engine) findRun(w http.ResponseWriter, r *http.Request) (*run, bool) {
+	key := runKey{id: r.PathValue("id"), attempt: parseAttempt(r.URL.Query().Get("attempt"))}
 	e.mu.Lock()
 	n, ok := e.runs[key]
 	e.mu.Unlock()
@@ -106,8 +106,8 @@
 	return n, ok
 }
 
-func (e *Engine) outcome(w http.ResponseWriter, r *http.Request) {
-	if n, ok := e.find(w, r); ok {
+func (e *Engine) serveOutcome(w http.ResponseWriter, r *http.Request) {
+	if n, ok := e.findRun(w, r); ok {
 		e.writeOutcome(w, n)
 	}
 }
@@ -119,102 +119,104 @@
 	writeJSON(w, http.StatusOK, record)
 }
 
-func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	n, ok := e.find(w, r)
+func (e *Engine) cancelAttempt(w http.ResponseWriter, r *http.Request) {
+	n, ok := e.findRun(w, r)
 	if !ok {
 		return
 	}
 	e.mu.Lock()
-	e.stop(n)
+	e.cancelRun(n)
 	e.mu.Unlock()
 	e.writeOutcome(w, n)
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	n, ok := e.find(w, r)
+func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request) {
+	n, ok := e.findRun(w, r)
 	if !ok {
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	e.stream(w, r, n, max(0, from))
+	e.writeStream(w, r, n, max(0, from))
 }
 
-// view is what a reader sees of a run at one moment.
-type view struct {
+// snapshot is the state of a run, with its output from a given chunk on.
+type snapshot struct {
 	chunks  []string
 	state   State
 	usage   usage
 	changed chan struct{}
 }
 
-func (e *Engine) look(n *run, from int) view {
+func (e *Engine) snapshot(n *run, from int) snapshot {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	v := view{state: n.state, changed: n.changed}
+	s := snapshot{state: n.state, changed: n.changed}
 	if from < len(n.output) {
-		v.chunks = n.output[from:]
+		s.chunks = n.output[from:]
 	}
-	v.usage = usage{PromptTokens: n.promptTokens(), CompletionTokens: len(n.output)}
-	v.usage.TotalTokens = v.usage.PromptTokens + v.usage.CompletionTokens
-	return v
+	s.usage = usage{PromptTokens: n.promptTokens(), CompletionTokens: len(n.output)}
+	s.usage.TotalTokens = s.usage.PromptTokens + s.usage.CompletionTokens
+	return s
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, n *run) {
+// writeAnswer waits until the run has ended and writes the complete answer.
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, n *run) {
 	for {
-		v := e.look(n, 0)
-		if v.state == Done || v.state == Cancelled {
-			if _, ok := e.Faults.Take(fault.Reset); ok {
+		s := e.snapshot(n, 0)
+		if s.state == Done || s.state == Cancelled {
+			if _, ok := e.Faults.Trigger(fault.Reset); ok {
 				panic(http.ErrAbortHandler)
 			}
-			writeJSON(w, http.StatusOK, n.answer(v))
+			writeJSON(w, http.StatusOK, n.answer(s))
 			return
 		}
 		select {
-		case <-v.changed:
+		case <-s.changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-func (n *run) answer(v view) completion {
+func (n *run) answer(s snapshot) completion {
 	finish := "stop"
 	return completion{
 		ID: n.key.id, Object: "chat.completion", Created: n.started.Unix(), Model: n.model,
-		Choices: []choice{{Message: &message{Role: "assistant", Content: strings.Join(v.chunks, "")}, FinishReason: &finish}},
-		Usage:   &v.usage,
+		Choices: []choice{{Message: &message{Role: "assistant", Content: strings.Join(s.chunks, "")}, FinishReason: &finish}},
+		Usage:   &s.usage,
 	}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, n *run, from int) {
+// writeStream writes the chunks of a run from a given one on as server-sent events, until the run has ended.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, n *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(HeaderRequest, n.key.id)
 	w.Header().Set(HeaderAttempt, strconv.Itoa(n.key.attempt))
 	w.WriteHeader(http.StatusOK)
 	flush(w)
-	_, reset := e.Faults.Take(fault.Reset)
-	_, truncate := e.Faults.Take(fault.Truncate)
+	_, reset := e.Faults.Trigger(fault.Reset)
+	_, truncate := e.Faults.Trigger(fault.Truncate)
 	for {
-		v := e.look(n, from)
-		for _, chunk := range v.chunks {
-			send(w, strconv.Itoa(from), n.chunk(chunk))
+		s := e.snapshot(n, from)
+		for _, chunk := range s.chunks {
+			writeEvent(w, strconv.Itoa(from), n.chunk(chunk))
 			from++
-			if reset && from >= n.limit/2 {
+			if reset && from >= n.maxTokens/2 {
 				flush(w)
 				panic(http.ErrAbortHandler)
 			}
 		}
 		flush(w)
-		if v.state == Done || v.state == Cancelled {
+		if s.state == Done || s.state == Cancelled {
 			if !truncate {
-				send(w, strconv.Itoa(from), n.last(v))
-				send(w, strconv.Itoa(from+1), "[DONE]")
+				writeEvent(w, strconv.Itoa(from), n.finalChunk(s))
+				writeEvent(w, strconv.Itoa(from+1), "[DONE]")
 				flush(w)
 			}
 			return
 		}
 		select {
-		case <-v.changed:
+		case <-s.changed:
 		case <-r.Context().Done():
 			return
 		}
@@ -228,15 +230,15 @@
 	})
 }
 
-func (n *run) last(v view) string {
+func (n *run) finalChunk(s snapshot) string {
 	finish := "stop"
-	if v.state == Cancelled {
+	if s.state == Cancelled {
 		finish = "cancelled"
 	}
 	return encode(completion{
 		ID: n.key.id, Object: "chat.completion.chunk", Created: n.started.Unix(), Model: n.model,
 		Choices: []choice{{Delta: &message{}, FinishReason: &finish}},
-		Usage:   &v.usage,
+		Usage:   &s.usage,
 	})
 }
 
@@ -248,12 +250,13 @@
 	return string(data)
 }
 
-func send(w http.ResponseWriter, id, data string) {
+func writeEvent(w http.ResponseWriter, id, data string) {
 	m := &sse.Message{ID: sse.ID(id)}
 	m.AppendData(data)
 	_, _ = m.WriteTo(w)
 }
 
+// flush sends the buffered events and lifts the write deadline, since a stream may last long.
 func flush(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	_ = http.NewResponseController(w).Flush()
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,8 +1,8 @@
-// Package fault gives every stand-in the same fault knobs.
+// Package fault implements fault injection for all stand-ins.
 //
-// A fault is armed over HTTP with POST /faults and cleared with DELETE /faults.
-// Faults that any server can have (down, slow, refuse, hang, lose-answer) are
-// applied by Middleware; the others are taken by the stand-in where they bite.
+// A fault is armed over HTTP with POST /faults; DELETE /faults clears all faults. Middleware applies the
+// faults that any HTTP service can have (down, slow, refuse, hang, lose-answer). A stand-in triggers the
+// others itself, at the point where they take effect.
 package fault
 
 import (
@@ -12,35 +12,35 @@
 	"time"
 )
 
-// Name is a fault that a stand-in can be told to show.
+// Name names a fault that can be injected into a stand-in.
 type Name string
 
-// The faults a stand-in knows.
+// Faults of stand-ins.
 const (
 	Down       Name = "down"        // every connection is dropped
-	Slow       Name = "slow"        // every answer is delayed by DelayMs
-	LoseAnswer Name = "lose-answer" // the call takes effect, its answer is lost
-	Refuse     Name = "refuse"      // 503 before anything has run
-	Reset      Name = "reset"       // the connection breaks in mid-stream
-	Hang       Name = "hang"        // no answer until the caller leaves
-	Late       Name = "late"        // the work starts DelayMs late
+	Slow       Name = "slow"        // each answer is delayed by DelayMs
+	LoseAnswer Name = "lose-answer" // the call takes effect, but its answer is lost
+	Refuse     Name = "refuse"      // answers 503 before anything has run
+	Reset      Name = "reset"       // the connection is closed in mid-stream
+	Hang       Name = "hang"        // no answer until the caller disconnects
+	Late       Name = "late"        // the work starts after a delay of DelayMs
 	StaleLoad  Name = "stale-load"  // the load report stops changing
-	Leave      Name = "leave"       // the stand-in says that it is leaving
-	Truncate   Name = "truncate"    // the stream ends without its end mark
+	Leave      Name = "leave"       // the stand-in reports that it is leaving
+	Truncate   Name = "truncate"    // the answer ends without its end marker
 )
 
 const defaultDelay = 500 * time.Millisecond
 
-func known() []Name {
+func knownNames() []Name {
 	return []Name{Down, Slow, LoseAnswer, Refuse, Reset, Hang, Late, StaleLoad, Leave, Truncate}
 }
 
 // Fault is one armed fault.
 type Fault struct {
 	Fault   Name  `json:"fault"`
-	Count   int   `json:"count,omitempty"`   // how often it bites; 0 is until it is cleared
-	DelayMs int64 `json:"delayMs,omitempty"` // milliseconds, for slow and late
-	ForMs   int64 `json:"forMs,omitempty"`   // milliseconds until it clears itself; 0 is never
+	Count   int   `json:"count,omitempty"`   // number of times that it triggers; 0 for no limit
+	DelayMs int64 `json:"delayMs,omitempty"` // delay of slow and late, in ms; 500 if not positive
+	ForMs   int64 `json:"forMs,omitempty"`   // time until it expires, in ms; 0 for never
 }
 
 type armed struct {
@@ -48,13 +48,13 @@
 	until time.Time
 }
 
-// Set holds the faults that are armed; its zero value has none.
+// Set holds the armed faults of a stand-in. The zero value is an empty set.
 type Set struct {
 	mu    sync.Mutex
 	armed map[Name]armed
 }
 
-// Arm arms f, in place of an earlier fault of the same name.
+// Arm arms f and replaces an armed fault of the same name.
 func (s *Set) Arm(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,15 +68,16 @@
 	s.armed[f.Fault] = a
 }
 
-// Clear disarms every fault.
+// Clear disarms all faults.
 func (s *Set) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armed = nil
 }
 
-// Take reports whether the fault bites now, and counts it down.
-func (s *Set) Take(name Name) (Fault, bool) {
+// Trigger returns the named fault and reports whether it is armed. It decrements the count of a fault that
+// has one, and disarms an expired fault.
+func (s *Set) Trigger(name Name) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a, ok := s.armed[name]
@@ -99,7 +100,7 @@
 	return a.Fault, true
 }
 
-// Delay is how long a slow or late fault waits.
+// Delay returns the delay of a slow or late fault.
 func (f Fault) Delay() time.Duration {
 	if f.DelayMs <= 0 {
 		return defaultDelay
@@ -107,7 +108,7 @@
 	return time.Duration(f.DelayMs) * time.Millisecond
 }
 
-// ServeHTTP is the /faults resource.
+// ServeHTTP serves the /faults resource.
 func (s *Set) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodDelete:
@@ -126,7 +127,7 @@
 		http.Error(w, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	for _, name := range known() {
+	for _, name := range knownNames() {
 		if name == f.Fault {
 			s.Arm(f)
 			w.WriteHeader(http.StatusNoContent)
@@ -136,31 +137,32 @@
 	http.Error(w, "fault: unknown name "+string(f.Fault), http.StatusBadRequest)
 }
 
-// Middleware applies the faults that any server can have.
+// Middleware applies the faults that any HTTP service can have.
 func (s *Set) Middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, ok := s.Take(Down); ok {
+		if _, ok := s.Trigger(Down); ok {
 			panic(http.ErrAbortHandler)
 		}
-		if f, ok := s.Take(Slow); ok && !sleep(r, f.Delay()) {
+		if f, ok := s.Trigger(Slow); ok && !sleep(r, f.Delay()) {
 			return
 		}
-		if _, ok := s.Take(Refuse); ok {
+		if _, ok := s.Trigger(Refuse); ok {
 			http.Error(w, `{"error":"refused before it started"}`, http.StatusServiceUnavailable)
 			return
 		}
-		if _, ok := s.Take(Hang); ok {
+		if _, ok := s.Trigger(Hang); ok {
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
-		if _, ok := s.Take(LoseAnswer); ok {
-			next.ServeHTTP(discard{header: http.Header{}}, r)
+		if _, ok := s.Trigger(LoseAnswer); ok {
+			next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
+// sleep waits for d and reports whether the caller is still connected.
 func sleep(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -172,10 +174,10 @@
 	}
 }
 
-// discard is a response writer whose answer is lost.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards the answer.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Flush()                      {}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform stands in for the platform's service: an object API with
-// versions, conditional updates and watches, a lagging list of VMs and a
-// rate-limited weight store.
+// Package platform is the stand-in of the platform's service: an object API with versions, conditional
+// updates and watches, a delayed list of VMs and a rate-limited store of model weights.
 //
 // Objects:
 //
@@ -9,9 +8,9 @@
 //	GET  /objects?prefix=P         {"revision","objects":[{"key","version"}]}
 //	GET  /watch?prefix=P&after=R&waitMs=N   objects changed since revision R
 //	GET  /vms                      {"revision","vms":[...]}
-//	PUT  /vms/{name}, DELETE       what the cloud does: puts a VM on the list or takes it off
+//	PUT  /vms/{name}, DELETE       acts as the cloud: adds a VM to the list or removes it
 //	GET  /weights/{name}           the model's weights, rate-limited
-//	GET  /counts                   how often each call was made
+//	GET  /counts                   number of calls of each kind
 package platform
 
 import (
@@ -29,24 +28,24 @@
 	"github.com/lynxshed/lynxshed/standin/fault"
 )
 
-// Limits of the platform's service.
+// Limits and defaults of the platform's service.
 const (
-	MaxValueBytes  = 1 << 20
-	defaultReads   = 2000 // a second
-	defaultWrites  = 400  // a second
-	defaultListLag = 500 * time.Millisecond
-	weightsPerSec  = 2
-	maxWatchWait   = 30 * time.Second
+	MaxValueBytes    = 1 << 20
+	defaultReads     = 2000 // per second
+	defaultWrites    = 400  // per second
+	defaultListLag   = 500 * time.Millisecond
+	weightsPerSecond = 2
+	maxWatchWait     = 30 * time.Second
 )
 
-// Options of a platform; zero values choose the documented defaults.
+// Options configures a platform. Zero values select the documented defaults.
 type Options struct {
-	ReadsPerSecond  float64       // 2000 when zero
-	WritesPerSecond float64       // 400 when zero
-	ListLag         time.Duration // how late the list of VMs is; 500 ms when zero
+	ReadsPerSecond  float64       // default 2000
+	WritesPerSecond float64       // default 400
+	ListLag         time.Duration // delay of changes to the list of VMs; default 500 ms
 }
 
-// VM is one line of the list of live and leaving VMs.
+// VM is one entry of the list of live and leaving VMs.
 type VM struct {
 	Name  string `json:"name"`
 	Zone  string `json:"zone"`
@@ -61,23 +60,24 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Counts is how often each call was made.
+// Counts holds the number of calls of each kind.
 type Counts struct {
 	Reads     int64 `json:"reads"`
 	Writes    int64 `json:"writes"`
 	Watches   int64 `json:"watches"`
-	Conflicts int64 `json:"conflicts"`
-	Limited   int64 `json:"limited"`
+	Conflicts int64 `json:"conflicts"` // conditional updates of an outdated version
+	Limited   int64 `json:"limited"`   // refused by the rate limit
 	Weights   int64 `json:"weights"`
 }
 
+// listing is one version of the list of VMs.
 type listing struct {
 	at       time.Time
 	revision int64
 	vms      []VM
 }
 
-// Platform is the stand-in; New makes one.
+// Platform is the stand-in, created by New.
 type Platform struct {
 	Faults fault.Set
 
@@ -87,15 +87,15 @@
 	weights *rate.Limiter
 
 	mu       sync.Mutex
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced when an object changes
 	revision int64
 	objects  map[string]Object
 	counts   Counts
 	vms      map[string]VM
-	listings []listing
+	listings []listing // all versions of the list of VMs, oldest first
 }
 
-// New makes an empty platform.
+// New returns an empty platform.
 func New(o Options) *Platform {
 	if o.ReadsPerSecond == 0 {
 		o.ReadsPerSecond = defaultReads
@@ -110,19 +110,19 @@
 		options: o,
 		reads:   rate.NewLimiter(rate.Limit(o.ReadsPerSecond), int(o.ReadsPerSecond)),
 		writes:  rate.NewLimiter(rate.Limit(o.WritesPerSecond), int(o.WritesPerSecond)),
-		weights: rate.NewLimiter(weightsPerSec, weightsPerSec),
+		weights: rate.NewLimiter(weightsPerSecond, weightsPerSecond),
 		changed: make(chan struct{}),
 		objects: make(map[string]Object),
 		vms:     make(map[string]VM),
 	}
 }
 
-// Handler serves the platform's API.
+// Handler returns the HTTP handler of the platform's API.
 func (p *Platform) Handler() http.Handler {
 	api := http.NewServeMux()
-	api.HandleFunc("GET /objects/{key...}", p.get)
-	api.HandleFunc("PUT /objects/{key...}", p.put)
-	api.HandleFunc("GET /objects", p.list)
+	api.HandleFunc("GET /objects/{key...}", p.getObject)
+	api.HandleFunc("PUT /objects/{key...}", p.putObject)
+	api.HandleFunc("GET /objects", p.listObjects)
 	api.HandleFunc("GET /watch", p.watch)
 	api.HandleFunc("GET /vms", p.listVMs)
 	api.HandleFunc("GET /weights/{name}", p.getWeights)
@@ -149,30 +149,30 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Counts returns how often each call was made.
+// Counts returns the number of calls of each kind.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// SetVM puts a VM on the list; it shows after the list's lag.
+// SetVM adds a VM to the list or replaces it. The change becomes visible after the lag of the list.
 func (p *Platform) SetVM(vm VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms[vm.Name] = vm
-	p.relist()
+	p.recordListing()
 }
 
-// RemoveVM takes a VM off the list; it shows after the list's lag.
+// RemoveVM removes a VM from the list. The change becomes visible after the lag of the list.
 func (p *Platform) RemoveVM(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.vms, name)
-	p.relist()
+	p.recordListing()
 }
 
-func (p *Platform) relist() {
+func (p *Platform) recordListing() {
 	p.revision++
 	l := listing{at: time.Now(), revision: p.revision}
 	for _, vm := range p.vms {
@@ -182,9 +182,10 @@
 	p.listings = append(p.listings, l)
 }
 
-func (p *Platform) allow(w http.ResponseWriter, l *rate.Limiter, n *int64) bool {
+// allow increments count and checks the rate limit. It answers the call itself if the limit is exceeded.
+func (p *Platform) allow(w http.ResponseWriter, l *rate.Limiter, count *int64) bool {
 	p.mu.Lock()
-	*n++
+	*count++
 	ok := l.Allow()
 	if !ok {
 		p.counts.Limited++
@@ -197,7 +198,7 @@
 	return ok
 }
 
-func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
 	if !p.allow(w, p.reads, &p.counts.Reads) {
 		return
 	}
@@ -211,7 +212,7 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
 	if !p.allow(w, p.writes, &p.counts.Writes) {
 		return
 	}
@@ -229,7 +230,7 @@
 		http.Error(w, "value is not JSON", http.StatusBadRequest)
 		return
 	}
-	o, ok := p.store(r.PathValue("key"), version, value)
+	o, ok := p.replaceObject(r.PathValue("key"), version, value)
 	if !ok {
 		writeJSON(w, http.StatusConflict, o)
 		return
@@ -237,13 +238,15 @@
 	writeJSON(w, http.StatusOK, Object{Key: o.Key, Version: o.Version})
 }
 
-func (p *Platform) store(key string, version int64, value []byte) (Object, bool) {
+// replaceObject replaces the value of an object if version is its current version. It returns the object and
+// reports whether it was replaced.
+func (p *Platform) replaceObject(key string, version int64, value []byte) (Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.objects[key]
-	if old.Version != version {
+	current := p.objects[key]
+	if current.Version != version {
 		p.counts.Conflicts++
-		return Object{Key: key, Version: old.Version}, false
+		return Object{Key: key, Version: current.Version}, false
 	}
 	p.revision++
 	o := Object{Key: key, Version: p.revision, Value: value}
@@ -253,26 +256,27 @@
 	return o, true
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) listObjects(w http.ResponseWriter, r *http.Request) {
 	if !p.allow(w, p.reads, &p.counts.Reads) {
 		return
 	}
 	p.mu.Lock()
-	objects := p.since(r.URL.Query().Get("prefix"), 0)
+	objects := p.changedSince(r.URL.Query().Get("prefix"), 0)
 	revision := p.revision
 	p.mu.Unlock()
 	for i := range objects {
 		objects[i].Value = nil
 	}
-	writeJSON(w, http.StatusOK, page{Revision: revision, Objects: objects})
+	writeJSON(w, http.StatusOK, objectList{Revision: revision, Objects: objects})
 }
 
-type page struct {
+type objectList struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-func (p *Platform) since(prefix string, after int64) []Object {
+// changedSince returns the objects with a prefix that changed after a revision, oldest change first.
+func (p *Platform) changedSince(prefix string, after int64) []Object {
 	found := []Object{}
 	for key, o := range p.objects {
 		if strings.HasPrefix(key, prefix) && o.Version > after {
@@ -294,16 +298,16 @@
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		objects, revision, changed := p.since(query.Get("prefix"), after), p.revision, p.changed
+		objects, revision, changed := p.changedSince(query.Get("prefix"), after), p.revision, p.changed
 		p.mu.Unlock()
 		if len(objects) > 0 {
-			writeJSON(w, http.StatusOK, page{Revision: revision, Objects: objects})
+			writeJSON(w, http.StatusOK, objectList{Revision: revision, Objects: objects})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			writeJSON(w, http.StatusOK, page{Revision: revision, Objects: objects})
+			writeJSON(w, http.StatusOK, objectList{Revision: revision, Objects: objects})
 			return
 		case <-r.Context().Done():
 			return
