--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -147,7 +147,8 @@
 	changed chan struct{}
 }
 
-func (e *Engine) snapshot(n *run, from int) snapshot {
+// takeSnapshot returns the state of a run and its chunks from a given one on.
+func (e *Engine) takeSnapshot(n *run, from int) snapshot {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := snapshot{state: n.state, changed: n.changed}
@@ -162,7 +163,7 @@
 // writeAnswer waits until the run has ended and writes the complete answer.
 func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, n *run) {
 	for {
-		s := e.snapshot(n, 0)
+		s := e.takeSnapshot(n, 0)
 		if s.state == Done || s.state == Cancelled {
 			if _, ok := e.Faults.Trigger(fault.Reset); ok {
 				panic(http.ErrAbortHandler)
@@ -197,7 +198,7 @@
 	_, reset := e.Faults.Trigger(fault.Reset)
 	_, truncate := e.Faults.Trigger(fault.Truncate)
 	for {
-		s := e.snapshot(n, from)
+		s := e.takeSnapshot(n, from)
 		for _, chunk := range s.chunks {
 			writeEvent(w, strconv.Itoa(from), n.chunk(chunk))
 			from++
