--- a/fleet/node/network.go
+++ b/fleet/node/network.go
@@ -9,18 +9,18 @@
 
 const (
 	connectTimeout = 500 * time.Millisecond
-	idleConns      = 256
-	idleTime       = 60 * time.Second
+	maxIdleConns   = 256
+	idleConnTime   = 60 * time.Second
 )
 
-// Network is how a node reaches others and is reached. The demo puts one in
-// that can cut, pause and kill.
+// Network opens the listeners and connections of a node. The demo replaces it
+// by one that can interrupt, pause and kill.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the network of plain processes.
+// TCP is the Network of a process that uses the operating system's TCP stack.
 type TCP struct{}
 
 // Listen implements Network.
@@ -39,8 +39,8 @@
 			defer cancel()
 			return n.Dial(ctx, network, address)
 		},
-		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTime,
 		DisableCompression:  true,
 	}}
 }
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts one node of the fleet together and runs it.
+// Package node assembles one node of the fleet from its components and runs it.
 package node
 
 import (
@@ -39,14 +39,14 @@
 	idleTimeout = 2 * time.Minute
 )
 
-// Options of a node. Network, Clock, Gate and Log may be left out.
+// Options configure a node. Network, Clock, Gate and Log are optional.
 type Options struct {
 	Settings       settings.Settings
 	FleetKey       string
 	OperatorHashes []string
 	Network        Network         // plain TCP when nil
-	Clock          clockwork.Clock // the real one when nil
-	// Gate is called before each periodic step; a demo that pauses a node blocks it.
+	Clock          clockwork.Clock // the real clock when nil
+	// Gate is called before each periodic step. A demo pauses a node by blocking in it.
 	Gate func()
 	Log  log.Interface
 }
@@ -67,7 +67,7 @@
 	return o
 }
 
-// Node is one node of the fleet; New makes one.
+// Node is one node of the fleet; New creates it.
 type Node struct {
 	options   Options
 	self      membership.Member
@@ -93,14 +93,14 @@
 	loadsMu sync.Mutex
 	loads   map[ident.Endpoint]peer.Load
 
-	news    chan struct{} // a revision that peers have not been told of
+	updates chan struct{} // signals a revision not yet announced to peers
 	drain   chan struct{}
 	drained sync.Once
 	cancel  context.CancelFunc
 	work    sync.WaitGroup
 }
 
-// New puts a node together and listens; Run runs it.
+// New assembles a node and opens its listener; Run serves on it.
 func New(ctx context.Context, o Options) (*Node, error) {
 	o = o.withDefaults()
 	ctx, cancel := context.WithCancel(ctx)
@@ -109,7 +109,7 @@
 		clock:   o.Clock,
 		log:     o.Log,
 		cancel:  cancel,
-		news:    make(chan struct{}, 1),
+		updates: make(chan struct{}, 1),
 		drain:   make(chan struct{}),
 		loads:   map[ident.Endpoint]peer.Load{},
 	}
@@ -138,7 +138,7 @@
 	return n, nil
 }
 
-// assemble builds the slices from the injector.
+// assemble builds the components of the node with the injector.
 func (n *Node) assemble(ctx context.Context) error {
 	injector := do.New()
 	do.ProvideValue(injector, n)
@@ -153,7 +153,7 @@
 	return ulid.MustNew(ulid.Timestamp(n.clock.Now()), rand.Reader).String()
 }
 
-// View is the node's view of the fleet.
+// View returns the node's view of the fleet.
 func (n *Node) View() membership.State {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
@@ -168,28 +168,28 @@
 	return beats
 }
 
-// liveNodes counts the nodes of a zone that are reachable.
+// liveNodes returns how many nodes of a zone are reachable.
 func (n *Node) liveNodes(z ident.Zone) int {
 	return len(n.View().Reachable(z, n.clock.Now()))
 }
 
-// Revision is the revision of the table in force here.
+// Revision returns the revision of the table in force on this node.
 func (n *Node) Revision() int64 { return n.inForce.Revision() }
 
-// Name is the node's name.
+// Name returns the node's name.
 func (n *Node) Name() ident.Node { return n.self.Node }
 
-// Keeper is the node's holder runtime.
+// Keeper returns the keeper, which runs the node's ledger holder.
 func (n *Node) Keeper() *keeper.Keeper { return n.keeper }
 
 func randomUint64() uint64 { return mathrand.Uint64() }
 
-// configured takes a new revision.
+// configured applies a new revision and schedules its announcement to peers.
 func (n *Node) configured(c *catalog.Catalog) {
 	n.dispatch.Configure(c)
 	n.events.Add(event.Event{Step: event.Configure, Decision: "in force", Reason: c.Describe()})
 	select {
-	case n.news <- struct{}{}: // tell peers without waiting for the next beat
+	case n.updates <- struct{}{}: // announce to peers without waiting for the next heartbeat
 	default:
 	}
 }
--- a/fleet/node/orders.go
+++ b/fleet/node/orders.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// orderSlot ranks the nodes of a zone for giving its orders.
+	// orderSlot is the slot whose first-ranked node gives the orders of a zone.
 	orderSlot  ident.Slot = -2
 	orderEvery            = time.Second
 )
 
-// orderSender sends orders through the engines' client.
+// orderSender sends orders to engines over the backend client.
 type orderSender struct{ client *backend.Client }
 
 // Load implements orders.Sender.
@@ -46,7 +46,7 @@
 	return n.giver, nil
 }
 
-// zoneEngines are the engines of the own zone with the models that their rows ask for.
+// zoneEngines returns the engines of the node's zone with the models that their rows require.
 func (n *Node) zoneEngines() []orders.Engine {
 	c := n.inForce.Catalog()
 	return lo.FilterMap(c.AllEndpoints(), func(e catalog.Endpoint, _ int) (orders.Engine, bool) {
@@ -55,6 +55,7 @@
 	})
 }
 
+// waitingFor returns how many calls wait for a model.
 func (n *Node) waitingFor(model string) int {
 	m, ok := n.inForce.Catalog().Model(model)
 	if !ok {
@@ -63,14 +64,15 @@
 	return n.dispatch.Waiting(m.Service)
 }
 
+// leadsOrders reports whether this node should give the orders of its zone.
 func (n *Node) leadsOrders() bool {
 	rank := n.View().Rank(n.self.Zone, orderSlot, n.clock.Now())
 	return len(rank) > 0 && rank[0].Node == n.self.Node && !n.draining()
 }
 
-// giveOrders makes one step of the zone's orders.
+// giveOrders runs one step of the zone's orders.
 func (n *Node) giveOrders(ctx context.Context) {
 	if err := n.giver.Step(ctx); err != nil && ctx.Err() == nil {
-		n.log.WithError(err).Debug("orders wait")
+		n.log.WithError(err).Debug("engine orders delayed")
 	}
 }
--- a/fleet/node/peers.go
+++ b/fleet/node/peers.go
@@ -14,7 +14,7 @@
 	"github.com/lynxshed/lynxshed/fleet/peer"
 )
 
-// peers makes the calls of the slices to other nodes.
+// peers implements the components' calls to other nodes.
 type peers struct{ caller *peer.Caller }
 
 // Claim implements keeper.Peers.
@@ -70,7 +70,7 @@
 func (p peers) Shard(ctx context.Context, from membership.Member, hash string) (config.Shard, error) {
 	answer, err := peer.Call[peer.ShardAnswer](ctx, p.caller, from, peer.VerbShard, peer.ShardAsk{Hash: hash})
 	if err == nil && !answer.Found {
-		err = errors.Newf("step %s, peer %s: it has no shard %s", peer.VerbShard, from.Node, hash)
+		err = errors.Newf("step %s, peer %s: shard %s not found", peer.VerbShard, from.Node, hash)
 	}
 	return answer.Shard, err
 }
@@ -102,7 +102,7 @@
 	return err
 }
 
-// servePeers takes the calls of other nodes.
+// servePeers registers the handlers for the calls of other nodes.
 func (n *Node) servePeers(s *peer.Server) {
 	peer.Handle(s, peer.VerbAdmit, func(ctx context.Context, in peer.Admission) (peer.Verdict, error) {
 		return n.keeper.Admit(ctx, in), nil
@@ -134,13 +134,13 @@
 	peer.Handle(s, peer.VerbLend, func(_ context.Context, in peer.Lending) (peer.Lent, error) {
 		return n.keeper.Lend(in), nil
 	})
-	peer.Handle(s, peer.VerbForget, told(n.keeper.Forget))
-	peer.Handle(s, peer.VerbDrop, told(n.keeper.Drop))
-	peer.Handle(s, peer.VerbHandOver, told(n.keeper.TakeKeys))
-	peer.Handle(s, peer.VerbCancel, told(func(in peer.Known) { n.entry.Cancel(in.Record.Request) }))
-	peer.Handle(s, peer.VerbDrain, told(func(peer.Nothing) { n.StartDrain() }))
+	peer.Handle(s, peer.VerbForget, oneWay(n.keeper.Forget))
+	peer.Handle(s, peer.VerbDrop, oneWay(n.keeper.Drop))
+	peer.Handle(s, peer.VerbHandOver, oneWay(n.keeper.TakeKeys))
+	peer.Handle(s, peer.VerbCancel, oneWay(func(in peer.Known) { n.entry.Cancel(in.Record.Request) }))
+	peer.Handle(s, peer.VerbDrain, oneWay(func(peer.Nothing) { n.StartDrain() }))
 	peer.Handle(s, peer.VerbBeat, func(_ context.Context, in peer.Beat) (peer.Beat, error) {
-		return n.hear(in), nil
+		return n.receiveBeat(in), nil
 	})
 	peer.Handle(s, peer.VerbHead, func(context.Context, peer.Nothing) (peer.HeadAnswer, error) {
 		return peer.HeadAnswer{Head: n.inForce.Snapshot().Head}, nil
@@ -158,15 +158,15 @@
 	s.HandleRaw("GET /peer/runs/{id}", n.entry.ServeRun)
 }
 
-// told answers a message that asks for nothing.
-func told[In any](take func(In)) func(context.Context, In) (peer.Nothing, error) {
+// oneWay adapts a function without a result to a handler with an empty answer.
+func oneWay[In any](handle func(In)) func(context.Context, In) (peer.Nothing, error) {
 	return func(_ context.Context, in In) (peer.Nothing, error) {
-		take(in)
+		handle(in)
 		return peer.Nothing{}, nil
 	}
 }
 
-// report is what this node says of itself.
+// report returns the state of this node for operators.
 func (n *Node) report() operator.Report {
 	view := n.View()
 	running, _ := n.entry.Active()
@@ -194,5 +194,5 @@
 	return r
 }
 
-// reportedEvents is how many events of the node itself a report holds.
+// reportedEvents is the maximum number of events in a report that belong to no request.
 const reportedEvents = 30
--- a/fleet/node/run.go
+++ b/fleet/node/run.go
@@ -23,17 +23,18 @@
 	pumpEvery    = 50 * time.Millisecond
 	tickEvery    = 200 * time.Millisecond
 	recoverEvery = 500 * time.Millisecond
-	stopTime     = 5 * time.Second
-	// leaveGrace is how long a stopping node is unready before it takes no more,
-	// so that the balancer has asked and peers have heard.
+	closeTimeout = 5 * time.Second
+	// leaveGrace is how long a stopping node reports unready and still accepts requests,
+	// so that the balancer has probed it and its peers have received the change.
 	leaveGrace = 300 * time.Millisecond
-	// maxLoads bounds the load reports in a heartbeat.
+	// maxLoads is the maximum number of load reports in a heartbeat.
 	maxLoads = 14
-	// watchers is how many nodes of an endpoint's zone read its load.
+	// watchers is how many nodes of an endpoint's zone poll its load.
 	watchers = 2
 )
 
-// Run serves until the context ends (stop at once) or a planned stop is done.
+// Run serves until the context ends, which stops the node at once, or until a
+// planned stop is complete.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -48,7 +49,7 @@
 	n.every(ctx, orderEvery, n.giveOrders)
 	n.every(ctx, tickEvery, n.entry.Tick)
 	n.every(ctx, pumpEvery, func(context.Context) { n.dispatch.Pump() })
-	n.loop(ctx, n.tellNews)
+	n.loop(ctx, n.announceUpdates)
 	n.loop(ctx, n.follower.WatchOnce)
 	n.loop(ctx, n.follower.PullOnce)
 	n.log.WithField("node", n.self.Node).WithField("zone", n.self.Zone).WithField("url", n.self.URL).Info("serving")
@@ -70,18 +71,18 @@
 func (n *Node) close() {
 	n.entry.Stop()
 	if err := n.ingress.Close(); err != nil {
-		n.log.WithError(err).Warn("listener did not close")
+		n.log.WithError(err).Warn("close listener failed")
 	}
 	n.work.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := n.telemetry.Close(ctx); err != nil {
-		n.log.WithError(err).Warn("telemetry did not close")
+		n.log.WithError(err).Warn("close telemetry failed")
 	}
 	n.cancel()
 }
 
-// every runs a step now and then periodically.
+// every runs a step at once and then periodically.
 func (n *Node) every(ctx context.Context, period time.Duration, step func(context.Context)) {
 	n.loop(ctx, func(ctx context.Context) (time.Duration, error) {
 		step(ctx)
@@ -89,14 +90,14 @@
 	})
 }
 
-// loop runs a step again and again, with the pause that it asks for between.
+// loop runs a step repeatedly and waits between two runs for the pause that the step returns.
 func (n *Node) loop(ctx context.Context, step func(context.Context) (time.Duration, error)) {
 	n.work.Go(func() {
 		for ctx.Err() == nil {
 			n.options.Gate()
 			pause, err := step(ctx)
 			if err != nil && ctx.Err() == nil {
-				n.log.WithError(err).Debug("step failed")
+				n.log.WithError(err).Debug("periodic step failed")
 			}
 			select {
 			case <-n.clock.After(pause):
@@ -106,7 +107,7 @@
 	})
 }
 
-// beat sends the next heartbeats.
+// beat sends the next round of heartbeats.
 func (n *Node) beat(ctx context.Context) {
 	recovered, alone := n.keeper.Recovered()
 	self := n.self
@@ -127,18 +128,18 @@
 	}
 }
 
-// tellNews beats at once when a new revision is in force here, so that it
-// spreads at the pace of the pulls and not of the beats.
-func (n *Node) tellNews(ctx context.Context) (time.Duration, error) {
+// announceUpdates sends heartbeats at once when a new revision is in force here, so that
+// the revision spreads at the rate of the pulls and not of the heartbeats.
+func (n *Node) announceUpdates(ctx context.Context) (time.Duration, error) {
 	select {
-	case <-n.news:
+	case <-n.updates:
 		n.beat(ctx)
 	case <-ctx.Done():
 	}
 	return 0, nil
 }
 
-// unknownSeeds are the nodes of the settings that nothing is known of yet.
+// unknownSeeds returns the URLs from the settings whose nodes are not known yet.
 func (n *Node) unknownSeeds() []string {
 	known := map[string]bool{n.self.URL: true}
 	for _, m := range n.View().Members() {
@@ -150,38 +151,38 @@
 func (n *Node) sendBeat(ctx context.Context, b membership.Beat) {
 	answer, err := peer.Call[peer.Beat](ctx, n.caller, b.To, peer.VerbBeat, peer.Beat{Members: b.Digest, Loads: n.freshLoads()})
 	if err == nil {
-		n.take(answer)
+		n.mergeBeat(answer)
 	}
 }
 
-// hear takes a peer's heartbeat and answers with the own news.
-func (n *Node) hear(in peer.Beat) peer.Beat {
-	n.take(in)
+// receiveBeat merges a peer's heartbeat and answers with what is newer here.
+func (n *Node) receiveBeat(in peer.Beat) peer.Beat {
+	n.mergeBeat(in)
 	return peer.Beat{Members: n.View().Answer(in.Members), Loads: n.newerLoads(in.Loads)}
 }
 
-func (n *Node) take(in peer.Beat) {
+func (n *Node) mergeBeat(in peer.Beat) {
 	n.handle(membership.Heard{At: n.clock.Now(), Members: in.Members})
-	n.learn(in.Loads)
+	n.mergeLoads(in.Loads)
 }
 
-// learn keeps newer load reports and passes them to the dispatcher.
-func (n *Node) learn(loads []peer.Load) {
+// mergeLoads stores newer load reports and passes them to the dispatcher.
+func (n *Node) mergeLoads(loads []peer.Load) {
 	n.loadsMu.Lock()
-	var news []peer.Load
+	var newer []peer.Load
 	for _, l := range loads {
 		if l.Read > n.loads[l.Endpoint].Read {
 			n.loads[l.Endpoint] = l
-			news = append(news, l)
+			newer = append(newer, l)
 		}
 	}
 	n.loadsMu.Unlock()
-	if len(news) > 0 {
-		n.dispatch.Report(news)
+	if len(newer) > 0 {
+		n.dispatch.Report(newer)
 	}
 }
 
-// freshLoads are the reports read last, at most as many as a heartbeat carries.
+// freshLoads returns the newest load reports, at most maxLoads.
 func (n *Node) freshLoads() []peer.Load {
 	n.loadsMu.Lock()
 	defer n.loadsMu.Unlock()
@@ -190,12 +191,13 @@
 	return loads[:min(len(loads), maxLoads)]
 }
 
-// newerLoads are the reports that are newer here than those told.
-func (n *Node) newerLoads(told []peer.Load) []peer.Load {
-	known := lo.SliceToMap(told, func(l peer.Load) (ident.Endpoint, int64) { return l.Endpoint, l.Read })
+// newerLoads returns the load reports that are newer here than the received ones.
+func (n *Node) newerLoads(received []peer.Load) []peer.Load {
+	known := lo.SliceToMap(received, func(l peer.Load) (ident.Endpoint, int64) { return l.Endpoint, l.Read })
 	return lo.Filter(n.freshLoads(), func(l peer.Load, _ int) bool { return l.Read > known[l.Endpoint] })
 }
 
+// readList reads the platform's list of VMs.
 func (n *Node) readList(ctx context.Context) {
 	list, err := n.platform.VMs(ctx)
 	if err != nil {
@@ -204,7 +206,7 @@
 	n.handle(membership.Listed{At: n.clock.Now(), List: list})
 }
 
-// pollLoads reads the load of the endpoints that this node watches.
+// pollLoads polls the load of the endpoints that this node watches.
 func (n *Node) pollLoads(ctx context.Context) {
 	var watched []catalog.Endpoint
 	for _, e := range n.inForce.Catalog().AllEndpoints() {
@@ -222,14 +224,14 @@
 	if ctx.Err() != nil {
 		return
 	}
-	n.learn([]peer.Load{{
+	n.mergeLoads([]peer.Load{{
 		Endpoint: e.Name, InFlight: load.InFlight, Queued: load.Queued, Leaving: load.Leaving, Down: err != nil,
 		Read: n.clock.Now().UnixMilli(),
 	}})
 }
 
-// watches reports whether this node is one of the endpoint's watchers. An
-// endpoint in a zone without nodes is watched from all others.
+// watches reports whether this node is one of the endpoint's watchers. The nodes of
+// all other zones watch an endpoint whose zone has no reachable node.
 func (n *Node) watches(e catalog.Endpoint) bool {
 	view := n.View()
 	if e.Zone != n.self.Zone {
@@ -244,16 +246,16 @@
 	return false
 }
 
-// watchSlots spreads the endpoints over the nodes of their zone.
+// watchSlots is the number of slots that spread the endpoints over the nodes of their zone.
 const watchSlots = 1 << 16
 
 func (n *Node) flush(ctx context.Context) {
 	if err := n.keeper.Flush(ctx); err != nil && ctx.Err() == nil {
-		n.log.WithError(err).Debug("flush failed")
+		n.log.WithError(err).Debug("flush to the platform failed")
 	}
 }
 
-// StartDrain begins a planned stop.
+// StartDrain begins a planned stop; later calls have no effect.
 func (n *Node) StartDrain() {
 	n.drained.Do(func() {
 		n.events.Add(event.Event{Step: event.Drain, Decision: "planned stop", Reason: "asked for"})
@@ -270,14 +272,14 @@
 	}
 }
 
-// Kill ends the node at once, with nothing handed over.
+// Kill stops the node at once and hands nothing over.
 func (n *Node) Kill() {
 	n.cancel()
 	_ = n.ingress.Abort()
 }
 
-// leave stops as planned: no new work, running requests end, and what the node
-// holds goes back.
+// leave carries out a planned stop: it accepts no new requests, waits for the running
+// ones, and returns what the node holds.
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.options.Settings.Timing.Drain())
 	defer cancel()
@@ -300,7 +302,7 @@
 	for _, b := range n.handle(membership.Ticked{At: n.clock.Now(), Random: mathrand.IntN}) {
 		n.sendBeat(ctx, b)
 	}
-	n.log.Info("planned stop is done")
+	n.log.Info("planned stop complete")
 }
 
 func (n *Node) wait(ctx context.Context, d time.Duration) {
@@ -315,7 +317,7 @@
 	return running == 0 && unreported == 0
 }
 
-// handedOver closes the books of every slot and reports whether nothing is left.
+// handedOver closes the node's accounts in every slot and reports whether none remain.
 func (n *Node) handedOver(ctx context.Context) bool {
 	if err := n.keeper.Flush(ctx); err != nil {
 		return false
--- a/fleet/node/wire.go
+++ b/fleet/node/wire.go
@@ -23,7 +23,7 @@
 	"github.com/lynxshed/lynxshed/fleet/version"
 )
 
-// Package provides the parts of a node; each takes what it needs from the injector.
+// Package provides the components of a node; each gets its dependencies from the injector.
 var Package = do.Package(
 	do.Lazy(provideTelemetry),
 	do.Lazy(provideHTTPClient),
@@ -162,15 +162,15 @@
 	mux.Handle("GET /metrics", t.Handler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", n.serveReady)
-	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { nothingThere(mux, w, r) })
+	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { serveUnknown(mux, w, r) })
 	if err := n.gauges(t.Metrics); err != nil {
 		return nil, err
 	}
 	return operators.Middleware(mux), nil
 }
 
-// nothingThere refuses a path that is not served, or not by this method.
-func nothingThere(mux *http.ServeMux, w http.ResponseWriter, r *http.Request) {
+// serveUnknown refuses a path that is not served, or not for the request's method.
+func serveUnknown(mux *http.ServeMux, w http.ResponseWriter, r *http.Request) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		other := &http.Request{Method: method, URL: r.URL, Host: r.Host}
 		if _, pattern := mux.Handler(other); pattern != "/" {
@@ -184,10 +184,10 @@
 	problem.New(problem.NotFound, "there is nothing at "+r.URL.Path).Write(w)
 }
 
-// accepted puts an edit in force that was accepted here.
+// accepted puts a snapshot in force that this node accepted.
 func (n *Node) accepted(s config.Snapshot) {
 	if err := n.inForce.AdvanceTo(s); err != nil {
-		n.log.WithError(err).Warn("accepted edit is not in force yet")
+		n.log.WithError(err).Warn("apply accepted edit failed")
 	}
 }
 
@@ -202,6 +202,7 @@
 	}
 }
 
+// gauges registers the gauges of the node.
 func (n *Node) gauges(m *telemetry.Metrics) error {
 	gauges := []struct {
 		name string
