--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -1,8 +1,8 @@
 // Package membership decides which nodes are live, from heartbeats between
 // peers and the platform's lagging list of VMs.
 //
-// Suspicion only stops new work; only evidence (a newer list without the VM, or
-// a newer incarnation in its place) makes an incarnation gone.
+// Suspicion only keeps new work away from a node. An incarnation counts as gone only on
+// evidence: a newer list without the VM, or a newer incarnation in its place.
 package membership
 
 import (
@@ -17,47 +17,47 @@
 	"github.com/lynxshed/lynxshed/fleet/platform"
 )
 
-// Phase is what a node says of itself.
+// Phase is the state that a node announces of itself.
 type Phase string
 
 // The phases of a node.
 const (
 	Live    Phase = "live"
 	Leaving Phase = "leaving"
-	Left    Phase = "left" // it has handed everything over and is about to exit
-	Gone    Phase = "gone" // told of a dead incarnation, so that new nodes know its last news
+	Left    Phase = "left" // has handed everything over and is about to exit
+	Gone    Phase = "gone" // set by others for a gone incarnation, so that new nodes get its last state
 )
 
-// Recovery is a node's word on a gone incarnation of its zone.
+// Recovery reports that a node no longer depends on a gone incarnation of its zone.
 type Recovery struct {
 	Gone ident.Incarnation `json:"gone"`
-	// KeptBy names the other nodes that keep copies of the gone one's records.
+	// KeptBy names the other nodes that keep copies of the gone incarnation's records.
 	KeptBy []ident.Incarnation `json:"keptBy,omitempty"`
 }
 
-// Recovery finds a member's word on a gone incarnation.
+// Recovery returns the member's report on a gone incarnation.
 func (m Member) Recovery(gone ident.Incarnation) (Recovery, bool) {
 	return lo.Find(m.Recovered, func(r Recovery) bool { return r.Gone == gone })
 }
 
-// Member is what is known of a node's newest incarnation.
+// Member is the known state of a node's newest incarnation.
 type Member struct {
 	Node        ident.Node        `json:"node"`
 	Zone        ident.Zone        `json:"zone"`
 	URL         string            `json:"url"`
 	Incarnation ident.Incarnation `json:"incarnation,omitempty"`
-	Beat        int64             `json:"beat"` // grows with each heartbeat
+	Beat        int64             `json:"beat"` // increases with each heartbeat
 	Phase       Phase             `json:"phase"`
 	Revision    int64             `json:"revision"` // of the configuration in force there
-	// Recovered names the gone incarnations of the zone on which nothing depends
-	// any more at this node: no record of its own is known to the gone one alone,
-	// and no record of the gone one is known to this node alone.
+	// Recovered lists the gone incarnations of the zone on which this node no longer
+	// depends: no record of its own is known to the gone one alone, and no record of the
+	// gone one is known to this node alone.
 	Recovered []Recovery `json:"recovered,omitempty"`
-	// Alone says that some record of this holder is known to no other VM.
+	// Alone is set while some record of this holder is known to no other VM.
 	Alone bool `json:"alone,omitempty"`
 }
 
-// newer reports whether m tells more recent news of the node than old.
+// newer reports whether m is a more recent state of the node than old.
 func (m Member) newer(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation.Serial() > old.Incarnation.Serial()
@@ -65,12 +65,12 @@
 	return m.Beat > old.Beat
 }
 
-// Options bound the heartbeats; zero values choose the documented defaults.
+// Options configure heartbeats and suspicion; a zero value selects the default.
 type Options struct {
 	SuspectAfter    time.Duration // silence in the own zone; 2 s when zero
 	FarSuspectAfter time.Duration // silence in another zone; 6 s when zero
-	FanOut          int           // peers of the zone told each beat; 2 when zero
-	FarFanOut       int           // peers of other zones told each beat; 1 when zero
+	FanOut          int           // peers of the own zone per heartbeat round; 2 when zero
+	FarFanOut       int           // peers of other zones per heartbeat round; 1 when zero
 	DigestSize      int           // members in one heartbeat; 8 when zero
 }
 
@@ -83,45 +83,46 @@
 	return o
 }
 
-// Departed is an incarnation that is gone, with its last news.
+// Departed is a gone incarnation with its last known state.
 type Departed struct {
 	Member
 	At time.Time // when this node learned of it
 }
 
-type seen struct {
+// knownMember is a member with when and where it was last observed.
+type knownMember struct {
 	Member
-	advanced time.Time // when its news last advanced here
-	listed   bool      // the platform's list has named it
-	missing  bool      // the newest list no longer names it
+	advanced time.Time // when a newer state was last received
+	listed   bool      // the platform's list has contained it
+	missing  bool      // the newest list no longer contains it
 }
 
-// State is a node's view of the fleet; it is not changed in place.
+// State is a node's view of the fleet. It is immutable: changes return a new State.
 type State struct {
 	options  Options
 	self     Member
-	members  map[ident.Node]seen
+	members  map[ident.Node]knownMember
 	gone     map[ident.Incarnation]Departed
-	revision int64 // of the platform's list
-	ticked   time.Time
+	revision int64     // of the platform's list
+	ticked   time.Time // last heartbeat round
 }
 
-// New is the view of a node that knows only itself.
+// New returns the view of a node that knows only itself.
 func New(self Member, o Options) State {
 	return State{
 		options: o.withDefaults(),
 		self:    self,
-		members: map[ident.Node]seen{},
+		members: map[ident.Node]knownMember{},
 		gone:    map[ident.Incarnation]Departed{},
 	}
 }
 
-// Self is the node itself.
+// Self returns the node itself as a member.
 func (s State) Self() Member { return s.self }
 
-func (s State) copied() State {
+func (s State) clone() State {
 	next := s
-	next.members = make(map[ident.Node]seen, len(s.members)+1)
+	next.members = make(map[ident.Node]knownMember, len(s.members)+1)
 	for n, m := range s.members {
 		next.members[n] = m
 	}
@@ -132,14 +133,14 @@
 	return next
 }
 
-// WithSelf is the view with what the node says of itself changed.
+// WithSelf returns the view with the node's own state replaced; its heartbeat counter stays.
 func (s State) WithSelf(self Member) State {
 	self.Beat = s.self.Beat
 	s.self = self
 	return s
 }
 
-// Status is how a node looks from here.
+// Status is a node's state as this node observes it.
 type Status string
 
 // The statuses.
@@ -147,10 +148,10 @@
 	StatusLive    Status = "live"
 	StatusLeaving Status = "leaving"
 	StatusSuspect Status = "suspect"
-	StatusUnheard Status = "unheard" // listed by the platform, never heard of
+	StatusUnknown Status = "unheard" // listed by the platform, no heartbeat received yet
 )
 
-// StatusOf tells how a member looks at a time.
+// StatusOf returns the status of a member at a time.
 func (s State) StatusOf(n ident.Node, at time.Time) Status {
 	if n == s.self.Node {
 		return lo.Ternary(s.self.Phase == Live, StatusLive, StatusLeaving)
@@ -158,8 +159,8 @@
 	m, ok := s.members[n]
 	switch {
 	case !ok || m.Incarnation == "":
-		return StatusUnheard
-	case m.Phase == Left || at.Sub(m.advanced) > s.patience(m.Zone):
+		return StatusUnknown
+	case m.Phase == Left || at.Sub(m.advanced) > s.suspectAfter(m.Zone):
 		return StatusSuspect
 	case m.Phase == Leaving:
 		return StatusLeaving
@@ -168,13 +169,14 @@
 	}
 }
 
-func (s State) patience(z ident.Zone) time.Duration {
+// suspectAfter returns the silence after which a node of a zone is suspected.
+func (s State) suspectAfter(z ident.Zone) time.Duration {
 	return lo.Ternary(z == s.self.Zone, s.options.SuspectAfter, s.options.FarSuspectAfter)
 }
 
-// Members lists every known node but the own, in order.
+// Members lists every known node except this one, in order.
 func (s State) Members() []Member {
-	members := lo.MapToSlice(s.members, func(_ ident.Node, m seen) Member { return m.Member })
+	members := lo.MapToSlice(s.members, func(_ ident.Node, m knownMember) Member { return m.Member })
 	slices.SortFunc(members, func(x, y Member) int { return cmp.Compare(x.Node, y.Node) })
 	return members
 }
@@ -184,7 +186,7 @@
 	return lo.Filter(s.Members(), func(m Member, _ int) bool { return s.StatusOf(m.Node, at) == StatusLive })
 }
 
-// Member finds a node.
+// Member returns a node by its name.
 func (s State) Member(n ident.Node) (Member, bool) {
 	if n == s.self.Node {
 		return s.self, true
@@ -201,7 +203,7 @@
 	return zones
 }
 
-// Gone reports whether there is evidence that an incarnation is over.
+// Gone reports whether there is evidence that an incarnation has ended.
 func (s State) Gone(i ident.Incarnation) bool {
 	if _, ok := s.gone[i]; ok {
 		return true
@@ -213,7 +215,7 @@
 	return m.Incarnation.Serial() > i.Serial()
 }
 
-// Last is the last news of an incarnation, also after it is gone.
+// Last returns the last known state of an incarnation, also after it is gone.
 func (s State) Last(i ident.Incarnation) (Member, bool) {
 	if d, ok := s.gone[i]; ok {
 		return d.Member, true
@@ -239,7 +241,7 @@
 	return members
 }
 
-// Rank orders the live nodes of a zone for a slot, its holder first.
+// Rank orders the live nodes of a zone for a slot by rendezvous hashing, the holder first.
 func (s State) Rank(z ident.Zone, slot ident.Slot, at time.Time) []Member {
 	live := lo.Filter(s.Reachable(z, at), func(m Member, _ int) bool { return s.StatusOf(m.Node, at) == StatusLive })
 	slices.SortFunc(live, func(x, y Member) int {
@@ -248,24 +250,24 @@
 	return live
 }
 
-// weight is the rendezvous weight of a node for a slot.
+// weight returns the rendezvous weight of a node for a slot.
 func weight(n ident.Node, slot ident.Slot) uint64 {
 	return ident.Mix(xxhash.Sum64String(string(n)) ^ ident.Mix(uint64(slot)+1))
 }
 
-// Listed is what the platform's list said.
+// Listed carries a list of VMs that was read from the platform.
 type Listed struct {
 	At   time.Time
 	List platform.VMList
 }
 
-// Heard is a heartbeat of a peer, or the answer to one's own.
+// Heard carries a heartbeat received from a peer, or the answer to one that was sent.
 type Heard struct {
 	At      time.Time
 	Members []Member
 }
 
-// Ticked asks for the next heartbeats; Random picks the peers.
+// Ticked asks for the next round of heartbeats; Random picks the peers.
 type Ticked struct {
 	At     time.Time
 	Random func(n int) int
@@ -284,13 +286,13 @@
 	Digest []Member
 }
 
-// Handle takes a message and returns the next view and the heartbeats to send.
+// Handle applies a message and returns the next view and the heartbeats to send.
 func (s State) Handle(m Message) (State, []Beat) {
 	switch m := m.(type) {
 	case Listed:
 		return s.listed(m), nil
 	case Heard:
-		return s.heard(m), nil
+		return s.received(m), nil
 	case Ticked:
 		return s.tick(m)
 	}
@@ -301,7 +303,7 @@
 	if m.List.Revision <= s.revision {
 		return s
 	}
-	next := s.copied()
+	next := s.clone()
 	next.revision = m.List.Revision
 	names := map[ident.Node]bool{}
 	for _, vm := range m.List.VMs {
@@ -314,12 +316,12 @@
 		known.missing = known.listed && !names[n]
 		next.members[n] = known
 	}
-	return next.buried(m.At)
+	return next.withoutMissing(m.At)
 }
 
-// buried takes out the nodes that are off the list and silent. Silence counts
-// since the list lags: it may still miss a new VM that took a name over.
-func (s State) buried(at time.Time) State {
+// withoutMissing moves the nodes that are off the list and silent to the gone ones. The
+// list alone is not enough: it lags, and may not yet contain a new VM that reuses a name.
+func (s State) withoutMissing(at time.Time) State {
 	for n, known := range s.members {
 		if known.missing && at.Sub(known.advanced) > s.options.SuspectAfter {
 			s.gone[known.Incarnation] = Departed{Member: known.Member, At: at}
@@ -329,10 +331,11 @@
 	return s
 }
 
-func (s State) withListed(vm platform.VM) seen {
+// withListed returns the member for a VM on the platform's list.
+func (s State) withListed(vm platform.VM) knownMember {
 	known, ok := s.members[vm.Name]
 	if !ok {
-		known = seen{Member: Member{Node: vm.Name, Zone: vm.Zone, URL: vm.URL, Phase: Live}}
+		known = knownMember{Member: Member{Node: vm.Name, Zone: vm.Zone, URL: vm.URL, Phase: Live}}
 	}
 	known.listed, known.missing = true, false
 	if vm.State == platform.VMLeaving && known.Phase == Live {
@@ -341,66 +344,67 @@
 	return known
 }
 
-func (s State) heard(m Heard) State {
-	next := s.copied()
-	for _, news := range m.Members {
-		if news.Phase == Gone {
-			next.learnGone(news, m.At)
+func (s State) received(m Heard) State {
+	next := s.clone()
+	for _, update := range m.Members {
+		if update.Phase == Gone {
+			next.recordGone(update, m.At)
 			continue
 		}
-		if _, over := next.gone[news.Incarnation]; over || news.Node == s.self.Node {
+		if _, gone := next.gone[update.Incarnation]; gone || update.Node == s.self.Node {
 			continue
 		}
-		old, ok := next.members[news.Node]
-		if ok && !news.newer(old.Member) {
+		old, ok := next.members[update.Node]
+		if ok && !update.newer(old.Member) {
 			continue
 		}
-		if ok && old.Incarnation != "" && old.Incarnation != news.Incarnation {
+		if ok && old.Incarnation != "" && old.Incarnation != update.Incarnation {
 			next.gone[old.Incarnation] = Departed{Member: old.Member, At: m.At}
 		}
-		next.members[news.Node] = seen{Member: news, advanced: m.At, listed: old.listed, missing: old.missing}
+		next.members[update.Node] = knownMember{Member: update, advanced: m.At, listed: old.listed, missing: old.missing}
 	}
 	return next
 }
 
-// learnGone takes a peer's word that an incarnation is over.
-func (s State) learnGone(news Member, at time.Time) {
-	if _, known := s.gone[news.Incarnation]; known || news.Incarnation == s.self.Incarnation {
+// recordGone records an incarnation that a peer reports as gone.
+func (s State) recordGone(dead Member, at time.Time) {
+	if _, known := s.gone[dead.Incarnation]; known || dead.Incarnation == s.self.Incarnation {
 		return
 	}
-	s.gone[news.Incarnation] = Departed{Member: news, At: at}
-	if m, ok := s.members[news.Node]; ok && m.Incarnation == news.Incarnation {
-		delete(s.members, news.Node)
+	s.gone[dead.Incarnation] = Departed{Member: dead, At: at}
+	if m, ok := s.members[dead.Node]; ok && m.Incarnation == dead.Incarnation {
+		delete(s.members, dead.Node)
 	}
 }
 
-// A heartbeat tells of so many dead incarnations of the zone, for so long.
+// A heartbeat carries at most maxGoneInBeat gone incarnations of the zone, each for
+// goneInBeatFor after this node learned of it.
 const (
-	toldGone    = 8
-	toldGoneFor = 5 * time.Minute
+	maxGoneInBeat = 8
+	goneInBeatFor = 5 * time.Minute
 )
 
-// lately lists the incarnations of the own zone that went last.
-func (s State) lately() []Member {
-	departed := lo.Filter(s.Departed(s.self.Zone), func(d Departed, _ int) bool { return s.ticked.Sub(d.At) <= toldGoneFor })
+// recentlyGone lists the incarnations of the own zone that were lost last, the newest first.
+func (s State) recentlyGone() []Member {
+	departed := lo.Filter(s.Departed(s.self.Zone), func(d Departed, _ int) bool { return s.ticked.Sub(d.At) <= goneInBeatFor })
 	slices.SortFunc(departed, func(x, y Departed) int { return y.At.Compare(x.At) })
-	return lo.Map(departed[:min(len(departed), toldGone)], func(d Departed, _ int) Member {
+	return lo.Map(departed[:min(len(departed), maxGoneInBeat)], func(d Departed, _ int) Member {
 		d.Phase = Gone
 		return d.Member
 	})
 }
 
-// tick beats once. After a pause of its own the node can't tell who was silent,
-// so that all get their patience anew.
+// tick produces one round of heartbeats. After a stall of its own the node can't tell which
+// peers were silent, so the suspicion timeout of all of them restarts.
 func (s State) tick(m Ticked) (State, []Beat) {
-	next := s.copied()
+	next := s.clone()
 	if !s.ticked.IsZero() && m.At.Sub(s.ticked) > s.options.SuspectAfter {
 		for n, known := range next.members {
 			known.advanced = m.At
 			next.members[n] = known
 		}
 	}
-	next = next.buried(m.At)
+	next = next.withoutMissing(m.At)
 	next.ticked = m.At
 	next.self.Beat++
 	digest := next.digest()
@@ -408,13 +412,14 @@
 	return next, beats
 }
 
+// targets picks the peers for a round of heartbeats.
 func (s State) targets(m Ticked) []Member {
 	near := lo.Filter(s.Members(), func(other Member, _ int) bool { return other.Zone == s.self.Zone })
 	far := lo.Filter(s.Members(), func(other Member, _ int) bool { return other.Zone != s.self.Zone })
 	return append(pick(near, s.options.FanOut, m.Random), pick(far, s.options.FarFanOut, m.Random)...)
 }
 
-// pick draws n of the members without putting back.
+// pick draws n of the members at random without replacement.
 func pick(from []Member, n int, random func(int) int) []Member {
 	from = slices.Clone(from)
 	for i := range min(n, len(from)) {
@@ -424,36 +429,37 @@
 	return from[:min(n, len(from))]
 }
 
-// Answer is what a heartbeat is answered with: the node itself, what is newer
-// here than what was told, and a few that were not told of.
-func (s State) Answer(told []Member) []Member {
-	known := make(map[ident.Node]bool, len(told))
+// Answer returns the answer to a received digest: the node itself, the members that are
+// newer here, and a few that the digest does not contain.
+func (s State) Answer(received []Member) []Member {
+	known := make(map[ident.Node]bool, len(received))
 	answer := []Member{s.self}
-	for _, m := range told {
+	for _, m := range received {
 		known[m.Node] = true
 		if own, ok := s.members[m.Node]; ok && own.newer(m) {
 			answer = append(answer, own.Member)
 		}
 	}
-	untold := lo.Filter(s.digest(), func(m Member, _ int) bool { return !known[m.Node] && m.Node != s.self.Node })
-	return append(answer, untold[:min(len(untold), untoldInAnswer)]...)
+	others := lo.Filter(s.digest(), func(m Member, _ int) bool { return !known[m.Node] && m.Node != s.self.Node })
+	return append(answer, others[:min(len(others), maxOthersInAnswer)]...)
 }
 
-// untoldInAnswer is how many members an answer tells of beside those asked about.
-const untoldInAnswer = 3
+// maxOthersInAnswer is how many members an answer adds to those of the received digest.
+const maxOthersInAnswer = 3
 
-// Digest is what the node tells in a heartbeat: itself and the freshest others, of its own zone first.
+// Digest returns the members that a heartbeat carries: the node itself, the incarnations of
+// its zone that were lost last, and the members updated last, those of its own zone first.
 func (s State) Digest() []Member { return s.digest() }
 
 func (s State) digest() []Member {
-	others := lo.Filter(lo.Values(s.members), func(m seen, _ int) bool { return m.Incarnation != "" })
-	slices.SortFunc(others, func(x, y seen) int {
+	others := lo.Filter(lo.Values(s.members), func(m knownMember, _ int) bool { return m.Incarnation != "" })
+	slices.SortFunc(others, func(x, y knownMember) int {
 		if near := x.Zone == s.self.Zone; near != (y.Zone == s.self.Zone) {
 			return lo.Ternary(near, -1, 1)
 		}
 		return cmp.Or(y.advanced.Compare(x.advanced), cmp.Compare(x.Node, y.Node))
 	})
-	digest := append([]Member{s.self}, s.lately()...)
+	digest := append([]Member{s.self}, s.recentlyGone()...)
 	for _, m := range others[:min(len(others), s.options.DigestSize)] {
 		digest = append(digest, m.Member)
 	}
--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/membership_test.go
@@ -24,7 +24,7 @@
 	return s
 }
 
-func heard(after time.Duration, members ...membership.Member) membership.Heard {
+func received(after time.Duration, members ...membership.Member) membership.Heard {
 	return membership.Heard{At: start.Add(after), Members: members}
 }
 
@@ -43,13 +43,13 @@
 		messages []membership.Message
 		want     bool
 	}{
-		{"silence alone", []membership.Message{heard(0, member("b", "1", 1))}, false},
-		{"never listed yet", []membership.Message{heard(0, member("b", "1", 1)), listed(0, 1, "c")}, false},
-		{"off the list and silent", []membership.Message{heard(0, member("b", "1", 1)), listed(0, 1, "b"), listed(3*time.Second, 2, "c")}, true},
-		{"off a lagging list but heard", []membership.Message{heard(0, member("b", "1", 1)), listed(0, 1, "b"), listed(time.Second, 2, "c")}, false},
-		{"older list", []membership.Message{heard(0, member("b", "1", 1)), listed(0, 2, "b"), listed(0, 1, "c")}, false},
-		{"replaced", []membership.Message{heard(0, member("b", "1", 9)), heard(0, member("b", "2", 1))}, true},
-		{"late news of an old life", []membership.Message{heard(0, member("b", "2", 1)), heard(0, member("b", "1", 9))}, true},
+		{"silence alone", []membership.Message{received(0, member("b", "1", 1))}, false},
+		{"never listed yet", []membership.Message{received(0, member("b", "1", 1)), listed(0, 1, "c")}, false},
+		{"off the list and silent", []membership.Message{received(0, member("b", "1", 1)), listed(0, 1, "b"), listed(3*time.Second, 2, "c")}, true},
+		{"off a lagging list but not silent", []membership.Message{received(0, member("b", "1", 1)), listed(0, 1, "b"), listed(time.Second, 2, "c")}, false},
+		{"older list", []membership.Message{received(0, member("b", "1", 1)), listed(0, 2, "b"), listed(0, 1, "c")}, false},
+		{"replaced", []membership.Message{received(0, member("b", "1", 9)), received(0, member("b", "2", 1))}, true},
+		{"late heartbeat of an old incarnation", []membership.Message{received(0, member("b", "2", 1)), received(0, member("b", "1", 9))}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,19 +60,20 @@
 }
 
 func TestSuspicionAndReturn(t *testing.T) {
-	s := handle(membership.New(member("a", "1", 0), membership.Options{}), heard(0, member("b", "1", 1)))
+	s := handle(membership.New(member("a", "1", 0), membership.Options{}), received(0, member("b", "1", 1)))
 	assert.Equal(t, membership.StatusLive, s.StatusOf("b", start.Add(time.Second)))
 	assert.Equal(t, membership.StatusSuspect, s.StatusOf("b", start.Add(3*time.Second)))
-	s = handle(s, heard(3*time.Second, member("b", "1", 1)))
-	assert.Equal(t, membership.StatusSuspect, s.StatusOf("b", start.Add(3*time.Second)), "old news is no news")
-	s = handle(s, heard(4*time.Second, member("b", "1", 2)))
+	s = handle(s, received(3*time.Second, member("b", "1", 1)))
+	assert.Equal(t, membership.StatusSuspect, s.StatusOf("b", start.Add(3*time.Second)), "a repeated heartbeat does not end the suspicion")
+	s = handle(s, received(4*time.Second, member("b", "1", 2)))
 	assert.Equal(t, membership.StatusLive, s.StatusOf("b", start.Add(4*time.Second)))
 }
 
-func TestOwnPauseSuspectsNobody(t *testing.T) {
+// A node that stalls receives no heartbeats meanwhile; that must not make it suspect its peers.
+func TestAStalledNodeSuspectsNoPeer(t *testing.T) {
 	random := func(int) int { return 0 }
 	s := handle(membership.New(member("a", "1", 0), membership.Options{}),
-		heard(0, member("b", "1", 1)),
+		received(0, member("b", "1", 1)),
 		membership.Ticked{At: start, Random: random},
 		membership.Ticked{At: start.Add(time.Minute), Random: random})
 	assert.Equal(t, membership.StatusLive, s.StatusOf("b", start.Add(time.Minute)))
@@ -81,7 +82,7 @@
 func TestRankMovesOnlyTheLostNodesSlots(t *testing.T) {
 	s := membership.New(member("a", "1", 0), membership.Options{})
 	for _, n := range []ident.Node{"b", "c", "d"} {
-		s = handle(s, heard(0, member(n, "1", 1)))
+		s = handle(s, received(0, member(n, "1", 1)))
 	}
 	without := handle(s, listed(0, 1, "b", "c", "d"), listed(3*time.Second, 2, "b", "c"))
 	counts := map[ident.Node]int{}
@@ -99,8 +100,8 @@
 	}
 }
 
-func TestAnswerTellsOnlyWhatIsNewer(t *testing.T) {
-	s := handle(membership.New(member("a", "1", 0), membership.Options{}), heard(0, member("b", "1", 5), member("c", "1", 5)))
+func TestAnswerContainsOnlyNewerMembers(t *testing.T) {
+	s := handle(membership.New(member("a", "1", 0), membership.Options{}), received(0, member("b", "1", 5), member("c", "1", 5)))
 	answer := s.Answer([]membership.Member{member("b", "1", 3), member("c", "1", 9)})
 	names := map[ident.Node]int64{}
 	for _, m := range answer {
@@ -112,7 +113,7 @@
 func TestDigestIsBounded(t *testing.T) {
 	s := membership.New(member("a", "1", 0), membership.Options{DigestSize: 5})
 	for i := range 50 {
-		s = handle(s, heard(0, member(ident.Node(rune('b'+i)), "1", 1)))
+		s = handle(s, received(0, member(ident.Node(rune('b'+i)), "1", 1)))
 	}
 	_, beats := s.Handle(membership.Ticked{At: start, Random: func(int) int { return 0 }})
 	assert.Len(t, beats, 2, "the fan-out does not grow with the fleet")
