--- a/fleet/clock/clock.go
+++ b/fleet/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock is the time by which nodes decide: the steady clock, and the time for which
-// the VM was suspended on top of it. Go's own times compare by the steady clock, which
-// stands still while a VM is suspended: after ten seconds all that a node believes would be
-// as fresh as it was, and all that it may do would still be its to do, while for everyone
-// else ten seconds have passed. By this clock a suspension is what a stopped process is:
-// time that went by.
+// Package clock provides the time by which nodes decide: the monotonic clock plus the time
+// for which the VM was suspended. Go compares its times by the monotonic clock, which stops
+// while a VM is suspended. After a suspension of ten seconds a node would take its data for
+// fresh and its permissions for valid, although ten seconds have passed for everyone else.
+// By this clock a suspension counts as elapsed time, as it does for a stopped process.
+//
+// The package also detects stalls of the process, and has timers that allow for them.
 package clock
 
 import (
@@ -16,86 +17,90 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the present moment: a time that compares with others of this package by the
-// steady clock and the suspensions since the process began. Its time of day means nothing
-// where there were any. Compared with time.Now() it is ahead by these.
+// Now returns the current time by this clock. It compares with other times of this package
+// by the monotonic clock and the suspensions since the process started. It is ahead of
+// time.Now() by these suspensions, so its time of day is wrong once there was one.
 func Now() time.Time {
 	t := time.Now()
-	return t.Add(process.suspended(t))
+	return t.Add(processSource.suspended(t))
 }
 
-// Since is the time that has passed since a moment of this clock.
+// Since returns the time elapsed since a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until a moment of this clock.
+// Until returns the time until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended is for how long the VM was suspended since the process began.
-func Suspended() time.Duration { return process.suspended(time.Now()) }
+// Suspended returns how long the VM was suspended since the process started.
+func Suspended() time.Duration { return processSource.suspended(time.Now()) }
 
-// Bounds of reading the clock that counts suspensions: a call to the kernel each time, where
-// the steady clock is none. A benchmark of Now: 574 ns where both were read each time, 77 ns
-// as it is, and 73 ns for the steady clock alone.
+// Limits on reading the clock that counts suspensions, which takes a system call, unlike the
+// monotonic clock. A benchmark of Now: 574 ns when both are read each time, 77 ns with
+// readEvery, and 73 ns for the monotonic clock alone.
 const (
-	readEvery       = 20 * time.Millisecond // by the steady clock: so late a process notices that it was suspended
-	leastSuspension = 10 * time.Millisecond // less is what lies between two reads
+	readEvery     = 20 * time.Millisecond // monotonic; the delay until a process notices a suspension
+	minSuspension = 10 * time.Millisecond // a smaller difference is the time between two reads
 )
 
-// process is the source of this process.
-var process = newSource(bootTime, time.Now)
+// processSource counts the suspensions since this process started.
+var processSource = newSource(bootTime, time.Now)
 
-// source tells suspensions by two clocks, of which one counts them.
+// source measures suspensions by the difference between two clocks: boot counts them,
+// monotonic does not.
 type source struct {
-	boot    func() time.Duration
-	steady  func() time.Time
-	began   time.Time     // by the steady clock
-	atBegan time.Duration // by the other one
-	readAt  atomic.Int64  // nanoseconds of the steady clock since it began
-	apart   atomic.Int64  // nanoseconds by which the clocks lie apart since
-	ahead   atomic.Int64  // what a source outside this process adds, for tests
+	boot        func() time.Duration
+	monotonic   func() time.Time
+	start       time.Time     // by the monotonic clock
+	bootAtStart time.Duration // by the boot clock
+	readAt      atomic.Int64  // last read of the boot clock, in monotonic nanoseconds since the start
+	drift       atomic.Int64  // nanoseconds by which the boot clock has gained on the monotonic one
+	extra       atomic.Int64  // nanoseconds of suspension added by tests
 }
 
-func newSource(boot func() time.Duration, steady func() time.Time) *source {
-	return &source{boot: boot, steady: steady, began: steady(), atBegan: boot()}
+func newSource(boot func() time.Duration, monotonic func() time.Time) *source {
+	return &source{boot: boot, monotonic: monotonic, start: monotonic(), bootAtStart: boot()}
 }
 
-// suspended is how long the machine was, as of a moment of the steady clock. That is read
-// once more after the other clock: a process may be held up between the two, which then
-// looks like less of a suspension until they are read again, and never like one.
-func (s *source) suspended(steady time.Time) time.Duration {
-	passed := steady.Sub(s.began)
-	if read := s.readAt.Load(); passed-time.Duration(read) >= readEvery && s.readAt.CompareAndSwap(read, int64(passed)) {
+// suspended returns how long the VM was suspended, as of a time of the monotonic clock. It
+// reads the monotonic clock again after the boot clock: if the process stalls between the
+// two reads, the suspension appears shorter until the next read, and no stall appears as a
+// suspension.
+func (s *source) suspended(at time.Time) time.Duration {
+	elapsed := at.Sub(s.start)
+	if read := s.readAt.Load(); elapsed-time.Duration(read) >= readEvery && s.readAt.CompareAndSwap(read, int64(elapsed)) {
 		boot := s.boot()
-		apart := boot - s.atBegan - s.steady().Sub(s.began)
-		if apart-time.Duration(s.apart.Load()) >= leastSuspension {
-			s.apart.Store(int64(apart)) // it only rises: what a process believed to have aged stays so
+		drift := boot - s.bootAtStart - s.monotonic().Sub(s.start)
+		if drift-time.Duration(s.drift.Load()) >= minSuspension {
+			s.drift.Store(int64(drift)) // only increases, so that what has expired stays expired
 		}
 	}
-	return time.Duration(s.apart.Load() + s.ahead.Load())
+	return time.Duration(s.drift.Load() + s.extra.Load())
 }
 
-// bootTime is the clock that counts suspensions.
+// bootTime reads the clock that counts suspensions.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return 0 // a kernel without the clock tells of no suspension
+		return 0 // without this clock in the kernel no suspension is detected
 	}
 	return time.Duration(t.Nano())
 }
 
-// Suspend has this process count the VM as suspended for so long more, for tests.
-func Suspend(d time.Duration) { process.ahead.Add(int64(d)) }
+// Suspend makes this process count the VM as suspended for another d, for tests.
+func Suspend(d time.Duration) { processSource.extra.Add(int64(d)) }
 
-// aheadVariable names a file that holds milliseconds by which this process counts the VM
-// as suspended: tests of whole processes set clocks apart by it.
-const aheadVariable = "LYNXSHED_SUSPENDED_MS_FILE"
+// extraVariable is the environment variable with the path of a file that holds the
+// milliseconds for which this process counts the VM as suspended. Process tests set the
+// clocks of nodes apart with it.
+const extraVariable = "LYNXSHED_SUSPENDED_MS_FILE"
 
-// aheadEvery is how often the file is read.
-const aheadEvery = 20 * time.Millisecond
+// extraEvery is how often the file is read.
+const extraEvery = 20 * time.Millisecond
 
-// FollowTestSource reads the tests' file, where there is one, from now on.
+// FollowTestSource starts to read the suspension from the file that extraVariable names. It
+// does nothing if the variable is not set.
 func FollowTestSource() {
-	path := os.Getenv(aheadVariable)
+	path := os.Getenv(extraVariable)
 	if path == "" {
 		return
 	}
@@ -103,10 +108,10 @@
 		for {
 			if data, err := os.ReadFile(path); err == nil {
 				if ms, err := strconv.ParseInt(strings.TrimSpace(string(data)), 10, 64); err == nil {
-					process.ahead.Store(int64(time.Duration(ms) * time.Millisecond))
+					processSource.extra.Store(int64(time.Duration(ms) * time.Millisecond))
 				}
 			}
-			time.Sleep(aheadEvery)
+			time.Sleep(extraEvery)
 		}
 	}()
 }
--- a/fleet/clock/clock_test.go
+++ b/fleet/clock/clock_test.go
@@ -7,45 +7,45 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// machine is a VM that a test suspends: its steady clock stands still meanwhile.
-type machine struct {
+// fakeVM is a VM that a test suspends: its monotonic clock does not advance meanwhile.
+type fakeVM struct {
 	*source
-	steady time.Time
-	slept  time.Duration
+	monotonic time.Time
+	slept     time.Duration
 }
 
-func newMachine() *machine {
-	m := &machine{}
+func newFakeVM() *fakeVM {
+	vm := &fakeVM{}
 	start := time.Now()
-	m.steady = start
-	sinceBoot := func() time.Duration { return time.Hour + m.steady.Sub(start) + m.slept }
-	m.source = newSource(sinceBoot, func() time.Time { return m.steady })
-	return m
+	vm.monotonic = start
+	sinceBoot := func() time.Duration { return time.Hour + vm.monotonic.Sub(start) + vm.slept }
+	vm.source = newSource(sinceBoot, func() time.Time { return vm.monotonic })
+	return vm
 }
 
-// A suspension is counted, once and for good, as soon as the clocks are read again; what
-// lies between two reads is none, and neither is a step of the time of day.
+// A suspension counts once and permanently, from the next read of the clocks on. The time
+// between the reads of the two clocks and a step of the time of day count as none.
 func TestASuspensionIsCounted(t *testing.T) {
-	m := newMachine()
-	read := func(pass time.Duration) time.Duration {
-		m.steady = m.steady.Add(pass)
-		return m.suspended(m.steady)
+	vm := newFakeVM()
+	read := func(elapsed time.Duration) time.Duration {
+		vm.monotonic = vm.monotonic.Add(elapsed)
+		return vm.suspended(vm.monotonic)
 	}
 	assert.Zero(t, read(time.Second))
-	m.slept += time.Millisecond
-	assert.Zero(t, read(time.Second), "what lies between two reads")
-	m.slept = 500 * time.Millisecond
+	vm.slept += time.Millisecond
+	assert.Zero(t, read(time.Second), "shorter than the time between two reads")
+	vm.slept = 500 * time.Millisecond
 	assert.Equal(t, 500*time.Millisecond, read(readEvery))
-	m.slept += 5 * time.Second
-	assert.Equal(t, 500*time.Millisecond, read(readEvery/2), "it is not read so often")
+	vm.slept += 5 * time.Second
+	assert.Equal(t, 500*time.Millisecond, read(readEvery/2), "the clock is not read again before readEvery")
 	assert.Equal(t, 5500*time.Millisecond, read(readEvery/2))
-	m.slept += time.Minute
+	vm.slept += time.Minute
 	assert.Equal(t, 65500*time.Millisecond, read(readEvery))
-	m.slept -= time.Second
-	assert.Equal(t, 65500*time.Millisecond, read(readEvery), "it never goes back")
+	vm.slept -= time.Second
+	assert.Equal(t, 65500*time.Millisecond, read(readEvery), "the suspension never decreases")
 }
 
-// Times of this clock age by what the VM was suspended for, and compare as Go's own do.
+// Times of this clock age by the suspension of the VM, and compare like Go's times.
 func TestTimesAgeWhileTheVMIsSuspended(t *testing.T) {
 	before := Now()
 	deadline := before.Add(3 * time.Second)
@@ -57,29 +57,29 @@
 	assert.Negative(t, Until(deadline))
 }
 
-// A process that is held up between its reads of the two clocks, as on a VM with a part of
-// a core, was not suspended.
-func TestAProcessThatIsHeldUpIsNotSuspended(t *testing.T) {
-	m := newMachine()
-	held := time.Duration(0)
-	boot := m.boot
-	m.boot = func() time.Duration {
-		m.steady = m.steady.Add(held) // before this clock is read
-		defer func() { m.steady = m.steady.Add(held) }()
+// A process that stalls between the reads of the two clocks, as on a VM with a fraction of a
+// core, must not count as suspended.
+func TestAStallBetweenReadsIsNoSuspension(t *testing.T) {
+	vm := newFakeVM()
+	stall := time.Duration(0)
+	boot := vm.boot
+	vm.boot = func() time.Duration {
+		vm.monotonic = vm.monotonic.Add(stall) // before the boot clock is read
+		defer func() { vm.monotonic = vm.monotonic.Add(stall) }()
 		return boot()
 	}
-	for _, held = range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
-		m.steady = m.steady.Add(readEvery)
-		assert.Zero(t, m.suspended(m.steady), held)
+	for _, stall = range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
+		vm.monotonic = vm.monotonic.Add(readEvery)
+		assert.Zero(t, vm.suspended(vm.monotonic), stall)
 	}
-	m.slept = 5 * time.Second
-	held = 0
-	m.steady = m.steady.Add(readEvery)
-	assert.Equal(t, m.slept, m.suspended(m.steady))
+	vm.slept = 5 * time.Second
+	stall = 0
+	vm.monotonic = vm.monotonic.Add(readEvery)
+	assert.Equal(t, vm.slept, vm.suspended(vm.monotonic))
 }
 
 func BenchmarkNow(b *testing.B) {
-	b.Run("steady", func(b *testing.B) {
+	b.Run("monotonic", func(b *testing.B) {
 		for range b.N {
 			_ = time.Now()
 		}
--- a/fleet/clock/pause.go
+++ b/fleet/clock/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a time, or until ctx ends.
+// Pause waits for d, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/fleet/clock/stall.go
+++ b/fleet/clock/stall.go
@@ -5,65 +5,67 @@
 	"time"
 )
 
-// leastStandstill is the time between two looks from which a process stood still: shorter
-// ones come on any busy machine, and are within what changes may take to be in force.
-const leastStandstill = time.Second
+// minStall is the time between two checks from which on the process counts as stalled. Shorter
+// gaps occur on any busy VM, and are within the time that changes may take to be in force.
+const minStall = time.Second
 
-// Standstills knows when the process last went on after it had stood still: its host left
-// the VM out, or it was stopped. No clock tells of that, and so whoever is about to act
-// looks too, before the timer that looks at intervals has run. It is safe for concurrent
-// use.
+// Standstills detects stalls of the process, in which its host did not schedule the VM or the
+// process was stopped. No clock shows these. Code that is about to act checks too, since it
+// may run before the periodic check does. It is safe for concurrent use.
 type Standstills struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	looked time.Time
-	over   time.Time     // zero: it never stood still
-	lasted time.Duration // the last time
-	told   bool
+	mu       sync.Mutex
+	checked  time.Time
+	ended    time.Time     // of the last stall; zero if there was none
+	lasted   time.Duration // of the last stall
+	reported bool
 }
 
-// NewStandstills returns one that counts from now on. Look has to be called at intervals.
-func NewStandstills() *Standstills { return newStandstills(Now) }
+// NewStandstills returns a detector that starts now. Look has to be called periodically.
+func NewStandstills() *Standstills { return newStallDetector(Now) }
 
-func newStandstills(now func() time.Time) *Standstills { return &Standstills{now: now, looked: now()} }
+func newStallDetector(now func() time.Time) *Standstills {
+	return &Standstills{now: now, checked: now()}
+}
 
-// Look takes note of a standstill that is just over, and returns how long it lasted; zero
-// where there was none since the last time that it told of one.
+// Look checks for a stall that has just ended. It returns the length of the last stall once,
+// and zero if there was none since it last returned one.
 func (s *Standstills) Look() time.Duration {
-	s.look()
+	s.observe()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.told || s.over.IsZero() {
+	if s.reported || s.ended.IsZero() {
 		return 0
 	}
-	s.told = true
+	s.reported = true
 	return s.lasted
 }
 
-func (s *Standstills) look() (now, over time.Time) {
+// observe records a stall that has just ended; ended is the end of the last one.
+func (s *Standstills) observe() (now, ended time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now = s.now()
-	if passed := now.Sub(s.looked); passed >= leastStandstill {
-		s.over, s.lasted, s.told = now, passed, false
+	if elapsed := now.Sub(s.checked); elapsed >= minStall {
+		s.ended, s.lasted, s.reported = now, elapsed, false
 	}
-	s.looked = now
-	return now, s.over
+	s.checked = now
+	return now, s.ended
 }
 
-// Since is whether the process stood still after a moment of this clock.
+// Since reports whether the process has stalled since a time of this clock.
 func (s *Standstills) Since(t time.Time) bool {
-	_, over := s.look()
-	return over.After(t)
+	_, ended := s.observe()
+	return ended.After(t)
 }
 
-// Unread is how much longer what arrived while the process stood still may lie unread in its
-// sockets; zero where it did not of late.
+// Unread returns for how much longer the backlog after a stall may not be read completely;
+// zero if there was no recent stall.
 func (s *Standstills) Unread() time.Duration {
-	now, over := s.look()
-	if over.IsZero() {
+	now, ended := s.observe()
+	if ended.IsZero() {
 		return 0
 	}
-	return max(over.Add(readsFor).Sub(now), 0)
+	return max(ended.Add(backlogTime).Sub(now), 0)
 }
--- a/fleet/clock/stall_test.go
+++ b/fleet/clock/stall_test.go
@@ -7,37 +7,38 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A process that acts before its timers run finds out by itself that it stood still.
-func TestAStandstillIsFoundByWhoeverLooksFirst(t *testing.T) {
+// After a stall, code may act before the periodic check runs. It must detect the stall itself,
+// and the periodic check must still report it.
+func TestAStallIsDetectedByTheFirstCheck(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		looks  time.Duration // between two
-		after  time.Duration // that somebody asks, since the last look
-		since  bool
-		unread time.Duration
+		name    string
+		every   time.Duration // between two periodic checks
+		after   time.Duration // between the last periodic check and the query
+		stalled bool
+		backlog time.Duration
 	}{
-		{"it ran", 200 * time.Millisecond, 300 * time.Millisecond, false, 0},
-		{"a busy machine", leastStandstill / 2, leastStandstill - time.Millisecond, false, 0},
-		{"it stood still", 200 * time.Millisecond, leastStandstill, true, readsFor},
-		{"for long", 200 * time.Millisecond, time.Hour, true, readsFor},
+		{"running", 200 * time.Millisecond, 300 * time.Millisecond, false, 0},
+		{"busy VM", minStall / 2, minStall - time.Millisecond, false, 0},
+		{"stall", 200 * time.Millisecond, minStall, true, backlogTime},
+		{"long stall", 200 * time.Millisecond, time.Hour, true, backlogTime},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			began := time.Now()
-			now := began
-			s := newStandstills(func() time.Time { return now })
+			start := time.Now()
+			now := start
+			s := newStallDetector(func() time.Time { return now })
 			for range 10 {
-				now = now.Add(c.looks)
+				now = now.Add(c.every)
 				s.Look()
 			}
 			before := now
 			now = now.Add(c.after)
-			assert.Equal(t, c.unread, s.Unread())
-			assert.Equal(t, c.since, s.Since(before))
-			assert.False(t, s.Since(now), "what began since is not old")
-			assert.Equal(t, c.since, s.Look() > 0, "it is told, whoever found it")
-			assert.Zero(t, s.Look(), "once")
-			now = now.Add(readsFor)
-			assert.Zero(t, s.Unread(), "it is read")
+			assert.Equal(t, c.backlog, s.Unread())
+			assert.Equal(t, c.stalled, s.Since(before))
+			assert.False(t, s.Since(now), "no stall after the last check")
+			assert.Equal(t, c.stalled, s.Look() > 0, "reported, whichever check found it")
+			assert.Zero(t, s.Look(), "reported once only")
+			now = now.Add(backlogTime)
+			assert.Zero(t, s.Unread(), "the backlog has been read")
 		})
 	}
 }
--- a/fleet/clock/timeout.go
+++ b/fleet/clock/timeout.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Bounds of waiting on after the process stood still.
+// Limits of the extension of a timeout after a stall of the process.
 const (
-	standstill = 20 * time.Millisecond  // a timer that is so late tells of one
-	readsFor   = 100 * time.Millisecond // in which what has arrived meanwhile is read
-	mostMore   = 3                      // times that this is granted
+	stallDelay    = 20 * time.Millisecond  // a timer that fires this late indicates a stall
+	backlogTime   = 100 * time.Millisecond // time to read what arrived during a stall
+	maxExtensions = 3                      // extensions of one timeout by backlogTime
 )
 
-// Patience waits for something to be heard. It is safe for concurrent use.
+// Patience is a timeout for a message. It is safe for concurrent use.
 type Patience struct {
 	end func()
 	now func() time.Time
 
-	mu    sync.Mutex
-	timer *time.Timer
-	due   time.Time
-	more  int // times that more was granted
-	over  bool
+	mu         sync.Mutex
+	timer      *time.Timer
+	due        time.Time
+	extensions int
+	done       bool
 }
 
-// WaitFor calls end after a time, unless Stop is called before. A process that stood still
-// at the end of that time waits a little longer: what it waits for may lie unread in its
-// sockets, and its own standstill is no silence of others.
+// WaitFor calls end after d, unless Stop is called before. If the process stalls at the end
+// of d, the timeout is extended by a short time: the message may be in the backlog of its
+// sockets, and a stall of its own must not count as silence of others.
 func WaitFor(d time.Duration, end func()) *Patience { return waitFor(d, end, time.Now) }
 
 func waitFor(d time.Duration, end func(), now func() time.Time) *Patience {
@@ -38,33 +38,33 @@
 }
 
 func (p *Patience) fire() {
-	if p.isOver() {
+	if p.expired() {
 		p.end()
 	}
 }
 
-// isOver is whether the wait ends now; else it goes on, or was stopped.
-func (p *Patience) isOver() bool {
+// expired reports whether the timeout ends now. Otherwise it was extended or stopped.
+func (p *Patience) expired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	switch {
-	case p.over:
+	case p.done:
 		return false
-	case now.Sub(p.due) >= standstill && p.more < mostMore:
-		p.more++
-		p.due = now.Add(readsFor)
-		p.timer.Reset(readsFor)
+	case now.Sub(p.due) >= stallDelay && p.extensions < maxExtensions:
+		p.extensions++
+		p.due = now.Add(backlogTime)
+		p.timer.Reset(backlogTime)
 		return false
 	}
-	p.over = true
+	p.done = true
 	return true
 }
 
-// Stop ends the wait: what was waited for was heard.
+// Stop cancels the timeout; the message was received.
 func (p *Patience) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.done = true
 	p.timer.Stop()
 }
