--- a/fleet/orders/giver.go
+++ b/fleet/orders/giver.go
@@ -14,39 +14,39 @@
 
 // Sender sends orders to engines.
 type Sender interface {
-	// Load tells an engine to load a model; an engine that checks refuses an
-	// older fence than it has seen.
+	// Load orders an engine to load a model. An engine that checks fences refuses one
+	// that is older than the newest it has received.
 	Load(ctx context.Context, e Engine, fence int64, model string) error
 }
 
-// Parts are what a giver works with.
+// Parts are the dependencies of a Giver.
 type Parts struct {
 	Self    func() ident.Incarnation
 	Zone    ident.Zone
 	Store   platform.Store
 	Sender  Sender
 	Gone    func(ident.Incarnation) bool
-	Engines func() []Engine // of the zone
-	Waiting func(model string) int
-	Leads   func() bool // whether this node should give the zone's orders
+	Engines func() []Engine        // of the zone
+	Waiting func(model string) int // calls that wait for the model
+	Leads   func() bool            // whether this node should give the zone's orders
 	Now     func() time.Time
 	Events  *event.Log
 }
 
-// Giver carries out the decisions of one node; New makes one.
+// Giver makes one node's decisions on orders and carries them out; New creates it.
 type Giver struct {
 	Parts
-	lease   Lease
-	version platform.Version
-	read    bool
-	before  time.Time
-	moved   time.Time
+	lease         Lease
+	version       platform.Version
+	read          bool      // lease and version are up to date
+	previousUntil time.Time // end of the lease taken over from another node
+	lastOrder     time.Time
 }
 
-// New makes a giver.
+// New creates a Giver.
 func New(p Parts) *Giver { return &Giver{Parts: p} }
 
-// Step makes one decision and carries it out. It is called now and then by one goroutine.
+// Step makes one decision and carries it out. One goroutine calls it periodically.
 func (g *Giver) Step(ctx context.Context) error {
 	engines := g.Engines()
 	if !g.Leads() || len(engines) == 0 {
@@ -56,21 +56,21 @@
 	if err := g.refresh(ctx); err != nil {
 		return err
 	}
-	seen := Seen{
+	in := Input{
 		At: g.Now(), Self: g.Self(), Lease: g.lease, Version: g.version, GiverGone: g.Gone(g.lease.Giver),
-		Before: g.before, Moved: g.moved, Engines: engines, Waiting: g.Waiting,
+		PreviousUntil: g.previousUntil, LastOrder: g.lastOrder, Engines: engines, Waiting: g.Waiting,
 	}
-	switch effect := Decide(seen).(type) {
-	case Take:
+	switch effect := Decide(in).(type) {
+	case TakeLease:
 		return g.take(ctx, effect)
-	case Give:
+	case SendOrder:
 		return g.give(ctx, effect, engines)
 	default:
 		return nil
 	}
 }
 
-// refresh reads the lease where what is known of it may be old.
+// refresh reads the lease unless this node holds it and its copy is up to date.
 func (g *Giver) refresh(ctx context.Context) error {
 	if g.read && g.lease.Giver == g.Self() {
 		return nil
@@ -91,19 +91,19 @@
 	return nil
 }
 
-func (g *Giver) take(ctx context.Context, t Take) error {
+func (g *Giver) take(ctx context.Context, t TakeLease) error {
 	old := g.lease
 	if err := g.put(ctx, t.Lease); err != nil {
 		return err
 	}
 	if old.Giver != "" && old.Giver != g.Self() {
-		g.before = old.Until
+		g.previousUntil = old.Until
 		g.Events.Add(event.Event{Step: event.Order, Peer: string(old.Giver), Decision: "took over the zone's orders", Reason: "its lease is over"})
 	}
 	return nil
 }
 
-// put writes the lease; after a conflict or a lost answer it is read again.
+// put writes the lease. After a conflict or a lost answer the next step reads it again.
 func (g *Giver) put(ctx context.Context, l Lease) error {
 	version, err := g.Store.Put(ctx, Key(g.Zone), g.version, l)
 	if err != nil {
@@ -114,15 +114,15 @@
 	return nil
 }
 
-// give fetches the weights, sends the order and notes it. An order whose note is
-// lost is given again: loading twice changes nothing.
-func (g *Giver) give(ctx context.Context, order Give, engines []Engine) error {
-	g.moved = g.Now()
+// give fetches the weights, sends the order and records it in the lease. An order whose record
+// is lost is sent again: loading a model twice has no effect.
+func (g *Giver) give(ctx context.Context, order SendOrder, engines []Engine) error {
+	g.lastOrder = g.Now()
 	if err := g.Store.Weights(ctx, order.Load.Model); err != nil {
 		return errors.Wrapf(err, "weights of %s", order.Load.Model)
 	}
 	if err := g.Sender.Load(ctx, order.Engine, int64(order.Fence), order.Load.Model); err != nil {
-		g.read = false // the engine may have seen a newer fence
+		g.read = false // the engine may have received a newer fence
 		return err
 	}
 	g.Events.Add(event.Event{Step: event.Order, Peer: string(order.Engine.Name), Decision: "told to load " + order.Load.Model, Reason: "its row asks for it"})
--- a/fleet/orders/orders_test.go
+++ b/fleet/orders/orders_test.go
@@ -30,33 +30,33 @@
 	other := orders.Lease{Giver: "m@1", Until: start.Add(time.Second)}
 	cases := []struct {
 		name string
-		seen orders.Seen
+		in   orders.Input
 		want orders.Effect
 	}{
-		{"nobody gives orders", orders.Seen{At: start}, orders.Take{Lease: own}},
-		{"another does", orders.Seen{At: start, Lease: other}, orders.Nothing{Why: "another node gives the orders"}},
-		{"its time is over here, but not by every clock", orders.Seen{At: start.Add(2 * time.Second), Lease: other}, orders.Nothing{Why: "another node gives the orders"}},
-		{"it is gone", orders.Seen{At: start, Lease: other, GiverGone: true}, orders.Take{Lease: own}},
-		{"the own lease runs out", orders.Seen{At: start, Lease: orders.Lease{Giver: "n@2", Until: start.Add(time.Second)}}, orders.Take{Lease: own}},
-		{"the longest line first", orders.Seen{At: start, Lease: own, Version: 9}, orders.Give{Engine: engines[0], Load: orders.Load{Endpoint: "e1", Model: "large"}, Fence: 9}},
-		{"one at a time", orders.Seen{At: start, Lease: own, Moved: start.Add(-time.Second)}, orders.Nothing{Why: "one order at a time"}},
-		{"an engine that does not check waits the old giver out", orders.Seen{
-			At: start, Before: start.Add(-time.Second), Lease: orders.Lease{Giver: "n@2", Until: own.Until, Done: []orders.Load{{Endpoint: "e1", Model: "large"}, {Endpoint: "e1", Model: "small"}}},
+		{"no giver", orders.Input{At: start}, orders.TakeLease{Lease: own}},
+		{"another giver", orders.Input{At: start, Lease: other}, orders.Nothing{Why: "another node gives the orders"}},
+		{"its lease has expired here, but not by every clock", orders.Input{At: start.Add(2 * time.Second), Lease: other}, orders.Nothing{Why: "another node gives the orders"}},
+		{"the giver is gone", orders.Input{At: start, Lease: other, GiverGone: true}, orders.TakeLease{Lease: own}},
+		{"the own lease expires soon", orders.Input{At: start, Lease: orders.Lease{Giver: "n@2", Until: start.Add(time.Second)}}, orders.TakeLease{Lease: own}},
+		{"the longest queue first", orders.Input{At: start, Lease: own, Version: 9}, orders.SendOrder{Engine: engines[0], Load: orders.Load{Endpoint: "e1", Model: "large"}, Fence: 9}},
+		{"one at a time", orders.Input{At: start, Lease: own, LastOrder: start.Add(-time.Second)}, orders.Nothing{Why: "one order at a time"}},
+		{"no order to an engine without fence check while the old lease may be valid", orders.Input{
+			At: start, PreviousUntil: start.Add(-time.Second), Lease: orders.Lease{Giver: "n@2", Until: own.Until, Done: []orders.Load{{Endpoint: "e1", Model: "large"}, {Endpoint: "e1", Model: "small"}}},
 		}, orders.Nothing{Why: "all is ordered"}},
-		{"and is told then", orders.Seen{
-			At: start, Before: start.Add(-time.Minute), Lease: orders.Lease{Giver: "n@2", Until: own.Until, Done: []orders.Load{{Endpoint: "e1", Model: "large"}, {Endpoint: "e1", Model: "small"}}},
-		}, orders.Give{Engine: engines[1], Load: orders.Load{Endpoint: "e2", Model: "large"}}},
+		{"order to an engine without fence check after the old lease", orders.Input{
+			At: start, PreviousUntil: start.Add(-time.Minute), Lease: orders.Lease{Giver: "n@2", Until: own.Until, Done: []orders.Load{{Endpoint: "e1", Model: "large"}, {Endpoint: "e1", Model: "small"}}},
+		}, orders.SendOrder{Engine: engines[1], Load: orders.Load{Endpoint: "e2", Model: "large"}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.seen.Self, c.seen.Engines, c.seen.Waiting = "n@2", engines, waiting
-			assert.Equal(t, c.want, orders.Decide(c.seen))
+			c.in.Self, c.in.Engines, c.in.Waiting = "n@2", engines, waiting
+			assert.Equal(t, c.want, orders.Decide(c.in))
 		})
 	}
 }
 
-// world is a store with one object, and an engine that checks fences.
-type world struct {
+// fakeStore is a platform.Store with one object, and an engine that checks fences.
+type fakeStore struct {
 	platform.Store
 	object  platform.Object
 	limited bool
@@ -65,14 +65,14 @@
 	now     time.Time
 }
 
-func (w *world) Get(context.Context, string) (platform.Object, error) {
+func (w *fakeStore) Get(context.Context, string) (platform.Object, error) {
 	if w.object.Version == 0 {
 		return platform.Object{}, platform.ErrNotFound
 	}
 	return w.object, nil
 }
 
-func (w *world) Put(_ context.Context, key string, version platform.Version, value any) (platform.Version, error) {
+func (w *fakeStore) Put(_ context.Context, key string, version platform.Version, value any) (platform.Version, error) {
 	if version != w.object.Version {
 		return 0, platform.ErrConflict
 	}
@@ -81,14 +81,14 @@
 	return version + 1, err
 }
 
-func (w *world) Weights(context.Context, string) error {
+func (w *fakeStore) Weights(context.Context, string) error {
 	if w.limited {
 		return platform.ErrLimited
 	}
 	return nil
 }
 
-func (w *world) Load(_ context.Context, _ orders.Engine, fence int64, model string) error {
+func (w *fakeStore) Load(_ context.Context, _ orders.Engine, fence int64, model string) error {
 	if fence < w.fence {
 		return errors.New("older fence")
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (w *world) giver(self ident.Incarnation, gone ident.Incarnation) *orders.Giver {
+func (w *fakeStore) giver(self ident.Incarnation, gone ident.Incarnation) *orders.Giver {
 	now := func() time.Time { return w.now }
 	return orders.New(orders.Parts{
 		Self: func() ident.Incarnation { return self }, Zone: "z", Store: w, Sender: w,
@@ -107,7 +107,7 @@
 	})
 }
 
-func steps(w *world, g *orders.Giver, count int) (last error) {
+func steps(w *fakeStore, g *orders.Giver, count int) (last error) {
 	for range count {
 		w.now = w.now.Add(3 * time.Second)
 		last = g.Step(context.Background())
@@ -116,26 +116,28 @@
 }
 
 func TestAGiverOrdersEachLoadOnce(t *testing.T) {
-	w := &world{now: start}
+	w := &fakeStore{now: start}
 	require.NoError(t, steps(w, w.giver("n@1", ""), 12))
 	assert.Equal(t, []string{"large", "small"}, w.loaded)
 }
 
-func TestAPausedGiverIsFencedOff(t *testing.T) {
-	w := &world{now: start}
+// A giver that stalls past its lease still takes it for valid when it resumes. Its order carries
+// an older fence and must be refused.
+func TestAPausedGiverIsFenced(t *testing.T) {
+	w := &fakeStore{now: start}
 	old := w.giver("n@1", "")
-	require.NoError(t, steps(w, old, 2)) // it has taken the lease and given one order
+	require.NoError(t, steps(w, old, 2)) // takes the lease and gives one order
 	require.Equal(t, []string{"large"}, w.loaded)
 	next := w.giver("m@2", "n@1")
 	require.NoError(t, steps(w, next, 4))
 	require.Equal(t, []string{"large", "small"}, w.loaded)
-	w.now = start.Add(9 * time.Second) // the old one wakes and believes in its lease
+	w.now = start.Add(9 * time.Second) // the old giver resumes and takes its lease for valid
 	assert.Error(t, old.Step(context.Background()))
 	assert.Equal(t, []string{"large", "small"}, w.loaded, "its order is refused")
 }
 
-func TestTheWeightStoresLimitDelays(t *testing.T) {
-	w := &world{now: start, limited: true}
+func TestTheWeightStoresLimitDelaysOrders(t *testing.T) {
+	w := &fakeStore{now: start, limited: true}
 	g := w.giver("n@1", "")
 	require.Error(t, steps(w, g, 2))
 	assert.Empty(t, w.loaded)
