--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer is how the fleet's nodes speak to each other: HTTP with JSON, a
-// verb each, authenticated by the fleet's key.
+// Package peer implements the protocol between the nodes of the fleet: JSON over HTTP with
+// one path for each verb, authenticated by the fleet's key.
 package peer
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/lynxshed/lynxshed/fleet/membership"
 )
 
-// Verb names what one node asks of another.
+// Verb names an operation that one node requests of another.
 type Verb string
 
 // The verbs.
@@ -53,7 +53,7 @@
 	callTimeout = 2 * time.Second
 )
 
-// ErrUnreachable marks a call whose peer did not answer.
+// ErrUnreachable marks the error of a call whose peer did not answer.
 var ErrUnreachable = errors.New("the peer did not answer")
 
 // Caller makes calls to other nodes.
@@ -63,12 +63,12 @@
 	tracer trace.Tracer
 }
 
-// NewCaller makes a caller that shows the fleet's key.
+// NewCaller creates a Caller that authenticates with the fleet's key.
 func NewCaller(hc *http.Client, key string, tracer trace.Tracer) *Caller {
 	return &Caller{http: hc, key: key, tracer: tracer}
 }
 
-// Call asks a peer and reads its answer into out.
+// Call sends a verb to a peer and decodes the answer.
 func Call[Out any](ctx context.Context, c *Caller, to membership.Member, verb Verb, in any) (Out, error) {
 	var out Out
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -103,21 +103,21 @@
 	return c.Do(req)
 }
 
-// Do sends any request to a peer with the fleet's key and the trace's context.
+// Do sends any request to a peer with the fleet's key and the trace context.
 func (c *Caller) Do(req *http.Request) (*http.Response, error) {
 	req.Header.Set(keyHeader, c.key)
 	propagation.TraceContext{}.Inject(req.Context(), propagation.HeaderCarrier(req.Header))
 	return c.http.Do(req)
 }
 
-// Server takes the calls of other nodes.
+// Server serves the calls of other nodes.
 type Server struct {
 	mux    *http.ServeMux
 	key    string
 	tracer trace.Tracer
 }
 
-// NewServer makes a server that asks for the fleet's key.
+// NewServer creates a Server that requires the fleet's key.
 func NewServer(key string, tracer trace.Tracer) *Server {
 	return &Server{mux: http.NewServeMux(), key: key, tracer: tracer}
 }
@@ -132,10 +132,10 @@
 	s.mux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// HandleRaw serves a path under /peer/ that does not speak JSON.
+// HandleRaw registers a handler for a path under /peer/ that does not use JSON.
 func (s *Server) HandleRaw(pattern string, h http.HandlerFunc) { s.mux.HandleFunc(pattern, h) }
 
-// Handle serves a verb.
+// Handle registers the handler for a verb.
 func Handle[In, Out any](s *Server, verb Verb, answer func(context.Context, In) (Out, error)) {
 	s.mux.HandleFunc("POST "+pathPrefix+string(verb), func(w http.ResponseWriter, r *http.Request) {
 		ctx, span := s.tracer.Start(r.Context(), "serve "+string(verb), trace.WithSpanKind(trace.SpanKindServer))
--- a/fleet/peer/wire.go
+++ b/fleet/peer/wire.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// Admission asks a slot's holder to let a request in.
+// Admission asks a slot's holder to admit a request.
 type Admission struct {
 	Record  holder.Record       `json:"record"`
 	Budgets []holder.BudgetLine `json:"budgets,omitempty"`
@@ -28,11 +28,11 @@
 
 // Ending reports how a request ended.
 type Ending struct {
-	Record holder.Record  `json:"record"` // as the entry knows it
+	Record holder.Record  `json:"record"` // as the entry has it
 	Usage  holder.Usage   `json:"usage"`
 	Answer *holder.Answer `json:"answer,omitempty"`
 	NotRun bool           `json:"notRun,omitempty"`
-	// Awaiting are attempts whose cost the entry could not learn.
+	// Awaiting are the attempts whose cost is not known to the entry.
 	Awaiting []holder.Attempt `json:"awaiting,omitempty"`
 }
 
@@ -40,10 +40,10 @@
 type Noting struct {
 	Request ident.Request  `json:"requestId"`
 	Attempt holder.Attempt `json:"attempt"`
-	Extra   int64          `json:"extra,omitempty"` // tokens to reserve besides
+	Extra   int64          `json:"extra,omitempty"` // tokens to reserve in addition
 }
 
-// Known is a record, or Found false where the node has none.
+// Known carries a record; Found is false if the node has none.
 type Known struct {
 	Found  bool          `json:"found"`
 	Record holder.Record `json:"record"`
@@ -56,89 +56,89 @@
 	EntryURL string            `json:"entryUrl"`
 }
 
-// Claiming asks whether a key is known; Store leaves a copy with the runner-up.
+// Claiming asks whether an idempotency key is known; Store leaves a copy with the runner-up.
 type Claiming struct {
 	Record holder.Record `json:"record"`
 	Store  bool          `json:"store,omitempty"`
 }
 
-// Claimed is the answer: the record that holds the key already, or a refusal.
+// Claimed answers a Claiming with the record that already holds the key, or with a refusal.
 type Claimed struct {
 	Existing *holder.Record   `json:"existing,omitempty"`
 	Refused  *problem.Problem `json:"refused,omitempty"`
 }
 
-// Forgetting drops the copy of a key.
+// Forgetting deletes the copy of a key.
 type Forgetting struct {
 	Key     holder.KeyID  `json:"key"`
 	Request ident.Request `json:"requestId"`
 }
 
-// Storing entrusts records to a witness.
+// Storing stores records with a witness.
 type Storing struct {
 	Records []holder.Record `json:"records"`
 }
 
-// Stored names the holder that is fenced at the witness, if one is.
+// Stored answers a Storing with the holder that is fenced at the witness, if any.
 type Stored struct {
 	Fenced ident.Incarnation `json:"fenced,omitempty"`
 }
 
-// Dropping tells a witness which records it may forget.
+// Dropping names the records that a witness may delete.
 type Dropping struct {
 	Requests []ident.Request `json:"requests"`
 }
 
-// Fencing ends a holder at a witness.
+// Fencing asks a witness to fence a holder: to accept no more records from it.
 type Fencing struct {
 	Holder ident.Incarnation `json:"holder"`
 }
 
-// Fenced is what a witness knows of the fenced holder.
+// Fenced answers a Fencing with the witness's records of the fenced holder.
 type Fenced struct {
 	From    ident.Incarnation  `json:"from"`
 	Records []holder.Record    `json:"records"`
 	Last    *membership.Member `json:"last,omitempty"`
 }
 
-// Surrendering asks for tokens that another holder lacks.
+// Surrendering asks a holder for tokens that another holder needs.
 type Surrendering struct {
 	Slot   ident.Slot   `json:"slot"`
 	Budget ident.Budget `json:"budget"`
 	Need   int64        `json:"need"`
-	// For is the holder that lacks them; without one they go to the pool.
+	// For is the holder that needs them; if empty, they return to the pool.
 	For ident.Incarnation `json:"for,omitempty"`
 }
 
-// Surrendered is what was returned to the pool.
+// Surrendered answers a Surrendering with the tokens returned to the pool.
 type Surrendered struct {
 	Tokens int64 `json:"tokens"`
 }
 
-// Lending asks the holder of a slot in another zone for the unused part of a limit.
+// Lending asks the holder of a slot in another zone for the unused share of a limit.
 type Lending struct {
 	Line limit.Line `json:"line"`
 }
 
-// Lent is the part that was lent, 0 to 1 of the whole limit.
+// Lent answers a Lending with the share that was lent, 0 to 1 of the whole limit.
 type Lent struct {
 	Part float64 `json:"part"`
 }
 
-// Beat is a heartbeat and its answer.
+// Beat is a heartbeat or its answer.
 type Beat struct {
 	Members []membership.Member `json:"members"`
 	Loads   []Load              `json:"loads,omitempty"`
 }
 
-// Load is an endpoint's report as one of its watchers read it.
+// Load is an endpoint's load as one of its watchers read it.
 type Load struct {
 	Endpoint ident.Endpoint `json:"endpoint"`
 	InFlight int64          `json:"inFlight"`
 	Queued   int64          `json:"queued"`
 	Leaving  bool           `json:"leaving,omitempty"`
 	Down     bool           `json:"down,omitempty"`
-	// Read is when the watcher read it, in Unix milliseconds of the watcher.
+	// Read is when the watcher read it, in Unix milliseconds of the watcher's clock.
 	Read int64 `json:"read"`
 }
 
@@ -147,28 +147,28 @@
 	Hash string `json:"hash"`
 }
 
-// ShardAnswer is a shard, or Found false.
+// ShardAnswer carries a shard; Found is false if the peer does not have it.
 type ShardAnswer struct {
 	Found bool         `json:"found"`
 	Shard config.Shard `json:"shard"`
 }
 
-// HeadAnswer is the head in force at the peer.
+// HeadAnswer carries the head in force at the peer.
 type HeadAnswer struct {
 	Head config.Head `json:"head"`
 }
 
-// EventsAsk asks for the events of a request, or of the node itself where it is empty.
+// EventsAsk asks for the events of a request, or of the node itself if Request is empty.
 type EventsAsk struct {
 	Request ident.Request `json:"requestId,omitempty"`
 }
 
-// EventsAnswer is what the node recorded.
+// EventsAnswer carries the events that the node recorded.
 type EventsAnswer struct {
 	Events []event.Event `json:"events"`
 }
 
-// HandOver gives a successor the keys that a leaving holder kept.
+// HandOver passes the idempotency keys of a leaving holder to its successor.
 type HandOver struct {
 	Keyed []holder.Record `json:"keyed"`
 }
