--- a/fleet/catalog/catalog.go
+++ b/fleet/catalog/catalog.go
@@ -14,19 +14,19 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// AllServices in a budget's row covers every service.
+// AllServices is the cell by which a budget covers every service.
 const AllServices = "*"
 
-// Defaults for cells that an operator left open.
+// Defaults for cells that are not set.
 const (
-	defaultWeight      = 1
-	defaultMaxOutput   = 512
-	defaultMaxInFlight = 16
-	defaultTimeout     = 5 * time.Minute
-	defaultBytesToken  = 1
+	defaultWeight           = 1
+	defaultMaxOutput        = 512
+	defaultMaxInFlight      = 16
+	defaultTimeout          = 5 * time.Minute
+	defaultMinBytesPerToken = 1
 )
 
-// Priority orders the queues: interactive goes before batch.
+// Priority is the priority of a service's queue; interactive calls go before batch calls.
 type Priority string
 
 // The priorities.
@@ -35,18 +35,18 @@
 	Batch       Priority = "batch"
 )
 
-// Customer is a customer in force.
+// Customer is a customer of the revision.
 type Customer struct {
 	Name   ident.Customer
 	Weight int64
 }
 
-// Budget is a prepaid budget in force.
+// Budget is a prepaid budget of the revision.
 type Budget struct {
 	Name     ident.Budget
 	Customer ident.Customer
 	Services []ident.Service
-	All      bool
+	All      bool  // covers every service
 	Limit    int64 // tokens
 	Version  table.Version
 }
@@ -56,11 +56,11 @@
 	return b.All || lo.Contains(b.Services, s)
 }
 
-// Service is a service in force.
+// Service is a service of the revision.
 type Service struct {
 	Name       ident.Service
 	Model      bool
-	Repeatable []string // HTTP methods
+	Repeatable []string // HTTP methods that may run more than once
 	Priority   Priority
 	Timeout    time.Duration
 }
@@ -68,7 +68,7 @@
 // MayRepeat reports whether a call by the method may run more than once.
 func (s Service) MayRepeat(method string) bool { return lo.Contains(s.Repeatable, method) }
 
-// Model is a model in force.
+// Model is a model of the revision.
 type Model struct {
 	Name             string
 	Service          ident.Service
@@ -76,7 +76,7 @@
 	MinBytesPerToken int64
 }
 
-// Endpoint is an endpoint in force.
+// Endpoint is an endpoint of the revision.
 type Endpoint struct {
 	Name        ident.Endpoint
 	Services    []ident.Service
@@ -88,18 +88,18 @@
 	Leaving     bool
 }
 
-// Limit bounds a customer, a service or an endpoint; an empty name is any.
+// Limit restricts a customer, a service or an endpoint; an empty name matches any.
 type Limit struct {
 	Name              string
 	Customer          ident.Customer
 	Service           ident.Service
 	Endpoint          ident.Endpoint
-	RequestsPerSecond int64 // 0 is no limit
+	RequestsPerSecond int64 // 0 is no limit, also below
 	TokensPerSecond   int64
 	MaxInFlight       int64
 }
 
-// Weight weighs a customer's or an endpoint's share of a service.
+// Weight is the weight of a customer or an endpoint for its share of a service.
 type Weight struct {
 	Customer ident.Customer
 	Service  ident.Service
@@ -109,36 +109,36 @@
 
 // Catalog is an immutable index of one revision.
 type Catalog struct {
-	Revision  int64
-	customers map[string]Customer // by key hash
-	named     map[ident.Customer]Customer
-	budgets   map[ident.Customer][]Budget
-	byName    map[ident.Budget]Budget
-	services  map[ident.Service]Service
-	models    map[string]Model
-	endpoints map[ident.Service][]Endpoint
-	all       []Endpoint
-	limits    []Limit
-	weights   []Weight
+	Revision           int64
+	customersByKey     map[string]Customer // by the hash of the key
+	customers          map[ident.Customer]Customer
+	budgetsByCustomer  map[ident.Customer][]Budget
+	budgets            map[ident.Budget]Budget
+	services           map[ident.Service]Service
+	models             map[string]Model
+	endpointsByService map[ident.Service][]Endpoint
+	endpoints          []Endpoint
+	limits             []Limit
+	weights            []Weight
 }
 
-// HashKey is how a caller's key is stored.
+// HashKey returns the hash under which a caller's key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// New indexes a table as of a revision.
+// New builds the index of a table as of a revision.
 func New(revision int64, t table.Table) *Catalog {
 	c := &Catalog{
-		Revision:  revision,
-		customers: map[string]Customer{},
-		named:     map[ident.Customer]Customer{},
-		budgets:   map[ident.Customer][]Budget{},
-		byName:    map[ident.Budget]Budget{},
-		services:  map[ident.Service]Service{},
-		models:    map[string]Model{},
-		endpoints: map[ident.Service][]Endpoint{},
+		Revision:           revision,
+		customersByKey:     map[string]Customer{},
+		customers:          map[ident.Customer]Customer{},
+		budgetsByCustomer:  map[ident.Customer][]Budget{},
+		budgets:            map[ident.Budget]Budget{},
+		services:           map[ident.Service]Service{},
+		models:             map[string]Model{},
+		endpointsByService: map[ident.Service][]Endpoint{},
 	}
 	for _, r := range t.Rows("") {
 		c.index(r)
@@ -161,7 +161,7 @@
 		c.models[r.Name] = Model{
 			Name: r.Name, Service: ident.Service(r.Cells.Get(table.ColService)),
 			MaxOutputTokens:  r.Cells.Int(table.ColMaxOutputTokens, defaultMaxOutput),
-			MinBytesPerToken: r.Cells.Int(table.ColMinBytesPerToken, defaultBytesToken),
+			MinBytesPerToken: r.Cells.Int(table.ColMinBytesPerToken, defaultMinBytesPerToken),
 		}
 	case table.Endpoint:
 		c.indexEndpoint(r)
@@ -179,9 +179,9 @@
 
 func (c *Catalog) indexCustomer(r table.Row) {
 	customer := Customer{Name: ident.Customer(r.Name), Weight: r.Cells.Int(table.ColWeight, defaultWeight)}
-	c.named[customer.Name] = customer
+	c.customers[customer.Name] = customer
 	for _, hash := range table.SplitList(r.Cells.Get(table.ColKeyHashes)) {
-		c.customers[hash] = customer
+		c.customersByKey[hash] = customer
 	}
 }
 
@@ -195,8 +195,8 @@
 		Limit:    r.Cells.Int(table.ColLimitTokens, 0),
 		Version:  r.Version,
 	}
-	c.budgets[b.Customer] = append(c.budgets[b.Customer], b)
-	c.byName[b.Name] = b
+	c.budgetsByCustomer[b.Customer] = append(c.budgetsByCustomer[b.Customer], b)
+	c.budgets[b.Name] = b
 }
 
 func (c *Catalog) indexService(r table.Row) {
@@ -214,13 +214,14 @@
 	}
 }
 
-// implyModel lets callers name a model service that has no row of kind model.
+// implyModel adds a model under the name of a model service that has no row of kind model,
+// so that callers can name it.
 func (c *Catalog) implyModel(s Service) {
 	_, ok := c.models[string(s.Name)]
 	if !s.Model || ok {
 		return
 	}
-	c.models[string(s.Name)] = Model{Name: string(s.Name), Service: s.Name, MaxOutputTokens: defaultMaxOutput, MinBytesPerToken: defaultBytesToken}
+	c.models[string(s.Name)] = Model{Name: string(s.Name), Service: s.Name, MaxOutputTokens: defaultMaxOutput, MinBytesPerToken: defaultMinBytesPerToken}
 }
 
 func (c *Catalog) indexEndpoint(r table.Row) {
@@ -235,9 +236,9 @@
 		ChecksFence: r.Cells.Get(table.ColChecksFence) != "false",
 		Leaving:     r.Cells.Get(table.ColState) == "leaving",
 	}
-	c.all = append(c.all, e)
+	c.endpoints = append(c.endpoints, e)
 	for _, s := range e.Services {
-		c.endpoints[s] = append(c.endpoints[s], e)
+		c.endpointsByService[s] = append(c.endpointsByService[s], e)
 	}
 }
 
@@ -253,76 +254,76 @@
 	}
 }
 
-// Customer finds the customer of a key.
+// Customer returns the customer of a key.
 func (c *Catalog) Customer(key string) (Customer, bool) {
-	customer, ok := c.customers[HashKey(key)]
+	customer, ok := c.customersByKey[HashKey(key)]
 	return customer, ok
 }
 
-// Model finds a model by the name that callers use.
+// Model returns a model by the name that callers use.
 func (c *Catalog) Model(name string) (Model, bool) {
 	m, ok := c.models[name]
 	return m, ok
 }
 
-// Models lists the models in order.
+// Models lists the models by name.
 func (c *Catalog) Models() []Model {
 	models := lo.Values(c.models)
 	sort.Slice(models, func(i, j int) bool { return models[i].Name < models[j].Name })
 	return models
 }
 
-// Service finds a service.
+// Service returns a service by name.
 func (c *Catalog) Service(name ident.Service) (Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
 }
 
-// Budget finds a budget by name.
+// Budget returns a budget by name.
 func (c *Catalog) Budget(name ident.Budget) (Budget, bool) {
-	b, ok := c.byName[name]
+	b, ok := c.budgets[name]
 	return b, ok
 }
 
-// Budgets lists every budget in order.
+// Budgets lists all budgets by name.
 func (c *Catalog) Budgets() []Budget {
-	budgets := lo.Values(c.byName)
+	budgets := lo.Values(c.budgets)
 	sort.Slice(budgets, func(i, j int) bool { return budgets[i].Name < budgets[j].Name })
 	return budgets
 }
 
-// Fitting lists the budgets that may pay for a customer's call, best first:
-// those that name the service go before those that cover all.
+// Fitting lists the budgets that may pay for a customer's call: those that name the service
+// first, then those that cover all services.
 func (c *Catalog) Fitting(customer ident.Customer, s ident.Service) []Budget {
-	fitting := lo.Filter(c.budgets[customer], func(b Budget, _ int) bool { return b.Covers(s) })
+	fitting := lo.Filter(c.budgetsByCustomer[customer], func(b Budget, _ int) bool { return b.Covers(s) })
 	sort.SliceStable(fitting, func(i, j int) bool { return !fitting[i].All && fitting[j].All })
 	return fitting
 }
 
 // Endpoints lists the endpoints that serve a service.
-func (c *Catalog) Endpoints(s ident.Service) []Endpoint { return c.endpoints[s] }
+func (c *Catalog) Endpoints(s ident.Service) []Endpoint { return c.endpointsByService[s] }
 
 // AllEndpoints lists every endpoint.
-func (c *Catalog) AllEndpoints() []Endpoint { return c.all }
+func (c *Catalog) AllEndpoints() []Endpoint { return c.endpoints }
 
-// Limits lists the limits that bear on a call.
+// Limits lists the limits that apply to a call.
 func (c *Catalog) Limits(customer ident.Customer, s ident.Service) []Limit {
 	return lo.Filter(c.limits, func(l Limit, _ int) bool {
 		return l.Endpoint == "" && (l.Customer == "" || l.Customer == customer) && (l.Service == "" || l.Service == s)
 	})
 }
 
-// CustomerWeight is a customer's share of a service's queue.
+// CustomerWeight returns the weight of a customer in a service's queue, at least 1.
 func (c *Catalog) CustomerWeight(customer ident.Customer, s ident.Service) int64 {
 	for _, w := range c.weights {
 		if w.Endpoint == "" && w.Customer == customer && (w.Service == "" || w.Service == s) {
 			return max(1, w.Weight)
 		}
 	}
-	return max(1, c.named[customer].Weight)
+	return max(1, c.customers[customer].Weight)
 }
 
-// EndpointWeight is an endpoint's share of a service; 0 takes it out.
+// EndpointWeight returns the weight of an endpoint for a service; 0 excludes it.
 func (c *Catalog) EndpointWeight(e Endpoint, s ident.Service) int64 {
 	for _, w := range c.weights {
 		if w.Endpoint == e.Name && (w.Service == "" || w.Service == s) {
@@ -332,7 +333,7 @@
 	return e.Weight
 }
 
-// Describe is one line about the catalog for logs.
+// Describe summarizes the catalog in one line for logs.
 func (c *Catalog) Describe() string {
-	return strconv.Itoa(len(c.named)) + " customers, " + strconv.Itoa(len(c.byName)) + " budgets, " + strconv.Itoa(len(c.all)) + " endpoints"
+	return strconv.Itoa(len(c.customers)) + " customers, " + strconv.Itoa(len(c.budgets)) + " budgets, " + strconv.Itoa(len(c.endpoints)) + " endpoints"
 }
--- a/fleet/platform/client.go
+++ b/fleet/platform/client.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	callTimeout  = 2 * time.Second
-	maxAnswer    = 64 << 20
-	watchOverrun = 2 * time.Second
+	callTimeout = 2 * time.Second
+	maxAnswer   = 64 << 20
+	watchMargin = 2 * time.Second // added to the wait of a watch for its answer to arrive
 )
 
-// Client is the Store over HTTP.
+// Client implements Store over HTTP.
 type Client struct {
 	base   string
 	http   *http.Client
 	tracer trace.Tracer
 }
 
-// NewClient makes a client of the platform at a base URL.
+// NewClient creates a Client of the platform at a base URL.
 func NewClient(base string, hc *http.Client, tracer trace.Tracer) *Client {
 	return &Client{base: base, http: hc, tracer: tracer}
 }
@@ -67,7 +67,7 @@
 		"waitMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	var p Page
-	err := c.call(ctx, http.MethodGet, "/watch", query, nil, wait+watchOverrun, &p)
+	err := c.call(ctx, http.MethodGet, "/watch", query, nil, wait+watchMargin, &p)
 	return p, err
 }
 
@@ -99,24 +99,25 @@
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return c.lost(method, path, err)
+		return c.noAnswer(method, path, err)
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
 	if err != nil {
-		return c.lost(method, path, err)
+		return c.noAnswer(method, path, err)
 	}
 	if err := statusError(res.StatusCode); err != nil {
 		return errors.Wrapf(err, "platform %s %s", method, path)
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return c.lost(method, path, err)
+		return c.noAnswer(method, path, err)
 	}
 	return nil
 }
 
-// lost marks a write whose answer did not arrive.
-func (c *Client) lost(method, path string, err error) error {
+// noAnswer wraps the error of a call without a usable answer. A write is marked as ErrUnknown,
+// since it may have taken effect.
+func (c *Client) noAnswer(method, path string, err error) error {
 	err = errors.Wrapf(err, "platform %s %s", method, path)
 	if method == http.MethodPut {
 		return errors.Mark(err, ErrUnknown)
--- a/fleet/platform/health.go
+++ b/fleet/platform/health.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Health tells whether the platform answers this node.
+// Health reports whether the platform answers this node.
 type Health struct {
 	OK    bool
 	Since time.Time
 	Why   string
 }
 
-// Monitored wraps a Store and remembers whether it answers.
+// Monitored wraps a Store and records whether it answers.
 type Monitored struct {
 	Store
 	now func() time.Time
@@ -24,26 +24,27 @@
 	health Health
 }
 
-// NewMonitored wraps a store; it counts as answering until it does not.
+// NewMonitored wraps a store, which counts as available until a call fails.
 func NewMonitored(s Store, now func() time.Time) *Monitored {
 	return &Monitored{Store: s, now: now, health: Health{OK: true, Since: now()}}
 }
 
-// Health is how the platform stands now.
+// Health returns the current health of the platform.
 func (m *Monitored) Health() Health {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.health
 }
 
-// answered reports whether an error is an answer all the same.
+// answered reports whether the platform answered; some errors are answers too.
 func answered(err error) bool {
 	return err == nil || errors.IsAny(err, ErrNotFound, ErrConflict, ErrTooLarge)
 }
 
-func (m *Monitored) note(ctx context.Context, err error) {
+// record updates the health after a call.
+func (m *Monitored) record(ctx context.Context, err error) {
 	if err != nil && ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled) {
-		return // the node itself gave up
+		return // the node itself cancelled the call
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,20 +60,20 @@
 // Get implements Store.
 func (m *Monitored) Get(ctx context.Context, key string) (Object, error) {
 	o, err := m.Store.Get(ctx, key)
-	m.note(ctx, err)
+	m.record(ctx, err)
 	return o, err
 }
 
 // Put implements Store.
 func (m *Monitored) Put(ctx context.Context, key string, version Version, value any) (Version, error) {
 	v, err := m.Store.Put(ctx, key, version, value)
-	m.note(ctx, err)
+	m.record(ctx, err)
 	return v, err
 }
 
 // VMs implements Store.
 func (m *Monitored) VMs(ctx context.Context) (VMList, error) {
 	l, err := m.Store.VMs(ctx)
-	m.note(ctx, err)
+	m.record(ctx, err)
 	return l, err
 }
--- a/fleet/platform/platform.go
+++ b/fleet/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform speaks to the platform's service: objects with versions,
+// Package platform is the client of the platform's service: objects with versions,
 // conditional updates and watches, the list of VMs and the weight store.
 package platform
 
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// The errors that a caller of the platform tells apart.
+// Errors that callers of the platform distinguish.
 var (
 	ErrNotFound = errors.New("no such object")
 	ErrConflict = errors.New("the object has another version")
@@ -23,7 +23,7 @@
 	ErrLimited = errors.New("the platform's rate limit is reached")
 )
 
-// Version counts the writes; 0 is an object that does not exist.
+// Version increases with each write of an object; 0 is an object that does not exist.
 type Version int64
 
 // Object is a JSON value with its version.
@@ -39,7 +39,7 @@
 	Objects  []Object `json:"objects"`
 }
 
-// VMState is what the platform's list says of a VM.
+// VMState is the state of a VM on the platform's list.
 type VMState string
 
 // The states of a listed VM.
@@ -48,7 +48,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one line of the platform's lagging list.
+// VM is one entry of the platform's lagging list.
 type VM struct {
 	Name  ident.Node `json:"name"`
 	Zone  ident.Zone `json:"zone"`
@@ -62,18 +62,19 @@
 	VMs      []VM  `json:"vms"`
 }
 
-// Store is the platform as the slices see it.
+// Store is the interface of the platform to the components of a node.
 type Store interface {
-	// Get reads one object, or ErrNotFound.
+	// Get reads one object; it returns ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes a value if the object still has the version, or ErrConflict.
+	// Put writes a value if the object still has the version; otherwise it returns ErrConflict.
 	Put(ctx context.Context, key string, version Version, value any) (Version, error)
 	// List names the objects under a prefix, without values.
 	List(ctx context.Context, prefix string) (Page, error)
-	// Watch waits at most wait for objects under a prefix that changed after a revision.
+	// Watch returns the objects under a prefix that changed after a revision; it waits at most
+	// wait for one.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Page, error)
 	// VMs reads the list of VMs.
 	VMs(ctx context.Context) (VMList, error)
-	// Weights asks the weight store for a model's weights.
+	// Weights fetches a model's weights from the weight store.
 	Weights(ctx context.Context, model string) error
 }
