--- a/fleet/table/csv.go
+++ b/fleet/table/csv.go
@@ -11,16 +11,16 @@
 	"github.com/samber/lo"
 )
 
-// The columns that every line of the CSV starts with.
+// The first columns of every CSV line, and limits.
 const (
 	csvKind    = "kind"
 	csvName    = "name"
 	csvVersion = "version"
-	csvFixed   = 3
+	csvFixed   = 3 // columns before the cells
 	maxCSVRows = 200_000
 )
 
-// WriteCSV writes the rows in the form that ReadCSV reads.
+// WriteCSV writes the rows in the format that ReadCSV reads.
 func WriteCSV(w io.Writer, rows []Row) error {
 	columns := Columns()
 	header := []string{csvKind, csvName, csvVersion}
@@ -40,8 +40,8 @@
 	return errors.Wrap(out.Error(), "write csv")
 }
 
-// ReadCSV reads edits, one a line; a column that the header lacks is left as it is,
-// and an empty cell is unset. An empty version is a new row.
+// ReadCSV reads one edit from each line. Cells whose column is not in the header stay
+// unchanged, and an empty cell unsets its value. An empty version creates a row.
 func ReadCSV(r io.Reader) ([]Edit, error) {
 	in := csv.NewReader(r)
 	in.TrimLeadingSpace = true
@@ -78,8 +78,8 @@
 	if len(header) < csvFixed || strings.Join(header[:csvFixed], ",") != strings.Join(want, ",") {
 		return errors.Newf("csv line 1: the header starts with %s", strings.Join(want, ","))
 	}
-	if twice := lo.FindDuplicates(header); len(twice) > 0 {
-		return errors.Newf("csv line 1: column %q stands twice", twice[0])
+	if duplicates := lo.FindDuplicates(header); len(duplicates) > 0 {
+		return errors.Newf("csv line 1: column %q stands twice", duplicates[0])
 	}
 	for _, name := range header[csvFixed:] {
 		if !lo.Contains(Columns(), Column(name)) {
--- a/fleet/table/edit.go
+++ b/fleet/table/edit.go
@@ -12,27 +12,27 @@
 type Edit struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Version is the version that the edit was made from; 0 creates the row.
+	// Version is the row version that the edit is based on; 0 creates the row.
 	Version Version `json:"version"`
 	Cells   Cells   `json:"cells,omitempty"`
 	Delete  bool    `json:"delete,omitempty"`
 }
 
-// ID names the edited row.
+// ID returns the id of the edited row.
 func (e Edit) ID() ID { return ID{Kind: e.Kind, Name: e.Name} }
 
-// Fault says why an edit was refused: the row, the cell, its value and the rule.
+// Fault is a reason why an edit was refused: the row, the cell, its value and the rule.
 type Fault struct {
 	Row   ID     `json:"row"`
 	Cell  Column `json:"cell,omitempty"`
 	Value string `json:"value,omitempty"`
 	Rule  string `json:"rule"`
-	// Conflict marks a cell that another operator changed; Current is what it holds now.
+	// Conflict marks a cell that another operator has changed; Current is its current value.
 	Conflict bool   `json:"conflict,omitempty"`
 	Current  string `json:"current,omitempty"`
 }
 
-// Error names row, cell, value and rule.
+// Error returns the row, the cell, its value and the rule in one line.
 func (f Fault) Error() string {
 	text := f.Row.String()
 	if f.Cell != "" {
@@ -45,10 +45,10 @@
 	return text
 }
 
-// Faults are all the reasons why a set of edits was refused.
+// Faults holds all reasons why a set of edits was refused.
 type Faults []Fault
 
-// Error lists the faults.
+// Error returns the faults in one line.
 func (fs Faults) Error() string {
 	return strings.Join(lo.Map(fs, func(f Fault, _ int) string { return f.Error() }), "; ")
 }
@@ -58,10 +58,10 @@
 	return lo.SomeBy(fs, func(f Fault) bool { return f.Conflict })
 }
 
-// Apply makes all the edits or none, and returns every fault.
+// Apply applies all the edits or, if there is any fault, none, and returns the faults.
 func (t Table) Apply(edits []Edit) (Table, Faults) {
 	var faults Faults
-	next := t.copied()
+	next := t.clone()
 	seen := map[ID]bool{}
 	for _, e := range edits {
 		if seen[e.ID()] {
@@ -80,6 +80,7 @@
 	return next, nil
 }
 
+// applyOne applies one edit to the table in place.
 func (t Table) applyOne(e Edit) Faults {
 	if faults := e.check(); len(faults) > 0 {
 		return faults
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// conflicts refuses an edit made from a version in which an edited cell read otherwise.
+// conflicts returns a fault for each edited cell that was changed to another value after the
+// version that the edit is based on.
 func conflicts(old Row, exists bool, e Edit) Faults {
 	switch {
 	case !exists && e.Version == 0 && !e.Delete:
@@ -131,6 +133,7 @@
 	return faults
 }
 
+// check validates an edit by itself, without the table.
 func (e Edit) check() Faults {
 	if _, ok := schema[e.Kind]; !ok {
 		return Faults{{Row: e.ID(), Rule: fmt.Sprintf("the kind is one of %v", Kinds())}}
@@ -177,6 +180,7 @@
 	return ""
 }
 
+// fixedCells returns a fault for each set cell that the edit changes although it is fixed.
 func fixedCells(old Row, e Edit) Faults {
 	var faults Faults
 	for _, c := range schema[e.Kind] {
@@ -188,6 +192,7 @@
 	return faults
 }
 
+// missingCells returns a fault for each required cell that is not set.
 func missingCells(r Row) Faults {
 	missing := lo.Filter(schema[r.Kind], func(c column, _ int) bool { return c.required && r.Cells[c.name] == "" })
 	return lo.Map(missing, func(c column, _ int) Fault {
@@ -195,7 +200,7 @@
 	})
 }
 
-// checkReferences holds the names in every row's cells against the rows they name.
+// checkReferences checks that every row named in a cell exists.
 func (t Table) checkReferences() Faults {
 	var faults Faults
 	for _, r := range t.Rows("") {
@@ -208,13 +213,13 @@
 
 func (t Table) checkReference(r Row, c column) Faults {
 	value := r.Cells[c.name]
-	if c.refers == "" || value == "" {
+	if c.references == "" || value == "" {
 		return nil
 	}
 	var faults Faults
 	for _, name := range c.names(value) {
-		if _, ok := t.rows[ID{Kind: c.refers, Name: name}]; !ok {
-			faults = append(faults, Fault{Row: r.ID(), Cell: c.name, Value: value, Rule: fmt.Sprintf("there is no %s %q", c.refers, name)})
+		if _, ok := t.rows[ID{Kind: c.references, Name: name}]; !ok {
+			faults = append(faults, Fault{Row: r.ID(), Cell: c.name, Value: value, Rule: fmt.Sprintf("there is no %s %q", c.references, name)})
 		}
 	}
 	return faults
--- a/fleet/table/row.go
+++ b/fleet/table/row.go
@@ -1,5 +1,5 @@
-// Package table holds the rows that operators edit: their kinds, their rules,
-// the merge of racing edits, and their form as CSV.
+// Package table defines the rows that operators edit: their kinds, their validation, the
+// merge of concurrent edits, and their CSV format.
 package table
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/samber/lo"
 )
 
-// Version counts the changes of a row; 0 is a row that does not exist.
+// Version is the number of changes of a row; 0 is a row that does not exist.
 type Version int64
 
-// ID names a row.
+// ID identifies a row.
 type ID struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String is kind/name.
+// String returns the id as kind/name.
 func (id ID) String() string { return string(id.Kind) + "/" + id.Name }
 
-// ParseID reads kind/name.
+// ParseID parses an id of the form kind/name.
 func ParseID(s string) (ID, error) {
 	kind, name, ok := strings.Cut(s, "/")
 	if !ok || name == "" {
@@ -34,19 +34,18 @@
 	return ID{Kind: k, Name: name}, err
 }
 
-// Cells are the values of a row by column, as text.
-//
-// In JSON, whole numbers and booleans are written as such.
+// Cells holds the values of a row by column, as text. In JSON, numbers and booleans are
+// written as such.
 type Cells map[Column]string
 
-// Get is a cell's text, "" where it is not set.
+// Get returns a cell's text, or "" if it is not set.
 func (c Cells) Get(name Column) string { return c[name] }
 
-// Int is a cell's whole number, or other where it is not set.
-func (c Cells) Int(name Column, other int64) int64 {
+// Int returns a cell's whole number, or fallback if it is not set.
+func (c Cells) Int(name Column, fallback int64) int64 {
 	n, err := strconv.ParseInt(c[name], 10, 64)
 	if err != nil {
-		return other
+		return fallback
 	}
 	return n
 }
@@ -58,7 +57,7 @@
 	return names
 }
 
-// MarshalJSON writes numbers and booleans bare.
+// MarshalJSON implements json.Marshaler; numbers and booleans are written without quotes.
 func (c Cells) MarshalJSON() ([]byte, error) {
 	typed := make(map[Column]any, len(c))
 	for name, value := range c {
@@ -83,7 +82,7 @@
 func isNumber(name Column) bool {
 	for _, columns := range schema {
 		for _, c := range columns {
-			if c.name == name && (c.kind == wholeCell || c.kind == positiveCell) {
+			if c.name == name && (c.kind == integerCell || c.kind == positiveCell) {
 				return true
 			}
 		}
@@ -91,7 +90,7 @@
 	return false
 }
 
-// UnmarshalJSON reads text, numbers, booleans and lists of text.
+// UnmarshalJSON implements json.Unmarshaler; it accepts text, numbers, booleans and lists of text.
 func (c *Cells) UnmarshalJSON(data []byte) error {
 	var raw map[Column]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -127,7 +126,7 @@
 	}
 }
 
-// Row is one line of the table; it is not changed in place.
+// Row is one row of the table. It is immutable: changes return a new Row.
 type Row struct {
 	Kind    Kind    `json:"kind"`
 	Name    string  `json:"name"`
@@ -137,10 +136,10 @@
 	Changed map[Column]Version `json:"changed,omitempty"`
 }
 
-// ID names the row.
+// ID returns the id of the row.
 func (r Row) ID() ID { return ID{Kind: r.Kind, Name: r.Name} }
 
-// WithCells is the row's next version with some cells changed; "" unsets a cell.
+// WithCells returns the row's next version with some cells changed; "" unsets a cell.
 func (r Row) WithCells(changes Cells) Row {
 	next := Row{Kind: r.Kind, Name: r.Name, Version: r.Version + 1, Cells: Cells{}, Changed: map[Column]Version{}}
 	for name, value := range r.Cells {
@@ -162,12 +161,12 @@
 	return next
 }
 
-// Table is a set of rows; it is not changed in place.
+// Table is a set of rows. It is immutable: changes return a new Table.
 type Table struct {
 	rows map[ID]Row
 }
 
-// New makes a table of rows.
+// New returns a table of the rows.
 func New(rows ...Row) Table {
 	t := Table{rows: make(map[ID]Row, len(rows))}
 	for _, r := range rows {
@@ -176,7 +175,7 @@
 	return t
 }
 
-// Get finds a row.
+// Get returns a row by its id.
 func (t Table) Get(id ID) (Row, bool) {
 	r, ok := t.rows[id]
 	return r, ok
@@ -189,21 +188,21 @@
 	return rows
 }
 
-// WithRow is the table with a row put in or replaced.
+// WithRow returns the table with a row added or replaced.
 func (t Table) WithRow(r Row) Table {
-	next := t.copied()
+	next := t.clone()
 	next.rows[r.ID()] = r
 	return next
 }
 
-// Without is the table without a row.
+// Without returns the table without a row.
 func (t Table) Without(id ID) Table {
-	next := t.copied()
+	next := t.clone()
 	delete(next.rows, id)
 	return next
 }
 
-func (t Table) copied() Table {
+func (t Table) clone() Table {
 	next := Table{rows: make(map[ID]Row, len(t.rows)+1)}
 	for id, r := range t.rows {
 		next.rows[id] = r
--- a/fleet/table/schema.go
+++ b/fleet/table/schema.go
@@ -10,7 +10,7 @@
 	"github.com/samber/lo"
 )
 
-// Kind is what a row describes.
+// Kind is the kind of thing that a row describes.
 type Kind string
 
 // The kinds of rows.
@@ -24,7 +24,7 @@
 	Limit    Kind = "limit"
 )
 
-// Column is the name of a cell; a unit that is not plain stands in it.
+// Column is the name of a cell. It includes the unit where that is not obvious.
 type Column string
 
 // The columns that the fleet reads.
@@ -40,7 +40,7 @@
 	ColPriority          Column = "priority"   // interactive or batch
 	ColTimeoutMs         Column = "timeoutMs"
 	ColMaxOutputTokens   Column = "maxOutputTokens"
-	ColMinBytesPerToken  Column = "minBytesPerToken" // the tokenizer's guaranteed least, for the prompt's bound
+	ColMinBytesPerToken  Column = "minBytesPerToken" // the tokenizer's guaranteed minimum, for the bound of a prompt
 	ColZone              Column = "zone"
 	ColURL               Column = "url"
 	ColMaxInFlight       Column = "maxInFlight"
@@ -56,7 +56,7 @@
 
 const (
 	textCell cellType = iota
-	wholeCell
+	integerCell
 	positiveCell
 	boolCell
 	listCell
@@ -66,16 +66,16 @@
 
 // column is the rule for one cell.
 type column struct {
-	name     Column
-	kind     cellType
-	required bool
-	choices  []string
-	refers   Kind // the row that the cell's names must name
-	fixed    bool // can't change once it is set
+	name       Column
+	kind       cellType
+	required   bool
+	choices    []string
+	references Kind // kind of the rows that the cell names
+	fixed      bool // can't change once it is set
 }
 
 const (
-	maxWhole    = int64(1) << 52
+	maxInteger  = int64(1) << 52
 	maxCellText = 4096
 )
 
@@ -86,9 +86,9 @@
 		{name: ColNote},
 	},
 	Budget: {
-		{name: ColCustomer, required: true, refers: Customer, fixed: true},
-		{name: ColServices, kind: listCell, refers: Service},
-		{name: ColLimitTokens, kind: wholeCell, required: true},
+		{name: ColCustomer, required: true, references: Customer, fixed: true},
+		{name: ColServices, kind: listCell, references: Service},
+		{name: ColLimitTokens, kind: integerCell, required: true},
 		{name: ColNote},
 	},
 	Service: {
@@ -99,32 +99,32 @@
 		{name: ColNote},
 	},
 	Model: {
-		{name: ColService, required: true, refers: Service},
+		{name: ColService, required: true, references: Service},
 		{name: ColMaxOutputTokens, kind: positiveCell},
 		{name: ColMinBytesPerToken, kind: positiveCell},
 		{name: ColNote},
 	},
 	Endpoint: {
-		{name: ColServices, kind: listCell, required: true, refers: Service},
+		{name: ColServices, kind: listCell, required: true, references: Service},
 		{name: ColZone, required: true},
 		{name: ColURL, kind: urlCell, required: true},
 		{name: ColMaxInFlight, kind: positiveCell},
-		{name: ColWeight, kind: wholeCell},
+		{name: ColWeight, kind: integerCell},
 		{name: ColChecksFence, kind: boolCell},
 		{name: ColState, kind: choiceCell, choices: []string{"live", "leaving"}},
 		{name: ColNote},
 	},
 	Weight: {
-		{name: ColCustomer, refers: Customer},
-		{name: ColService, refers: Service},
-		{name: ColEndpoint, refers: Endpoint},
-		{name: ColWeight, kind: wholeCell, required: true},
+		{name: ColCustomer, references: Customer},
+		{name: ColService, references: Service},
+		{name: ColEndpoint, references: Endpoint},
+		{name: ColWeight, kind: integerCell, required: true},
 		{name: ColNote},
 	},
 	Limit: {
-		{name: ColCustomer, refers: Customer},
-		{name: ColService, refers: Service},
-		{name: ColEndpoint, refers: Endpoint},
+		{name: ColCustomer, references: Customer},
+		{name: ColService, references: Service},
+		{name: ColEndpoint, references: Endpoint},
 		{name: ColRequestsPerSecond, kind: positiveCell},
 		{name: ColTokensPerSecond, kind: positiveCell},
 		{name: ColMaxInFlight, kind: positiveCell},
@@ -148,6 +148,7 @@
 	return all
 }
 
+// columnOf returns the rule for a column of a kind of rows.
 func columnOf(k Kind, name Column) (column, bool) {
 	return lo.Find(schema[k], func(c column) bool { return c.name == name })
 }
@@ -158,10 +159,10 @@
 		return "at most " + strconv.Itoa(maxCellText) + " bytes"
 	}
 	switch c.kind {
-	case wholeCell:
-		return checkWhole(value, 0)
+	case integerCell:
+		return checkInteger(value, 0)
 	case positiveCell:
-		return checkWhole(value, 1)
+		return checkInteger(value, 1)
 	case boolCell:
 		if value != "true" && value != "false" {
 			return "true or false"
@@ -180,15 +181,15 @@
 	return ""
 }
 
-func checkWhole(value string, least int64) string {
+func checkInteger(value string, minValue int64) string {
 	n, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || n < least || n > maxWhole {
-		return "a whole number from " + strconv.FormatInt(least, 10) + " to " + strconv.FormatInt(maxWhole, 10)
+	if err != nil || n < minValue || n > maxInteger {
+		return "a whole number from " + strconv.FormatInt(minValue, 10) + " to " + strconv.FormatInt(maxInteger, 10)
 	}
 	return ""
 }
 
-// names splits a cell into the row names in it; * names none.
+// names returns the row names in a cell, without *.
 func (c column) names(value string) []string {
 	if c.kind != listCell {
 		return []string{value}
@@ -196,12 +197,12 @@
 	return lo.Filter(SplitList(value), func(s string, _ int) bool { return s != "*" })
 }
 
-// SplitList splits a cell that holds a list; commas and spaces part the names.
+// SplitList splits a cell that holds a list separated by commas, semicolons or spaces.
 func SplitList(value string) []string {
 	return strings.FieldsFunc(value, func(r rune) bool { return r == ',' || r == ' ' || r == ';' })
 }
 
-// ParseKind reads a kind.
+// ParseKind parses a kind.
 func ParseKind(s string) (Kind, error) {
 	if _, ok := schema[Kind(s)]; !ok {
 		return "", errors.Newf("kind %q: want one of %v", s, Kinds())
--- a/fleet/table/table_test.go
+++ b/fleet/table/table_test.go
@@ -34,9 +34,9 @@
 		{"huge limit", table.Edit{Kind: table.Budget, Name: "acme-main", Version: 1, Cells: table.Cells{"limitTokens": "99999999999999999999"}}, "whole number"},
 		{"bad utf-8", table.Edit{Kind: table.Customer, Name: "b", Cells: table.Cells{"note": "\xff"}}, "UTF-8"},
 		{"missing cell", table.Edit{Kind: table.Budget, Name: "b", Cells: table.Cells{"customer": "acme"}}, "must be set"},
-		{"dangling name", table.Edit{Kind: table.Budget, Name: "b", Cells: table.Cells{"customer": "ghost", "limitTokens": "1"}}, `no customer "ghost"`},
-		{"moved budget", table.Edit{Kind: table.Budget, Name: "acme-main", Version: 1, Cells: table.Cells{"customer": "other"}}, "can't change"},
-		{"still named", table.Edit{Kind: table.Customer, Name: "acme", Version: 1, Delete: true}, `no customer "acme"`},
+		{"name of no row", table.Edit{Kind: table.Budget, Name: "b", Cells: table.Cells{"customer": "ghost", "limitTokens": "1"}}, `no customer "ghost"`},
+		{"fixed cell", table.Edit{Kind: table.Budget, Name: "acme-main", Version: 1, Cells: table.Cells{"customer": "other"}}, "can't change"},
+		{"row named by another", table.Edit{Kind: table.Customer, Name: "acme", Version: 1, Delete: true}, `no customer "acme"`},
 		{"no such row", table.Edit{Kind: table.Customer, Name: "b", Version: 3, Cells: table.Cells{"weight": "1"}}, "does not exist"},
 	}
 	for _, c := range cases {
@@ -50,12 +50,14 @@
 	}
 }
 
-func TestRacingEditsMergeByCell(t *testing.T) {
+// Two operators edit a row from the same version. Changes of different cells must both be kept,
+// and changes of the same cell must conflict.
+func TestConcurrentEditsMergeByCell(t *testing.T) {
 	start := base(t)
 	first, faults := start.Apply([]table.Edit{{Kind: table.Budget, Name: "acme-main", Version: 1, Cells: table.Cells{"limitTokens": "2000"}}})
 	require.Empty(t, faults)
 	both, faults := first.Apply([]table.Edit{{Kind: table.Budget, Name: "acme-main", Version: 1, Cells: table.Cells{"note": "spring"}}})
-	require.Empty(t, faults, "another cell of the same row is no conflict")
+	require.Empty(t, faults, "a change of another cell of the row is no conflict")
 	row, _ := both.Get(table.ID{Kind: table.Budget, Name: "acme-main"})
 	assert.Equal(t, "2000", row.Cells["limitTokens"])
 	assert.Equal(t, "spring", row.Cells["note"])
@@ -81,7 +83,7 @@
 	}
 }
 
-func TestApplyRefusesARowThatStandsTwice(t *testing.T) {
+func TestApplyRefusesDuplicateRows(t *testing.T) {
 	csv := "kind,name,version,weight\ncustomer,x,,1\ncustomer,x,,2\n"
 	edits, err := table.ReadCSV(strings.NewReader(csv))
 	require.NoError(t, err)
