--- a/fleet/config/cache.go
+++ b/fleet/config/cache.go
@@ -9,7 +9,7 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// shardCache keeps the shards of the newest head, by hash.
+// shardCache caches the shards of the newest head by hash.
 type shardCache struct {
 	mu     sync.Mutex
 	shards map[string]Shard
@@ -26,14 +26,15 @@
 	return s, ok
 }
 
-// readAtOnce is how many shards are read at the same time.
-const readAtOnce = 16
+// maxParallelReads is the maximum number of shards that are read at the same time.
+const maxParallelReads = 16
 
-// table assembles the table of a head, reading the shards that are not kept.
+// table assembles the table of a head. It reads the shards that are not cached, and then
+// caches the shards of this head only.
 func (c *shardCache) table(head Head, read func(hash string) (Shard, error)) (table.Table, error) {
 	shards := make([]Shard, len(head.Shards))
 	var group errgroup.Group
-	group.SetLimit(readAtOnce)
+	group.SetLimit(maxParallelReads)
 	for i, hash := range head.Shards {
 		if hash == "" {
 			continue
@@ -46,18 +47,19 @@
 	if err := group.Wait(); err != nil {
 		return table.Table{}, err
 	}
-	kept := make(map[string]Shard, len(shards))
+	current := make(map[string]Shard, len(shards))
 	var rows []table.Row
 	for i, s := range shards {
-		kept[head.Shards[i]] = s
+		current[head.Shards[i]] = s
 		rows = append(rows, s.Rows...)
 	}
 	c.mu.Lock()
-	c.shards = kept
+	c.shards = current
 	c.mu.Unlock()
 	return table.New(rows...), nil
 }
 
+// find returns a cached shard, or reads it and checks its content against its hash.
 func (c *shardCache) find(hash string, read func(hash string) (Shard, error)) (Shard, error) {
 	if s, ok := c.get(hash); ok {
 		return s, nil
@@ -66,12 +68,12 @@
 	if err != nil {
 		return Shard{}, err
 	}
-	got, err := s.Hash()
+	actual, err := s.Hash()
 	if err != nil {
 		return Shard{}, err
 	}
-	if got != hash {
-		return Shard{}, errors.Newf("shard %s has content %s", hash, got)
+	if actual != hash {
+		return Shard{}, errors.Newf("shard %s has content %s", hash, actual)
 	}
 	return s, nil
 }
--- a/fleet/config/config.go
+++ b/fleet/config/config.go
@@ -1,8 +1,8 @@
 // Package config puts one revision of the table in force on every node.
 //
-// The table lies in the platform as shards, each an immutable object named by
-// its content. One head object names the shards in force; accepting an edit is
-// one conditional update of the head, so it is atomic and only moves forward.
+// The platform stores the table as shards, immutable objects named by the hash of their
+// content. One head object names the shards in force. An edit is accepted by one conditional
+// update of the head, so that it is atomic and revisions only increase.
 package config
 
 import (
@@ -26,7 +26,7 @@
 // Shards is how many objects the table is split into.
 const Shards = 128
 
-// maxHistory is how many edits the head remembers.
+// maxHistory is how many changes the head's history holds.
 const maxHistory = 40
 
 // Change is one accepted set of edits.
@@ -38,19 +38,19 @@
 	Edits    []table.Edit `json:"edits"`
 }
 
-// Head names the shards in force.
+// Head is a revision: it names the shards in force and the last changes.
 type Head struct {
 	Revision int64    `json:"revision"`
 	Shards   []string `json:"shards"` // the content hash of each shard; "" is empty
 	History  []Change `json:"history"`
 }
 
-// Shard is the rows that hash to one shard.
+// Shard holds the rows whose id hashes to it.
 type Shard struct {
 	Rows []table.Row `json:"rows"`
 }
 
-// Hash names the shard by its content.
+// Hash returns the hash of the shard's content, which is its name.
 func (s Shard) Hash() (string, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -60,19 +60,19 @@
 	return hex.EncodeToString(sum[:16]), nil
 }
 
-// ShardKey is the platform's key of a shard.
+// ShardKey returns the platform's key of a shard.
 func ShardKey(hash string) string { return shardPrefix + hash }
 
-// Snapshot is one revision, whole.
+// Snapshot is one complete revision.
 type Snapshot struct {
 	Head  Head
 	Table table.Table
 }
 
-// Newer reports whether a head may replace the one in force: never backwards.
+// Newer reports whether a head may replace the one in force; revisions never decrease.
 func (h Head) Newer(than Head) bool { return h.Revision > than.Revision }
 
-// Has reports whether the head's history holds a change.
+// Has reports whether the head's history contains a change.
 func (h Head) Has(id string) bool {
 	for _, c := range h.History {
 		if c.ID == id {
@@ -86,17 +86,17 @@
 	return int(xxhash.Sum64String(id.String()) % Shards)
 }
 
-// split parts the rows into shards.
+// split divides the rows into shards.
 func split(t table.Table) []Shard {
 	shards := make([]Shard, Shards)
 	for _, r := range t.Rows("") {
-		at := shardOf(r.ID())
-		shards[at].Rows = append(shards[at].Rows, r)
+		i := shardOf(r.ID())
+		shards[i].Rows = append(shards[i].Rows, r)
 	}
 	return shards
 }
 
-// next is the head that would put a table in force, with the shards that are new.
+// next returns the head that puts a table in force, and the shards that are new.
 func (h Head) next(t table.Table, c Change) (Head, []Shard, error) {
 	head := Head{Revision: h.Revision + 1, Shards: make([]string, Shards)}
 	var fresh []Shard
--- a/fleet/config/config_test.go
+++ b/fleet/config/config_test.go
@@ -17,7 +17,8 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// store is the platform's objects with a hook before each write of the head.
+// store is an in-memory platform.Store with a hook before a write of the head, and whose answer
+// to such a write can be lost.
 type store struct {
 	platform.Store
 	objects    map[string]platform.Object
@@ -52,7 +53,7 @@
 	return s.version, nil
 }
 
-var free = config.GuardFunc(func(context.Context, table.Table, table.Table, []table.Edit) (func(context.Context), error) {
+var allowAll = config.GuardFunc(func(context.Context, table.Table, table.Table, []table.Edit) (func(context.Context), error) {
 	return func(context.Context) {}, nil
 })
 
@@ -65,9 +66,11 @@
 	return []table.Edit{{Kind: table.Customer, Name: name, Version: version, Cells: table.Cells{table.Column(column): value}}}
 }
 
-func TestTwoOperatorsRacingLoseNoCell(t *testing.T) {
+// Another operator's edit is accepted between the read and the write of the head. The retry must
+// keep both changes.
+func TestConcurrentEditsAreBothKept(t *testing.T) {
 	s := &store{objects: map[string]platform.Object{}}
-	first, second := newEditor(s, free), newEditor(s, free)
+	first, second := newEditor(s, allowAll), newEditor(s, allowAll)
 	ctx := context.Background()
 	_, err := first.Accept(ctx, "create--", "a", customer("x", "weight", "1", 0))
 	require.NoError(t, err)
@@ -82,9 +85,11 @@
 	assert.Equal(t, int64(3), after.Head.Revision)
 }
 
+// The write of the head takes effect but its answer is lost. The retry must not apply the edit
+// again.
 func TestALostAnswerIsAcceptedOnce(t *testing.T) {
 	s := &store{objects: map[string]platform.Object{}, loseHead: true}
-	after, err := newEditor(s, free).Accept(context.Background(), "change--", "a", customer("x", "weight", "1", 0))
+	after, err := newEditor(s, allowAll).Accept(context.Background(), "change--", "a", customer("x", "weight", "1", 0))
 	require.NoError(t, err)
 	assert.Equal(t, int64(1), after.Head.Revision)
 	assert.Len(t, after.Head.History, 1)
@@ -100,24 +105,24 @@
 	assert.Empty(t, s.objects)
 }
 
-func TestARevisionNeverMovesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	s := &store{objects: map[string]platform.Object{}}
-	editor := newEditor(s, free)
+	editor := newEditor(s, allowAll)
 	var heads []config.Snapshot
 	for i := range 3 {
 		snapshot, err := editor.Accept(context.Background(), fmt.Sprintf("change-%d", i), "a", customer(fmt.Sprintf("c%d", i), "weight", "1", 0))
 		require.NoError(t, err)
 		heads = append(heads, snapshot)
 	}
-	var seen []int64
-	inForce := config.NewInForce(func(c *catalog.Catalog) { seen = append(seen, c.Revision) })
+	var revisions []int64
+	inForce := config.NewInForce(func(c *catalog.Catalog) { revisions = append(revisions, c.Revision) })
 	for _, i := range []int{1, 0, 2, 1} {
 		require.NoError(t, inForce.AdvanceTo(heads[i]))
 	}
-	assert.Equal(t, []int64{2, 3}, seen)
+	assert.Equal(t, []int64{2, 3}, revisions)
 }
 
-func TestAForgedShardIsRefused(t *testing.T) {
+func TestAShardWithAnotherHashIsRefused(t *testing.T) {
 	inForce := config.NewInForce(func(*catalog.Catalog) {})
 	head := config.Head{Revision: 1, Shards: []string{"0123"}}
 	err := inForce.Advance(head, func(string) (config.Shard, error) { return config.Shard{}, nil })
--- a/fleet/config/editor.go
+++ b/fleet/config/editor.go
@@ -12,20 +12,19 @@
 )
 
 const (
-	maxEditTries = 8
-	// maxHistoryEdits bounds what the head remembers of one change.
+	maxEditAttempts = 8
+	// maxHistoryEdits is how many edits of one change the head's history holds.
 	maxHistoryEdits = 20
 )
 
-// Guard prepares the platform for edits before they are accepted, or refuses them.
-//
-// A lowered limit is such an edit: holdings are called back first.
+// Guard prepares the fleet for edits before they are accepted, or refuses them. For example,
+// tokens are recalled from their holders before the limit of a budget is lowered.
 type Guard interface {
-	// Prepare returns what undoes the preparation if the edits are not accepted.
+	// Prepare returns a function that undoes the preparation if the edits are not accepted.
 	Prepare(ctx context.Context, before, after table.Table, edits []table.Edit) (undo func(context.Context), err error)
 }
 
-// GuardFunc is a function as a Guard.
+// GuardFunc adapts a function to a Guard.
 type GuardFunc func(ctx context.Context, before, after table.Table, edits []table.Edit) (func(context.Context), error)
 
 // Prepare implements Guard.
@@ -41,26 +40,27 @@
 	now    func() time.Time
 }
 
-// NewEditor makes an editor.
+// NewEditor creates an Editor.
 func NewEditor(store platform.Store, loader *Loader, guard Guard, now func() time.Time) *Editor {
 	return &Editor{store: store, loader: loader, guard: guard, now: now}
 }
 
-// Accept makes all the edits or none and returns the snapshot that is now in force.
-// The id names the change, so that a retry of it changes nothing.
+// Accept applies all the edits or none and returns the snapshot that is now in force. The id
+// identifies the change, so that a retry of it has no effect.
 func (e *Editor) Accept(ctx context.Context, id, operator string, edits []table.Edit) (Snapshot, error) {
 	var last error
-	for range maxEditTries {
-		snapshot, err := e.try(ctx, id, operator, edits)
+	for range maxEditAttempts {
+		snapshot, err := e.attempt(ctx, id, operator, edits)
 		if err == nil || !errors.IsAny(err, platform.ErrConflict, platform.ErrUnknown) {
 			return snapshot, err
 		}
 		last = err
 	}
-	return Snapshot{}, errors.Wrapf(last, "accept edits after %d tries", maxEditTries)
+	return Snapshot{}, errors.Wrapf(last, "accept edits after %d tries", maxEditAttempts)
 }
 
-func (e *Editor) try(ctx context.Context, id, operator string, edits []table.Edit) (Snapshot, error) {
+// attempt reads the head, applies the edits and writes the new head once.
+func (e *Editor) attempt(ctx context.Context, id, operator string, edits []table.Edit) (Snapshot, error) {
 	head, version, err := e.loader.Head(ctx)
 	if err != nil {
 		return Snapshot{}, err
@@ -104,7 +104,7 @@
 	return Snapshot{Head: next, Table: after}, nil
 }
 
-// putShard writes a shard; one that is there already is the same, since its content names it.
+// putShard writes a shard. An existing one has the same content, since its name is the hash.
 func (e *Editor) putShard(ctx context.Context, s Shard) error {
 	hash, err := s.Hash()
 	if err != nil {
@@ -117,19 +117,19 @@
 	return nil
 }
 
-// Loader reads heads and shards, and keeps the shards it has read.
+// Loader reads heads and shards from the platform and caches the shards.
 type Loader struct {
 	store platform.Store
 	local func(hash string) (Shard, bool)
 	cache *shardCache
 }
 
-// NewLoader makes a loader from the platform; local finds shards that the node has.
+// NewLoader creates a Loader; local returns shards that the node has already.
 func NewLoader(store platform.Store, local func(hash string) (Shard, bool)) *Loader {
 	return &Loader{store: store, local: local, cache: newShardCache()}
 }
 
-// Head reads the head in force; before the first edit it is empty.
+// Head reads the head in force; it is empty before the first edit.
 func (l *Loader) Head(ctx context.Context) (Head, platform.Version, error) {
 	o, err := l.store.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -142,7 +142,7 @@
 	return head, o.Version, err
 }
 
-// DecodeHead reads a head's JSON.
+// DecodeHead decodes a head from JSON.
 func DecodeHead(data []byte) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(data, &head); err != nil {
@@ -151,7 +151,8 @@
 	return head, nil
 }
 
-// Table reads the shards that a head names; those in force here are not read again.
+// Table reads the shards that a head names and assembles the table. Shards that are in force
+// here are not read again.
 func (l *Loader) Table(ctx context.Context, head Head) (table.Table, error) {
 	return l.cache.table(head, func(hash string) (Shard, error) {
 		if s, ok := l.local(hash); ok {
--- a/fleet/config/follower.go
+++ b/fleet/config/follower.go
@@ -18,11 +18,11 @@
 const (
 	// relays is how many nodes of a zone watch the platform; the rest ask peers.
 	relays = 2
-	// relaySlot ranks the nodes of a zone for being relays.
+	// relaySlot is the slot whose first-ranked nodes are the relays of a zone.
 	relaySlot  ident.Slot = -1
 	watchWait             = 10 * time.Second
 	retryPause            = 500 * time.Millisecond
-	// pullPause is how often a node looks whether a peer has a newer revision.
+	// pullPause is the time between two checks for a peer with a newer revision.
 	pullPause = 250 * time.Millisecond
 )
 
@@ -32,8 +32,8 @@
 	Shard(ctx context.Context, from membership.Member, hash string) (Shard, error)
 }
 
-// Follower keeps the revision in force up to date: relays watch the platform,
-// and every node asks a peer that runs a newer revision.
+// Follower keeps the revision in force up to date: relays watch the platform, and every node
+// pulls from peers that run a newer revision.
 type Follower struct {
 	store   platform.Store
 	loader  *Loader
@@ -42,10 +42,10 @@
 	view    func() membership.State
 	clock   clockwork.Clock
 	shuffle func(n int, swap func(i, j int))
-	after   int64 // the platform's revision seen by the watch
+	after   int64 // the platform's revision up to which the watch has read
 }
 
-// NewFollower makes a follower; shuffle orders peers at random.
+// NewFollower creates a Follower; shuffle randomizes the order of peers.
 func NewFollower(store platform.Store, loader *Loader, inForce *InForce, peers Source, view func() membership.State, clock clockwork.Clock, shuffle func(n int, swap func(i, j int))) *Follower {
 	return &Follower{store: store, loader: loader, inForce: inForce, peers: peers, view: view, clock: clock, shuffle: shuffle}
 }
@@ -62,8 +62,8 @@
 	return false
 }
 
-// WatchOnce waits for one change at the platform, or reads it at once while
-// nothing is in force. It returns how long to pause before the next.
+// WatchOnce waits for one change of the head at the platform, or reads the head at once while
+// no revision is in force. It returns the pause before the next call.
 func (f *Follower) WatchOnce(ctx context.Context) (time.Duration, error) {
 	if f.inForce.Revision() == 0 {
 		return retryPause, f.Read(ctx)
@@ -82,14 +82,14 @@
 			return retryPause, err
 		}
 		if err := f.advance(ctx, head); err != nil {
-			f.after = 0 // the shards could not be read: look at the head again
+			f.after = 0 // the shards could not be read: read the head again
 			return retryPause, err
 		}
 	}
 	return 0, nil
 }
 
-// Read takes the platform's head.
+// Read reads the platform's head and puts it in force if it is newer.
 func (f *Follower) Read(ctx context.Context) error {
 	head, _, err := f.loader.Head(ctx)
 	if err != nil {
@@ -102,11 +102,11 @@
 	return f.inForce.Advance(head, func(hash string) (Shard, error) { return f.loader.Shard(ctx, hash) })
 }
 
-// maxPulls is how many peers one look asks.
+// maxPulls is how many peers one check asks at most.
 const maxPulls = 3
 
-// PullOnce asks peers that run a newer revision for it, those of the own zone
-// first, and returns how long to pause before the next look.
+// PullOnce asks peers that run a newer revision for it, those of the own zone first, until one
+// answers. It returns the pause before the next call.
 func (f *Follower) PullOnce(ctx context.Context) (time.Duration, error) {
 	var err error
 	newer := f.newer()
@@ -126,8 +126,8 @@
 	return f.inForce.Advance(head, func(hash string) (Shard, error) { return f.peers.Shard(ctx, from, hash) })
 }
 
-// newer lists the live peers that run a newer revision, in random order but for
-// the own zone's, which go first.
+// newer lists the reachable peers that run a newer revision: those of the own zone first, in
+// random order otherwise.
 func (f *Follower) newer() []membership.Member {
 	view, now, own := f.view(), f.clock.Now(), f.inForce.Revision()
 	newer := lo.Filter(view.Members(), func(m membership.Member, _ int) bool {
--- a/fleet/config/inforce.go
+++ b/fleet/config/inforce.go
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// InForce is the revision that a node runs; it never moves back.
+// InForce is the revision that is in force on a node; it never decreases.
 type InForce struct {
 	mu      sync.Mutex
 	cache   *shardCache
@@ -23,26 +23,26 @@
 	catalog  *catalog.Catalog
 }
 
-// NewInForce starts with an empty table; onNew is told of each new revision.
+// NewInForce creates an InForce with an empty table; onNew is called with each new revision.
 func NewInForce(onNew func(*catalog.Catalog)) *InForce {
 	f := &InForce{cache: newShardCache(), onNew: onNew}
 	f.current.Store(&view{catalog: catalog.New(0, table.New())})
 	return f
 }
 
-// Catalog is the index of the revision in force.
+// Catalog returns the index of the revision in force.
 func (f *InForce) Catalog() *catalog.Catalog { return f.current.Load().catalog }
 
-// Snapshot is the revision in force, whole.
+// Snapshot returns the complete revision in force.
 func (f *InForce) Snapshot() Snapshot { return f.current.Load().snapshot }
 
-// Revision is the number of the revision in force.
+// Revision returns the number of the revision in force.
 func (f *InForce) Revision() int64 { return f.current.Load().snapshot.Head.Revision }
 
-// Shard finds a shard of the revision in force, for a peer that lacks it.
+// Shard returns a shard of the revision in force, for a peer that does not have it.
 func (f *InForce) Shard(hash string) (Shard, bool) { return f.cache.get(hash) }
 
-// Advance puts a newer head in force; read fetches the shards that are not kept.
+// Advance puts a newer head in force; read fetches the shards that are not cached.
 func (f *InForce) Advance(head Head, read func(hash string) (Shard, error)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// AdvanceTo puts a snapshot in force that this node itself accepted.
+// AdvanceTo puts a snapshot in force that this node accepted.
 func (f *InForce) AdvanceTo(s Snapshot) error {
 	byHash := map[string]Shard{}
 	for _, shard := range split(s.Table) {
@@ -72,7 +72,7 @@
 	return f.Advance(s.Head, func(hash string) (Shard, error) {
 		shard, ok := byHash[hash]
 		if !ok {
-			return Shard{}, errors.Newf("shard %s is not of this table", hash)
+			return Shard{}, errors.Newf("shard %s is not part of this table", hash)
 		}
 		return shard, nil
 	})
