--- a/fleet/operator/api.go
+++ b/fleet/operator/api.go
@@ -18,26 +18,26 @@
 	"github.com/lynxshed/lynxshed/fleet/table"
 )
 
-// Prefix is the path under which operators' resources lie.
+// Prefix is the path prefix of the operators' resources.
 const Prefix = "/operator"
 
-// API serves operators; Register puts it on a huma API.
+// API serves the operators' resources; Register adds them to a huma API.
 type API struct {
-	hashes  map[string]bool // of the operators' keys
+	hashes  map[string]bool // hashes of the operators' keys
 	desk    *Desk
 	inForce *config.InForce
 	editor  *config.Editor
 	advance func(config.Snapshot)
 }
 
-// NewAPI makes the operators' API. Advance is told of an accepted edit, so that
-// this node runs it at once.
+// NewAPI creates the operators' API. It calls advance with the snapshot of an accepted edit,
+// so that this node puts it in force at once.
 func NewAPI(hashes []string, desk *Desk, inForce *config.InForce, editor *config.Editor, advance func(config.Snapshot)) *API {
 	known := lo.SliceToMap(hashes, func(h string) (string, bool) { return h, true })
 	return &API{hashes: known, desk: desk, inForce: inForce, editor: editor, advance: advance}
 }
 
-// Middleware asks for an operator's key on every path under Prefix.
+// Middleware requires an operator's key on every path under Prefix.
 func (a *API) Middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.URL.Path, Prefix) {
@@ -64,14 +64,14 @@
 	Name string `path:"name"`
 }
 
-// EditsBody is a set of edits, all accepted or none.
+// EditsBody is a set of edits, of which all are accepted or none.
 type EditsBody struct {
 	ID       string     `json:"id" doc:"names the change, so that a retry of it changes nothing" minLength:"8" maxLength:"64"`
 	Operator string     `json:"operator,omitempty"`
 	Edits    []EditBody `json:"edits" minItems:"1" maxItems:"200000"`
 }
 
-// EditBody is one edit as it is sent.
+// EditBody is the wire form of one edit.
 type EditBody struct {
 	Kind    table.Kind    `json:"kind"`
 	Name    string        `json:"name"`
@@ -80,7 +80,7 @@
 	Delete  bool          `json:"delete,omitempty"`
 }
 
-// CellsBody is cells as they are sent: text, numbers, booleans or lists of text.
+// CellsBody is the wire form of cells: text, numbers, booleans or lists of text.
 type CellsBody struct{ table.Cells }
 
 // Schema implements huma.SchemaProvider.
@@ -88,9 +88,9 @@
 	return &huma.Schema{Type: huma.TypeObject, AdditionalProperties: true}
 }
 
-// NewEditsBody is a set of edits as it is sent.
-func NewEditsBody(id, by string, edits []table.Edit) EditsBody {
-	return EditsBody{ID: id, Operator: by, Edits: lo.Map(edits, func(e table.Edit, _ int) EditBody {
+// NewEditsBody returns the wire form of a set of edits.
+func NewEditsBody(id, operator string, edits []table.Edit) EditsBody {
+	return EditsBody{ID: id, Operator: operator, Edits: lo.Map(edits, func(e table.Edit, _ int) EditBody {
 		return EditBody{Kind: e.Kind, Name: e.Name, Version: e.Version, Cells: CellsBody{Cells: e.Cells}, Delete: e.Delete}
 	})}
 }
@@ -103,7 +103,7 @@
 
 type editsInput struct{ Body EditsBody }
 
-// Accepted is the revision that an accepted edit made.
+// Accepted answers accepted edits with the revision that they produced.
 type Accepted struct {
 	Revision int64 `json:"revision"`
 }
@@ -120,7 +120,7 @@
 	ID string `path:"id"`
 }
 
-// Register puts the operators' resources on a huma API.
+// Register adds the operators' resources to a huma API.
 func (a *API) Register(api huma.API) {
 	huma.Get(api, Prefix+"/table", a.list)
 	huma.Get(api, Prefix+"/table/{kind}/{name}", a.row)
@@ -161,6 +161,7 @@
 	return &output[Accepted]{Body: Accepted{Revision: snapshot.Head.Revision}}, nil
 }
 
+// editProblem returns the problem for an edit that was not accepted.
 func editProblem(err error) *problem.Problem {
 	var faults table.Faults
 	switch {
@@ -219,9 +220,9 @@
 	return &output[NodeStatus]{Body: status}, nil
 }
 
-// statusError lets huma answer with a problem of the fleet's own form. It has a
-// problem's fields, not an embedded problem: huma can't link a schema to a type that
-// embeds one with methods, and says so for each such answer at the start.
+// statusError lets huma answer with a problem. It has a problem's fields instead of embedding
+// it: huma can't link a schema to a type that embeds a type with methods, and warns about each
+// such answer at the start.
 type statusError problem.Problem
 
 // Error implements error.
@@ -233,7 +234,7 @@
 // ContentType implements huma.ContentTypeFilter.
 func (s statusError) ContentType(string) string { return problem.ContentType }
 
-// newError is a fault that huma itself finds in a request, in the fleet's form.
+// newError returns an error that huma itself finds in a request as a problem.
 func newError(status int, message string, errs ...error) huma.StatusError {
 	details := lo.FilterMap(errs, func(err error, _ int) (string, bool) {
 		if err == nil {
@@ -252,4 +253,5 @@
 
 func init() { huma.NewError = newError }
 
+// refusal returns a problem as an error for huma.
 func refusal(p *problem.Problem) error { return statusError(*p) }
--- a/fleet/operator/api_test.go
+++ b/fleet/operator/api_test.go
@@ -13,8 +13,8 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// A refusal is answered as the problem that it is, by a type to which huma can link its
-// schema: one that embeds nothing.
+// A refusal must be encoded like its problem, by a type that embeds nothing: huma can't link a
+// schema to a type that embeds one with methods.
 func TestARefusalIsAnsweredAsItsProblem(t *testing.T) {
 	p := problem.New(problem.NotFound, "no such row").At("table", "main")
 	var answered huma.StatusError
--- a/fleet/operator/budgets.go
+++ b/fleet/operator/budgets.go
@@ -13,8 +13,8 @@
 	"github.com/lynxshed/lynxshed/fleet/ledger"
 )
 
-// reported finds what a live holder says of its own account.
-func reported(reports []Report, h ident.Incarnation, name ident.Budget) (holder.Holding, bool) {
+// reportedHolding returns a budget's holding as its holder reports it.
+func reportedHolding(reports []Report, h ident.Incarnation, name ident.Budget) (holder.Holding, bool) {
 	r, ok := lo.Find(reports, func(r Report) bool { return r.Incarnation == h })
 	if !ok {
 		return holder.Holding{}, false
@@ -22,9 +22,9 @@
 	return lo.Find(r.Holdings, func(x holder.Holding) bool { return x.Budget == name })
 }
 
-// fromLedger joins the ledger's line of a budget with what live holders report,
-// which is newer. What a holder that does not answer has not settled is stranded.
-func fromLedger(b catalog.Budget, line ledger.Budget, reports []Report, stranded []keeper.Stranding) BudgetStatus {
+// statusFromLedger combines the ledger's line of a budget with the holders' reports, which are
+// newer. The unsettled tokens of a holder that does not answer are stranded.
+func statusFromLedger(b catalog.Budget, line ledger.Budget, reports []Report, stranded []keeper.Stranding) BudgetStatus {
 	s := BudgetStatus{Name: b.Name, Customer: b.Customer, Limit: line.Limit, Spent: line.Closed, AsOf: "ledger", Holdings: []ZoneHolding{}}
 	if line.Version < b.Version && line.Target == nil {
 		s.Limit = b.Limit
@@ -32,7 +32,7 @@
 	free := s.Limit - line.Committed()
 	for _, a := range line.Accounts {
 		h := ZoneHolding{Zone: a.Zone, Node: a.Holder.Node(), Tokens: a.Unspent(), Settled: a.Settled, Reserved: a.Reserved}
-		own, ok := reported(reports, a.Holder, b.Name)
+		own, ok := reportedHolding(reports, a.Holder, b.Name)
 		if ok {
 			h.Tokens, h.Settled, h.Reserved = a.Held()-own.Settled, own.Settled, own.Reserved
 			free += max(0, h.Tokens-h.Reserved)
@@ -48,6 +48,7 @@
 	return s
 }
 
+// whyStranded returns the reason why the tokens of an account are stranded.
 func whyStranded(stranded []keeper.Stranding, a ledger.Account) string {
 	if s, ok := lo.Find(stranded, func(s keeper.Stranding) bool { return s.Holder == a.Holder }); ok {
 		return s.Why
@@ -55,9 +56,9 @@
 	return "its holder does not answer; it is freed when the holder answers or its account is closed"
 }
 
-// fromNodes is what can be said of a budget while the platform is out: only what
-// the reachable nodes hold.
-func fromNodes(b catalog.Budget, reports []Report) BudgetStatus {
+// statusFromNodes returns the status of a budget while the platform is unavailable: only what
+// the reachable nodes hold is known, and the remainder counts as stranded.
+func statusFromNodes(b catalog.Budget, reports []Report) BudgetStatus {
 	s := BudgetStatus{Name: b.Name, Customer: b.Customer, Limit: b.Limit, AsOf: "nodes", Holdings: []ZoneHolding{}}
 	for _, r := range reports {
 		for _, h := range r.Holdings {
@@ -74,7 +75,7 @@
 	return s
 }
 
-// mergeBills joins durable bills with those that nodes still hold.
+// mergeBills combines the durable bills with those that nodes still hold, each once.
 func mergeBills(durable []bill.Bill, reports []Report, budget ident.Budget) []bill.Bill {
 	all := slices.Clone(durable)
 	for _, r := range reports {
--- a/fleet/operator/desk.go
+++ b/fleet/operator/desk.go
@@ -24,14 +24,14 @@
 	"github.com/lynxshed/lynxshed/fleet/platform"
 )
 
-// Nodes asks the fleet's nodes, this one among them.
+// Nodes sends requests to the nodes of the fleet, including this one.
 type Nodes interface {
 	Report(ctx context.Context, from membership.Member) (Report, error)
 	Events(ctx context.Context, from membership.Member, id ident.Request) ([]event.Event, error)
 	Drain(ctx context.Context, node membership.Member) error
 }
 
-// Desk gathers what operators ask for from the platform and all reachable nodes.
+// Desk collects the answers to operators from the platform and all reachable nodes.
 type Desk struct {
 	Nodes    Nodes
 	Platform platform.Store
@@ -40,17 +40,17 @@
 	Clock    clockwork.Clock
 
 	mu       sync.Mutex
-	segments map[string][]bill.Bill // durable segments never change
+	segments map[string][]bill.Bill // cache of the durable segments, which are immutable
 }
 
-// answer is one node's report, or why it gave none.
+// nodeAnswer is one node's report, or the error instead of it.
 type nodeAnswer struct {
 	member membership.Member
 	report Report
 	err    error
 }
 
-// ask asks every known node at once.
+// ask requests a report from every known node in parallel.
 func (d *Desk) ask(ctx context.Context) []nodeAnswer {
 	view := d.View()
 	members := append(view.Members(), view.Self())
@@ -71,7 +71,7 @@
 	return lo.FilterMap(answers, func(a nodeAnswer, _ int) (Report, bool) { return a.report, a.err == nil })
 }
 
-// Status is the fleet as the reachable nodes report it.
+// Status returns the state of the fleet as the reachable nodes report it.
 func (d *Desk) Status(ctx context.Context) Status {
 	answers := d.ask(ctx)
 	s := Status{Endpoints: []dispatch.State{}, Degraded: []Degraded{}, Events: []event.Event{}}
@@ -84,13 +84,13 @@
 	for _, r := range reportsOf(answers) {
 		s.Events = append(s.Events, r.Events...)
 		s.Degraded = append(s.Degraded, r.Degraded...)
-		for _, x := range r.Stranded {
-			s.Degraded = append(s.Degraded, Degraded{What: "stranded account of " + string(x.Holder), Why: x.Why, Since: x.Since})
+		for _, account := range r.Stranded {
+			s.Degraded = append(s.Degraded, Degraded{What: "stranded account of " + string(account.Holder), Why: account.Why, Since: account.Since})
 		}
 	}
 	s.Endpoints = mergeEndpoints(reportsOf(answers))
-	s.Degraded = append(s.Degraded, d.cutOff(answers)...)
-	s.Degraded = append(s.Degraded, endpointsOut(s.Endpoints, d)...)
+	s.Degraded = append(s.Degraded, d.unreachable(answers)...)
+	s.Degraded = append(s.Degraded, failedEndpoints(s.Endpoints, d)...)
 	s.Degraded = lo.UniqBy(s.Degraded, func(x Degraded) string { return x.What + x.Why })
 	slices.SortFunc(s.Events, func(x, y event.Event) int { return x.At.Compare(y.At) })
 	s.Events = s.Events[max(0, len(s.Events)-maxStatusEvents):]
@@ -113,34 +113,36 @@
 	return n
 }
 
-// cutOff names the zones of which no node answers, and single nodes that do not.
-func (d *Desk) cutOff(answers []nodeAnswer) []Degraded {
+// unreachable lists the zones of which no node answers, and single nodes that do not.
+func (d *Desk) unreachable(answers []nodeAnswer) []Degraded {
 	now := d.Clock.Now()
-	var cut []Degraded
+	var degraded []Degraded
 	byZone := lo.GroupBy(answers, func(a nodeAnswer) ident.Zone { return a.member.Zone })
 	zones := lo.Keys(byZone)
 	slices.Sort(zones)
 	for _, z := range zones {
 		silent := lo.Filter(byZone[z], func(a nodeAnswer, _ int) bool { return a.err != nil })
 		if len(silent) == len(byZone[z]) {
-			cut = append(cut, Degraded{What: "zone " + string(z), Why: "cut off: no node of it answers", Since: now})
+			degraded = append(degraded, Degraded{What: "zone " + string(z), Why: "cut off: no node of it answers", Since: now})
 			continue
 		}
 		for _, a := range silent {
-			cut = append(cut, Degraded{What: "node " + string(a.member.Node), Why: "it does not answer", Since: now})
+			degraded = append(degraded, Degraded{What: "node " + string(a.member.Node), Why: "it does not answer", Since: now})
 		}
 	}
-	return cut
+	return degraded
 }
 
-func endpointsOut(states []dispatch.State, d *Desk) []Degraded {
+// failedEndpoints lists the endpoints that are down or ejected.
+func failedEndpoints(states []dispatch.State, d *Desk) []Degraded {
 	out := lo.Filter(states, func(s dispatch.State, _ int) bool { return s.State == "down" || s.State == "ejected" })
 	return lo.Map(out, func(s dispatch.State, _ int) Degraded {
 		return Degraded{What: "endpoint " + string(s.Name), Why: s.State, Since: d.Clock.Now()}
 	})
 }
 
-// mergeEndpoints takes each endpoint's state from the nodes of its own zone first.
+// mergeEndpoints merges the reported states of each endpoint; reports from its own zone take
+// precedence.
 func mergeEndpoints(reports []Report) []dispatch.State {
 	best := map[ident.Endpoint]dispatch.State{}
 	near := map[ident.Endpoint]bool{}
@@ -162,8 +164,8 @@
 	return states
 }
 
-// Budgets tells of budgets from the ledger and the holders' reports, or from
-// the reports alone while the platform is out.
+// Budgets returns the status of budgets from the ledger and the holders' reports, or from the
+// reports alone while the platform is unavailable.
 func (d *Desk) Budgets(ctx context.Context, budgets []catalog.Budget) []BudgetStatus {
 	reports := reportsOf(d.ask(ctx))
 	stranded := lo.FlatMap(reports, func(r Report, _ int) []keeper.Stranding { return r.Stranded })
@@ -174,17 +176,17 @@
 			slots[slot] = d.readLedger(ctx, slot)
 		}
 		if slots[slot] == nil {
-			return fromNodes(b, reports)
+			return statusFromNodes(b, reports)
 		}
 		line, ok := slots[slot].Budget(b.Name)
 		if !ok {
 			line = ledger.Budget{Name: b.Name, Limit: b.Limit, Version: b.Version}
 		}
-		return fromLedger(b, line, reports, stranded)
+		return statusFromLedger(b, line, reports, stranded)
 	})
 }
 
-// readLedger is nil while the platform is out.
+// readLedger reads the ledger of a slot; it returns nil while the platform is unavailable.
 func (d *Desk) readLedger(ctx context.Context, slot ident.Slot) *ledger.Slot {
 	o, err := d.Platform.Get(ctx, ledger.Key(slot))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -197,8 +199,8 @@
 	return &doc
 }
 
-// Bills lists the bills of all requests, durable or not, each once. While the
-// platform is out it fails rather than leave some out.
+// Bills lists the bills of all requests, durable or not, each once. It fails while the platform
+// is unavailable, so that the list is never incomplete.
 func (d *Desk) Bills(ctx context.Context, budget ident.Budget) ([]bill.Bill, error) {
 	reports := reportsOf(d.ask(ctx))
 	page, err := d.Platform.List(ctx, keeper.BillPrefix)
@@ -216,7 +218,7 @@
 	return mergeBills(durable, reports, budget), nil
 }
 
-// segment reads a segment once: it never changes.
+// segment reads a segment of bills and caches it, since segments are immutable.
 func (d *Desk) segment(ctx context.Context, key string) ([]bill.Bill, error) {
 	d.mu.Lock()
 	bills, ok := d.segments[key]
@@ -243,7 +245,7 @@
 
 const maxCachedSegments = 4096
 
-// Explain gathers every decision for a request from all reachable nodes.
+// Explain collects the decisions on a request from all reachable nodes.
 func (d *Desk) Explain(ctx context.Context, id ident.Request) Explanation {
 	view := d.View()
 	x := Explanation{Request: id, Events: []event.Event{}, Unreachable: []ident.Node{}}
@@ -264,7 +266,7 @@
 	return x
 }
 
-// Drain tells a node to stop as planned.
+// Drain begins the planned stop of a node.
 func (d *Desk) Drain(ctx context.Context, name ident.Node) (NodeStatus, error) {
 	m, ok := d.View().Member(name)
 	if !ok {
--- a/fleet/operator/report.go
+++ b/fleet/operator/report.go
@@ -1,5 +1,5 @@
-// Package operator answers operators: the table, the fleet's status, budgets,
-// bills, and why things were decided.
+// Package operator implements the operators' API: the table, the status of the fleet, budgets,
+// bills, and the decisions on each request.
 package operator
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/lynxshed/lynxshed/fleet/keeper"
 )
 
-// Report is what one node says of itself to the node that an operator asked.
+// Report is the state of one node, sent to the node that serves an operator.
 type Report struct {
 	Node        ident.Node         `json:"node"`
 	Zone        ident.Zone         `json:"zone"`
@@ -23,29 +23,29 @@
 	Running     int                `json:"running"`
 	Endpoints   []dispatch.State   `json:"endpoints"`
 	Holdings    []holder.Holding   `json:"holdings"`
-	Bills       []bill.Bill        `json:"bills"` // settled here and not durable yet
+	Bills       []bill.Bill        `json:"bills"` // settled on the node and not durable yet
 	Stranded    []keeper.Stranding `json:"stranded"`
 	Degraded    []Degraded         `json:"degraded"`
 	Events      []event.Event      `json:"events"`
 }
 
-// Degraded is something that does not work as it should, and why.
+// Degraded is a part of the fleet that does not work properly, and the reason.
 type Degraded struct {
 	What  string    `json:"what"`
 	Why   string    `json:"why"`
 	Since time.Time `json:"since"`
 }
 
-// NodeStatus is one node's line of the status.
+// NodeStatus is the state of one node.
 type NodeStatus struct {
 	Name     ident.Node `json:"name"`
 	Zone     ident.Zone `json:"zone"`
 	State    string     `json:"state"`
 	Revision int64      `json:"revision"`
-	Why      string     `json:"why,omitempty"` // why the newest revision is not in force
+	Why      string     `json:"why,omitempty"` // reason why it is unreachable or not at the newest revision
 }
 
-// Status is the state of the fleet as one node sees it.
+// Status is the state of the fleet as one node observes it.
 type Status struct {
 	Revision  int64            `json:"revision"`
 	Nodes     []NodeStatus     `json:"nodes"`
@@ -54,7 +54,7 @@
 	Events    []event.Event    `json:"events"`
 }
 
-// ZoneHolding is what one node holds of a budget.
+// ZoneHolding is the share of a budget that one node holds.
 type ZoneHolding struct {
 	Zone     ident.Zone `json:"zone"`
 	Node     ident.Node `json:"node"`
@@ -65,7 +65,7 @@
 	Why      string     `json:"why,omitempty"`
 }
 
-// BudgetStatus is one budget: limit = spent + reserved + available + stranded.
+// BudgetStatus is the state of one budget: limit = spent + reserved + available + stranded.
 type BudgetStatus struct {
 	Name      ident.Budget   `json:"name"`
 	Customer  ident.Customer `json:"customer"`
@@ -75,11 +75,11 @@
 	Available int64          `json:"available"`
 	Stranded  int64          `json:"stranded"`
 	Holdings  []ZoneHolding  `json:"holdings"`
-	// AsOf is "ledger" while the platform answers, else "nodes".
+	// AsOf is "ledger" while the platform answers, and otherwise "nodes".
 	AsOf string `json:"asOf"`
 }
 
-// Explanation is every decision taken for a request.
+// Explanation holds the decisions on a request.
 type Explanation struct {
 	Request     ident.Request `json:"requestId"`
 	Events      []event.Event `json:"events"`
