--- a/fleet/event/event.go
+++ b/fleet/event/event.go
@@ -1,4 +1,4 @@
-// Package event keeps what a node decided and why, in bounded memory.
+// Package event records the decisions of a node and their reasons in bounded memory.
 package event
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/lynxshed/lynxshed/fleet/ident"
 )
 
-// Step is the point of a request's or an account's life at which a decision fell.
+// Step is the step in the processing of a request or an account at which a decision was made.
 type Step string
 
 // The steps.
@@ -50,7 +50,7 @@
 	Reason   string        `json:"reason,omitempty"`
 }
 
-// Log is a ring of a node's last events; New makes one.
+// Log is a ring buffer of a node's last events; New creates it.
 type Log struct {
 	node ident.Node
 	now  func() time.Time
@@ -61,12 +61,12 @@
 	full   bool
 }
 
-// New makes a log of at most size events.
+// New creates a log of at most size events.
 func New(node ident.Node, size int, now func() time.Time) *Log {
 	return &Log{node: node, now: now, events: make([]Event, size)}
 }
 
-// Add records an event; the log fills in the time and the node.
+// Add records an event and sets its time and node.
 func (l *Log) Add(e Event) {
 	e.At, e.Node = l.now(), l.node
 	l.mu.Lock()
@@ -87,7 +87,7 @@
 	return found[max(0, len(found)-n):]
 }
 
-// All returns every event that is kept, oldest first.
+// All returns all events in the log, oldest first.
 func (l *Log) All() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fleet/ident/ident.go
+++ b/fleet/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident names the things that the fleet's slices speak of.
+// Package ident defines the names and ids that the packages of the fleet share.
 package ident
 
 import (
@@ -28,33 +28,34 @@
 // Endpoint is the name of an endpoint's row.
 type Endpoint string
 
-// Incarnation is one life of a node: its name and a serial that grows with each life.
+// Incarnation is one start of a node: its name and a serial that increases with each start.
 type Incarnation string
 
 // Request is a request's id: zone, slot and a unique part.
 type Request string
 
-// Slot is the share of the customers that one holder in a zone looks after.
+// Slot is a share of the customers, which has one holder in each zone.
 type Slot int
 
-// NewIncarnation names one life of a node; serial must differ for each life and sort by age.
+// NewIncarnation returns the id of one start of a node. The serial must be unique for each
+// start and sort by age.
 func NewIncarnation(n Node, serial string) Incarnation {
 	return Incarnation(string(n) + "@" + serial)
 }
 
-// Node is the node that lived this incarnation.
+// Node returns the node of the incarnation.
 func (i Incarnation) Node() Node {
 	name, _, _ := strings.Cut(string(i), "@")
 	return Node(name)
 }
 
-// Serial is the part that grows with each life.
+// Serial returns the serial, which increases with each start.
 func (i Incarnation) Serial() string {
 	_, serial, _ := strings.Cut(string(i), "@")
 	return serial
 }
 
-// NewRequest names a request of a slot that entered in a zone.
+// NewRequest returns the id of a request of a slot that entered in a zone.
 func NewRequest(z Zone, s Slot, unique string) Request {
 	return Request(fmt.Sprintf("%s.%d.%s", z, s, unique))
 }
@@ -72,7 +73,7 @@
 	return Zone(parts[0]), Slot(slot), nil
 }
 
-// SlotOf is the slot of a customer among count slots.
+// SlotOf returns the slot of a customer among count slots.
 func SlotOf(c Customer, count int) Slot {
 	return Slot(xxhash.Sum64String(string(c)) % uint64(count))
 }
--- a/fleet/ident/map.go
+++ b/fleet/ident/map.go
@@ -14,7 +14,7 @@
 // Equal implements immutable.Hasher.
 func (hasher[K]) Equal(a, b K) bool { return a == b }
 
-// NewMap makes an empty immutable map keyed by a string type.
+// NewMap returns an empty immutable map whose keys are of a string type.
 func NewMap[K ~string, V any]() *immutable.Map[K, V] {
 	return immutable.NewMap[K, V](hasher[K]{})
 }
--- a/fleet/problem/problem.go
+++ b/fleet/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem holds the refusals that a caller or an operator sees, in the
-// form of RFC 9457 (application/problem+json).
+// Package problem defines the refusals that callers and operators receive, in the format of
+// RFC 9457 (application/problem+json).
 package problem
 
 import (
@@ -15,17 +15,17 @@
 // ContentType is the media type of a problem.
 const ContentType = "application/problem+json"
 
-// Outcome says whether the refused request ran.
+// Outcome states whether the refused request ran.
 type Outcome string
 
-// The outcomes; NotRun is a promise that no endpoint started the request.
+// The outcomes. NotRun guarantees that no endpoint started the request.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
 	Unknown Outcome = "unknown"
 )
 
-// Problem is a refusal; it is an error too.
+// Problem is a refusal; it implements error.
 type Problem struct {
 	Type      string        `json:"type"`
 	Title     string        `json:"title"`
@@ -36,11 +36,11 @@
 	RequestID ident.Request `json:"requestId,omitempty"`
 	Step      string        `json:"step,omitempty"`
 	Peer      string        `json:"peer,omitempty"`
-	// RetryAfterSeconds is when to come back; 0 where waiting does not help.
+	// RetryAfterSeconds is the time until a retry may succeed; 0 if waiting does not help.
 	RetryAfterSeconds int `json:"retryAfterSeconds,omitempty"`
 }
 
-// New makes a refusal for a documented reason, with outcome not-run.
+// New returns a refusal for a documented reason, with the outcome not-run.
 func New(r Reason, detail string) *Problem {
 	d := Describe(r)
 	return &Problem{
@@ -54,7 +54,7 @@
 	}
 }
 
-// Error gives the reason, the step, the peer and the detail.
+// Error returns the reason, the step, the peer and the detail in one line.
 func (p *Problem) Error() string {
 	text := string(p.Reason)
 	if p.Step != "" {
@@ -66,31 +66,32 @@
 	return text + ": " + p.Detail
 }
 
-// WithOutcome is the problem with another outcome.
+// WithOutcome returns the problem with another outcome.
 func (p Problem) WithOutcome(o Outcome) *Problem {
 	p.Outcome = o
 	return &p
 }
 
-// WithRequest is the problem with the id of the refused request.
+// WithRequest returns the problem with the id of the refused request.
 func (p Problem) WithRequest(id ident.Request) *Problem {
 	p.RequestID = id
 	return &p
 }
 
-// At is the problem with the step and the peer at which it arose.
+// At returns the problem with the step and the peer at which it occurred.
 func (p Problem) At(step, peer string) *Problem {
 	p.Step, p.Peer = step, peer
 	return &p
 }
 
-// WithRetryAfter is the problem with the time after which trying again may help, rounded up to seconds.
+// WithRetryAfter returns the problem with the time until a retry may succeed, rounded up to
+// seconds.
 func (p Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfterSeconds = max(1, int(math.Ceil(d.Seconds())))
 	return &p
 }
 
-// Write answers with the problem.
+// Write writes the problem as the response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", ContentType)
 	if p.RetryAfterSeconds > 0 {
--- a/fleet/problem/reason.go
+++ b/fleet/problem/reason.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// Reason is a stable word for why a request or an edit was refused.
+// Reason is a stable identifier for why a request or an edit was refused.
 type Reason string
 
 // The reasons; docs/refusals.md lists them for callers.
@@ -42,7 +42,7 @@
 	Internal         Reason = "internal"
 )
 
-// Description is what a reason means to a caller.
+// Description holds what a caller receives for a reason.
 type Description struct {
 	Status            int
 	Title             string
@@ -82,7 +82,7 @@
 	Internal:         {http.StatusInternalServerError, "a fault of the node's own", 1},
 }
 
-// Describe tells what a reason means; an unlisted reason reads as internal.
+// Describe returns the description of a reason; an unknown reason is described as internal.
 func Describe(r Reason) Description {
 	if d, ok := descriptions[r]; ok {
 		return d
--- a/fleet/problem/reason_test.go
+++ b/fleet/problem/reason_test.go
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// TestThePageListsEveryReason holds docs/refusals.md against the code, both ways.
+// TestThePageListsEveryReason checks that docs/refusals.md and the code list the same reasons.
 func TestThePageListsEveryReason(t *testing.T) {
 	page, err := os.ReadFile("../../docs/refusals.md")
 	require.NoError(t, err)
