--- a/fleet/settings/fields.go
+++ b/fleet/settings/fields.go
@@ -4,7 +4,7 @@
 
 const maxMs = 3_600_000
 
-// fields are what the settings of a node may say.
+// fields is the schema of the settings of a node.
 var fields = schema.Schema{Fields: []schema.Field{
 	{Name: "node", Required: true, Text: schema.Name},
 	{Name: "zone", Required: true, Text: schema.Name},
--- a/fleet/settings/schema/rules.go
+++ b/fleet/settings/schema/rules.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// URL wants an http or https URL.
+// URL requires an http or https URL.
 func URL(s string) string {
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -15,7 +15,7 @@
 	return ""
 }
 
-// Address wants a host or IP number with a port.
+// Address requires a host or an IP address with a port.
 func Address(s string) string {
 	if _, port, err := net.SplitHostPort(s); err != nil || port == "" {
 		return "an address with a port, such as 127.0.0.1:8080"
@@ -23,7 +23,7 @@
 	return ""
 }
 
-// Name wants a name that can stand in a path.
+// Name requires a name that is valid as an element of a path.
 func Name(s string) string {
 	if s == "" || strings.ContainsAny(s, "@. /\t\n") {
 		return "a name without spaces, slashes, dots and @"
@@ -31,7 +31,7 @@
 	return ""
 }
 
-// Some wants any text.
+// Some requires a text that is not empty.
 func Some(s string) string {
 	if s == "" {
 		return "some text"
@@ -39,7 +39,7 @@
 	return ""
 }
 
-// OneOf wants one of some words.
+// OneOf requires one of the choices.
 func OneOf(choices ...string) Rule {
 	return func(s string) string {
 		for _, c := range choices {
@@ -51,7 +51,7 @@
 	}
 }
 
-// OrEmpty also allows no text.
+// OrEmpty allows the empty text besides what the rule allows.
 func OrEmpty(rule Rule) Rule {
 	return func(s string) string {
 		if s == "" {
--- a/fleet/settings/schema/schema.go
+++ b/fleet/settings/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema checks settings, JSON with comments, against the fields that are
-// known, and names every fault with line, column, field and what was expected.
+// Package schema validates settings, which are JSON with comments, against a list of fields. It
+// reports every fault with its line, its column, the field and what was expected.
 package schema
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with the settings.
+// Fault is one error in the settings.
 type Fault struct {
 	Line     int    `json:"line"`
 	Column   int    `json:"column"`
@@ -23,7 +23,7 @@
 	Expected string `json:"expected"`
 }
 
-// Error is the fault on one line.
+// Error returns the fault in one line.
 func (f Fault) Error() string {
 	if f.Field == "" {
 		return fmt.Sprintf("line %d, column %d: expected %s", f.Line, f.Column, f.Expected)
@@ -31,15 +31,16 @@
 	return fmt.Sprintf("line %d, column %d, field %s: expected %s", f.Line, f.Column, f.Field, f.Expected)
 }
 
-// Faults are all that is wrong.
+// Faults holds all errors in the settings.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, each on its own line.
 func (fs Faults) Error() string {
 	return strings.Join(lo.Map(fs, func(f Fault, _ int) string { return f.Error() }), "\n")
 }
 
-// Field is the rule for one value of the settings. One of the rules is given.
+// Field is the rule for one value of the settings. Exactly one of Text, List, Number, Fields
+// and Each is set.
 type Field struct {
 	Name     string
 	Required bool
@@ -47,30 +48,30 @@
 	List     Rule // for each text of a list
 	Number   *Range
 	Fields   []Field
-	Each     Rule // for each text of an object with any names
+	Each     Rule // for each text of an object with arbitrary keys
 }
 
-// Rule checks a text: what was expected, or "" where it is sound.
+// Rule validates a text. It returns what was expected, or "" if the text is valid.
 type Rule func(string) string
 
-// Range is what a number may be.
+// Range is the range of valid numbers.
 type Range struct {
-	Least, Most float64
-	Whole       bool
+	Min, Max float64
+	Whole    bool // only whole numbers
 }
 
-// Whole is a range of whole numbers.
-func Whole(least, most int64) *Range {
-	return &Range{Least: float64(least), Most: float64(most), Whole: true}
+// Whole returns a range of whole numbers.
+func Whole(minValue, maxValue int64) *Range {
+	return &Range{Min: float64(minValue), Max: float64(maxValue), Whole: true}
 }
 
-// Number is a range of numbers.
-func Number(least, most float64) *Range { return &Range{Least: least, Most: most} }
+// Number returns a range of numbers.
+func Number(minValue, maxValue float64) *Range { return &Range{Min: minValue, Max: maxValue} }
 
-// Schema is the fields of a file of settings.
+// Schema defines the fields of a settings file.
 type Schema struct {
 	Fields []Field
-	Open   bool // fields that are not known are passed over
+	Open   bool // unknown fields are ignored
 }
 
 type checker struct {
@@ -79,8 +80,8 @@
 	faults Faults
 }
 
-// Check returns the settings as standard JSON; the error is Faults where the text
-// has any.
+// Check validates the settings and returns them as standard JSON. The error is of type Faults if
+// the text has any.
 func (s Schema) Check(data []byte) ([]byte, error) {
 	value, err := hujson.Parse(data)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return value.Pack(), nil
 }
 
-// syntaxFault places an error of the parser, which names line and column in its text.
+// syntaxFault converts an error of the parser; its line and column are parsed from its text.
 func syntaxFault(data []byte, err error) Fault {
 	f := Fault{Line: 1, Column: 1, Expected: "JSON with comments: " + errors.UnwrapAll(err).Error()}
 	text := err.Error()
@@ -129,7 +130,7 @@
 	}
 }
 
-// each checks every text of an object, whatever its name.
+// each checks every text of an object with arbitrary keys.
 func (c *checker) each(name string, v hujson.Value, rule Rule) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -186,19 +187,19 @@
 }
 
 func (c *checker) number(name string, v hujson.Value, r Range) {
-	expected := fmt.Sprintf("a %snumber from %s to %s", lo.Ternary(r.Whole, "whole ", ""), plain(r.Least), plain(r.Most))
+	expected := fmt.Sprintf("a %snumber from %s to %s", lo.Ternary(r.Whole, "whole ", ""), formatNumber(r.Min), formatNumber(r.Max))
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '0' {
 		c.add(v.StartOffset, name, expected)
 		return
 	}
 	n := literal.Float()
-	if r.Whole && n != math.Trunc(n) || n < r.Least || n > r.Most {
+	if r.Whole && n != math.Trunc(n) || n < r.Min || n > r.Max {
 		c.add(v.StartOffset, name, expected)
 	}
 }
 
-func plain(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
+func formatNumber(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 
 func (c *checker) quoted(name string, v hujson.Value, rule Rule) {
 	literal, ok := v.Value.(hujson.Literal)
--- a/fleet/settings/settings.go
+++ b/fleet/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one node: JSON with comments, checked
-// wholly, every fault at once with its line and column.
+// Package settings reads the settings of one node, which are JSON with comments. It reports all
+// faults at once, each with its line and column.
 package settings
 
 import (
@@ -11,76 +11,76 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings are a node's own; what all nodes share lies in the platform.
+// Settings holds the settings of one node. What all nodes share is stored in the platform.
 type Settings struct {
-	Node               string   `json:"node"`               // the VM's name, unlike every other
+	Node               string   `json:"node"`               // the VM's name, unique in the fleet
 	Zone               string   `json:"zone"`               // its availability zone
 	Listen             string   `json:"listen"`             // address and port to listen on
 	Advertise          string   `json:"advertise"`          // URL by which other nodes reach this one
 	Platform           string   `json:"platform"`           // URL of the platform's service
-	Peers              []string `json:"peers"`              // URLs of some other nodes, for starting while the platform is out
+	Peers              []string `json:"peers"`              // URLs of some other nodes, for a start while the platform is unavailable
 	FleetKeyFile       string   `json:"fleetKeyFile"`       // file with the key that all nodes share
-	OperatorHashesFile string   `json:"operatorHashesFile"` // file with a SHA-256 in hex of each operator's key
-	Slots              int      `json:"slots"`              // shares of the customers; the same on every node
+	OperatorHashesFile string   `json:"operatorHashesFile"` // file with the SHA-256 of each operator's key in hex
+	Slots              int      `json:"slots"`              // number of slots of the customers; must be equal on all nodes
 	Timing             Timing   `json:"timing"`
 	Limits             Limits   `json:"limits"`
 	Log                Log      `json:"log"`
 	Trace              Trace    `json:"trace"`
 }
 
-// Timing is how often a node does things, in milliseconds.
+// Timing holds the intervals and timeouts of a node, in milliseconds.
 type Timing struct {
-	BeatMs    int `json:"beatMs"`    // heartbeats to peers
+	BeatMs    int `json:"beatMs"`    // between heartbeats to peers
 	SuspectMs int `json:"suspectMs"` // silence of a peer of the zone until it is suspected
-	FlushMs   int `json:"flushMs"`   // bills to the platform
-	LedgerMs  int `json:"ledgerMs"`  // ledgers to the platform, where no request waits for one
-	PollMs    int `json:"pollMs"`    // load reports of endpoints
-	ListMs    int `json:"listMs"`    // the platform's list of VMs
-	DrainMs   int `json:"drainMs"`   // how long a planned stop waits for running requests
+	FlushMs   int `json:"flushMs"`   // between writes of bills to the platform
+	LedgerMs  int `json:"ledgerMs"`  // between writes of ledgers to the platform while no request waits for one
+	PollMs    int `json:"pollMs"`    // between reads of the endpoints' load
+	ListMs    int `json:"listMs"`    // between reads of the platform's list of VMs
+	DrainMs   int `json:"drainMs"`   // maximum time that a planned stop waits for running requests
 }
 
-// Beat is the time between heartbeats.
+// Beat returns the time between heartbeats.
 func (t Timing) Beat() time.Duration { return ms(t.BeatMs) }
 
-// Suspect is the silence until a peer is suspected.
+// Suspect returns the silence after which a peer is suspected.
 func (t Timing) Suspect() time.Duration { return ms(t.SuspectMs) }
 
-// Flush is the time between writes to the platform.
+// Flush returns the time between writes of bills to the platform.
 func (t Timing) Flush() time.Duration { return ms(t.FlushMs) }
 
-// Ledger is the time between posts of a slot's ledger.
+// Ledger returns the time between writes of a slot's ledger.
 func (t Timing) Ledger() time.Duration { return ms(t.LedgerMs) }
 
-// Poll is the time between reads of an endpoint's load.
+// Poll returns the time between reads of an endpoint's load.
 func (t Timing) Poll() time.Duration { return ms(t.PollMs) }
 
-// List is the time between reads of the list of VMs.
+// List returns the time between reads of the list of VMs.
 func (t Timing) List() time.Duration { return ms(t.ListMs) }
 
-// Drain is how long a planned stop waits.
+// Drain returns the maximum duration of a planned stop.
 func (t Timing) Drain() time.Duration { return ms(t.DrainMs) }
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Limits bound what callers send.
+// Limits holds the maximum sizes of callers' requests.
 type Limits struct {
 	BodyBytes   int `json:"bodyBytes"`
 	HeaderBytes int `json:"headerBytes"`
 }
 
-// Log is how the node logs.
+// Log configures the node's log.
 type Log struct {
 	Format string `json:"format"` // json or text
 	Level  string `json:"level"`  // debug, info, warn or error
 }
 
-// Trace is where spans go; both empty is nowhere.
+// Trace configures the export of spans; if both fields are empty, none are exported.
 type Trace struct {
 	OTLPEndpoint string `json:"otlpEndpoint"` // URL of an OTLP/HTTP collector
-	File         string `json:"file"`
+	File         string `json:"file"`         // path of a file of spans
 }
 
-// Default is what holds where the file says nothing.
+// Default returns the settings that apply where the file sets none.
 func Default() Settings {
 	return Settings{
 		Slots:  16,
@@ -90,7 +90,7 @@
 	}
 }
 
-// Load reads and checks a file of settings.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings; the error is schema.Faults where the text has any.
+// Parse decodes and validates settings. The error is of type schema.Faults if the text has any.
 func Parse(data []byte) (Settings, error) {
 	standard, err := fields.Check(data)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return s, nil
 }
 
-// ReadSecret reads a secret from a file that the settings name.
+// ReadSecret reads a secret from a file and trims white space around it.
 func ReadSecret(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/fleet/settings/settings_test.go
+++ b/fleet/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/fleet/settings/schema"
 )
 
-func TestExampleIsSound(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	data, err := os.ReadFile("../example.settings.jsonc")
 	require.NoError(t, err)
 	s, err := settings.Parse(data)
@@ -22,7 +22,7 @@
 	assert.Equal(t, settings.Default().Limits, s.Limits)
 }
 
-const sound = `"zone": "a", "listen": "127.0.0.1:1", "advertise": "http://127.0.0.1:1", "platform": "http://127.0.0.1:2",
+const requiredFields = `"zone": "a", "listen": "127.0.0.1:1", "advertise": "http://127.0.0.1:1", "platform": "http://127.0.0.1:2",
 "fleetKeyFile": "k", "operatorHashesFile": "o"`
 
 func TestParseNamesEveryFault(t *testing.T) {
@@ -31,23 +31,23 @@
 		text string
 		want schema.Faults
 	}{
-		{"no JSON", "{", schema.Faults{{Line: 1, Column: 2}}},
+		{"invalid JSON", "{", schema.Faults{{Line: 1, Column: 2}}},
 		{"no object", "[]", schema.Faults{{Line: 1, Column: 1, Expected: "an object in braces"}}},
-		{"two at once", "{\"node\": 7,\n  \"slots\": -1, " + sound + "}", schema.Faults{
+		{"two at once", "{\"node\": 7,\n  \"slots\": -1, " + requiredFields + "}", schema.Faults{
 			{Line: 1, Column: 10, Field: "node", Expected: "text in quotes"},
 			{Line: 2, Column: 12, Field: "slots", Expected: "a whole number from 1 to 4096"},
 		}},
-		{"unknown and missing", "{\"nod\": \"x\", " + sound + "}", schema.Faults{
+		{"unknown and missing", "{\"nod\": \"x\", " + requiredFields + "}", schema.Faults{
 			{Line: 1, Column: 2, Field: "nod"},
 			{Line: 1, Column: 1, Field: "node", Expected: "the field to be there"},
 		}},
-		{"deep", "{\"node\": \"x\", \"log\": {\"level\": \"loud\"}, " + sound + "}", schema.Faults{
+		{"nested field", "{\"node\": \"x\", \"log\": {\"level\": \"loud\"}, " + requiredFields + "}", schema.Faults{
 			{Line: 1, Column: 32, Field: "log.level", Expected: "one of debug, info, warn, error"},
 		}},
-		{"huge number", "{\"node\": \"x\", \"timing\": {\"beatMs\": 1e300}, " + sound + "}", schema.Faults{
+		{"huge number", "{\"node\": \"x\", \"timing\": {\"beatMs\": 1e300}, " + requiredFields + "}", schema.Faults{
 			{Line: 1, Column: 36, Field: "timing.beatMs", Expected: "a whole number from 10 to 3600000"},
 		}},
-		{"twice", "{\"node\": \"x\", \"node\": \"y\", " + sound + "}", schema.Faults{
+		{"twice", "{\"node\": \"x\", \"node\": \"y\", " + requiredFields + "}", schema.Faults{
 			{Line: 1, Column: 15, Field: "node", Expected: "the field only once"},
 		}},
 	}
