--- a/fleet/cmd/lynxshed/early/early.go
+++ b/fleet/cmd/lynxshed/early/early.go
@@ -1,7 +1,7 @@
-// Package early takes the process's signals before other packages are initialized. A signal
-// that comes before it is taken ends the process; the initialization of all packages is most
-// of that time. It imports as little as it can, since a package is initialized after those
-// that it imports.
+// Package early catches the process's signals before other packages are initialized. A signal
+// that arrives before it is caught terminates the process, and most of the time until then is
+// the initialization of all packages. This package imports as little as possible, since a
+// package is initialized after its imports.
 package early
 
 import (
@@ -11,24 +11,24 @@
 )
 
 var (
-	stops   = taken(syscall.SIGTERM, syscall.SIGINT)
-	reloads = taken(syscall.SIGHUP)
+	stops   = notify(syscall.SIGTERM, syscall.SIGINT)
+	reloads = notify(syscall.SIGHUP)
 )
 
-// waiting is how many signals wait for whoever handles them.
-const waiting = 2
+// maxPending is how many signals are buffered until they are handled.
+const maxPending = 2
 
-func taken(signals ...os.Signal) chan os.Signal {
-	c := make(chan os.Signal, waiting)
+func notify(signals ...os.Signal) chan os.Signal {
+	c := make(chan os.Signal, maxPending)
 	signal.Notify(c, signals...)
 	return c
 }
 
-// Stops delivers the signals that stop the process.
+// Stops returns the channel of the signals that stop the process.
 func Stops() <-chan os.Signal { return stops }
 
-// Reloads delivers SIGHUP.
+// Reloads returns the channel of SIGHUP.
 func Reloads() <-chan os.Signal { return reloads }
 
-// Release gives the signals back, for commands that serve nothing.
+// Release restores the default handling of signals, for commands that run no node.
 func Release() { signal.Reset() }
--- a/fleet/cmd/lynxshed/main.go
+++ b/fleet/cmd/lynxshed/main.go
@@ -42,8 +42,8 @@
 	checkCommand := flaggy.NewSubcommand("check")
 	checkCommand.Description = "check the settings and print every fault"
 	checkCommand.String(&file, "s", "settings", "file of settings, JSON with comments")
-	ofRelay := false
-	checkCommand.Bool(&ofRelay, "r", "relay", "the settings are those of a relaying node")
+	forRelay := false
+	checkCommand.Bool(&forRelay, "r", "relay", "the settings are those of a relaying node")
 	versionCommand := flaggy.NewSubcommand("version")
 	versionCommand.Description = "print version, commit and Go version"
 	relayCommand := flaggy.NewSubcommand("relay")
@@ -66,10 +66,10 @@
 		return usage("want one of run, relay, check, version")
 	case file == "":
 		return usage("want --settings FILE")
-	case checkCommand.Used && ofRelay:
-		return checked(relay.LoadSettings(file))
+	case checkCommand.Used && forRelay:
+		return reportCheck(relay.LoadSettings(file))
 	case checkCommand.Used:
-		return checked(settings.Load(file))
+		return reportCheck(settings.Load(file))
 	default:
 		return serve(file)
 	}
@@ -89,8 +89,8 @@
 	return exitFailed
 }
 
-// checked tells whether settings that were read are sound.
-func checked[S any](_ S, err error) int {
+// reportCheck prints whether settings are valid, and returns the exit code.
+func reportCheck[S any](_ S, err error) int {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err.Error())
 		return exitFailed
@@ -127,7 +127,7 @@
 	return exitDone
 }
 
-// stopOnSignals makes the first signal a planned stop and the second an end at once.
+// stopOnSignals begins a planned stop on the first signal and stops the node at once on the second.
 func stopOnSignals(signals <-chan os.Signal, n *node.Node, cancel context.CancelFunc) {
 	<-signals
 	n.StartDrain()
--- a/fleet/cmd/lynxshed/relay.go
+++ b/fleet/cmd/lynxshed/relay.go
@@ -11,8 +11,8 @@
 	"github.com/lynxshed/lynxshed/platform"
 )
 
-// serveRelay runs a relaying node on the users' platform until SIGTERM (a
-// planned stop; a second one ends at once).
+// serveRelay runs a relaying node on the users' platform until SIGTERM, which begins a planned
+// stop; a second signal stops the node at once.
 func serveRelay(file string) int {
 	stop, reload := early.Stops(), early.Reloads()
 	if file == "" {
@@ -38,6 +38,7 @@
 	return exitDone
 }
 
+// stopRelay begins a planned stop on the first signal and stops the node at once on the second.
 func stopRelay(ctx context.Context, signals <-chan os.Signal, n *relay.Node, cancel context.CancelFunc) {
 	<-signals
 	go func() {
@@ -48,15 +49,15 @@
 	cancel()
 }
 
-// reloadRelay answers SIGHUP: the file is checked and what it says is logged.
-// What a node listens on and where its store lies hold for its life.
+// reloadRelay handles SIGHUP: it validates the settings file and logs the result. The node's
+// listeners and the address of its store can't change while it runs.
 func reloadRelay(signals <-chan os.Signal, file string, logger log.Interface) {
 	for range signals {
 		s, err := relay.LoadSettings(file)
 		if err != nil {
-			logger.WithError(err).Error("settings changed, and are not sound: the former ones hold")
+			logger.WithError(err).Error("reloaded settings are not valid: the previous ones stay in force")
 			continue
 		}
-		logger.WithField("zone", s.Zone).Info("settings read again")
+		logger.WithField("zone", s.Zone).Info("settings reloaded")
 	}
 }
--- a/fleet/formtest/formtest.go
+++ b/fleet/formtest/formtest.go
@@ -1,9 +1,9 @@
-// Package formtest checks, for tests, that forms which cross a process or outlive one are
-// understood between builds: earlier builds' forms by this one, and this one's by readers
-// that know the earlier fields alone.
+// Package formtest checks, in tests, that the JSON forms of messages and stored objects are
+// compatible between builds: this build reads the forms of earlier builds, and readers that know
+// only the earlier fields can read the forms of this build.
 //
-// A form of an earlier build lies in testdata/forms/COMMIT/NAME.json of the package that
-// owns it, with every field set. LYNXSHED_WRITE_FORMS=COMMIT writes those of this build.
+// The form of an earlier build, with every field set, is testdata/forms/COMMIT/NAME.json in the
+// package that owns it. LYNXSHED_WRITE_FORMS=COMMIT writes the forms of this build.
 package formtest
 
 import (
@@ -20,20 +20,20 @@
 
 const root = "testdata/forms"
 
-// Check compares a form, given as a pointer to its type, with all earlier builds' under a
-// name. Where write is not nil it is the form as this build writes it, with every field
-// set; else each field is set by reflection.
+// Check compares a form, given as a pointer to its type, with the forms of all earlier builds
+// under the name. If write is not nil, it is the form as this build writes it, with every field
+// set; otherwise Check sets each field by reflection.
 func Check(t *testing.T, name string, form any, write any) {
 	t.Helper()
 	if write == nil {
 		write = reflect.New(reflect.TypeOf(form).Elem()).Interface()
 		fill(reflect.ValueOf(write).Elem())
 	}
-	now, err := json.MarshalIndent(write, "", "\t")
+	current, err := json.MarshalIndent(write, "", "\t")
 	require.NoError(t, err)
 	if build := os.Getenv("LYNXSHED_WRITE_FORMS"); build != "" {
 		require.NoError(t, os.MkdirAll(filepath.Join(root, build), 0o755))
-		require.NoError(t, os.WriteFile(filepath.Join(root, build, name+".json"), append(now, '\n'), 0o644))
+		require.NoError(t, os.WriteFile(filepath.Join(root, build, name+".json"), append(current, '\n'), 0o644))
 	}
 	earlier, err := filepath.Glob(filepath.Join(root, "*", name+".json"))
 	require.NoError(t, err)
@@ -41,61 +41,61 @@
 	for _, file := range earlier {
 		data, err := os.ReadFile(file)
 		require.NoError(t, err)
-		read := reflect.New(reflect.TypeOf(form).Elem()).Interface()
-		require.NoError(t, json.Unmarshal(data, read), "%s is not read", file)
-		again, err := json.Marshal(read)
+		decoded := reflect.New(reflect.TypeOf(form).Elem()).Interface()
+		require.NoError(t, json.Unmarshal(data, decoded), "%s can't be decoded", file)
+		encoded, err := json.Marshal(decoded)
 		require.NoError(t, err)
-		for _, lost := range missing(decoded(t, data), decoded(t, again), "", true) {
-			assert.Fail(t, "this build does not take in what an earlier one tells", "%s: %s", file, lost)
+		for _, difference := range differences(decodeAny(t, data), decodeAny(t, encoded), "", true) {
+			assert.Fail(t, "this build does not read a form of an earlier one", "%s: %s", file, difference)
 		}
-		for _, lost := range missing(decoded(t, data), decoded(t, now), "", false) {
-			assert.Fail(t, "an earlier build would not understand this one", "%s: %s", file, lost)
+		for _, difference := range differences(decodeAny(t, data), decodeAny(t, current), "", false) {
+			assert.Fail(t, "an earlier build would not read the form of this one", "%s: %s", file, difference)
 		}
 	}
 }
 
-func decoded(t *testing.T, data []byte) any {
+func decodeAny(t *testing.T, data []byte) any {
 	t.Helper()
 	var v any
 	require.NoError(t, json.Unmarshal(data, &v))
 	return v
 }
 
-// missing names what one form has and another has not, or has of another kind; with values,
-// or with another value.
-func missing(one, other any, at string, values bool) []string {
-	if one == nil {
+// differences lists what form has and other lacks or has with another type. If values is set,
+// it also lists different values.
+func differences(form, other any, path string, values bool) []string {
+	if form == nil {
 		return nil
 	}
-	if reflect.TypeOf(one) != reflect.TypeOf(other) {
-		return []string{fmt.Sprintf("%s is %T, not %T", at, other, one)}
+	if reflect.TypeOf(form) != reflect.TypeOf(other) {
+		return []string{fmt.Sprintf("%s is %T, not %T", path, other, form)}
 	}
-	var lost []string
-	switch one := one.(type) {
+	var found []string
+	switch form := form.(type) {
 	case map[string]any:
-		for key, value := range one {
-			lost = append(lost, missing(value, other.(map[string]any)[key], at+"."+key, values)...)
+		for key, value := range form {
+			found = append(found, differences(value, other.(map[string]any)[key], path+"."+key, values)...)
 		}
 	case []any:
 		others := other.([]any)
-		for i, value := range one {
+		for i, value := range form {
 			if i >= len(others) {
-				return append(lost, fmt.Sprintf("%s[%d] is missing", at, i))
+				return append(found, fmt.Sprintf("%s[%d] is missing", path, i))
 			}
-			lost = append(lost, missing(value, others[i], fmt.Sprintf("%s[%d]", at, i), values)...)
+			found = append(found, differences(value, others[i], fmt.Sprintf("%s[%d]", path, i), values)...)
 		}
 	default:
-		if values && one != other {
-			lost = append(lost, fmt.Sprintf("%s is %v, not %v", at, other, one))
+		if values && form != other {
+			found = append(found, fmt.Sprintf("%s is %v, not %v", path, other, form))
 		}
 	}
-	return lost
+	return found
 }
 
-// sample is what a field of text is set to: some read no text but numbers in hex.
+// sample is the value of fields that decode from text; some accept only hexadecimal numbers.
 const sample = "00112233445566778899aabbccddeeff"
 
-// fill sets everything that a form can say, so that no field is left out for being empty.
+// fill sets every field of a form, so that the encoding omits none as empty.
 func fill(v reflect.Value) {
 	if v.CanAddr() {
 		if text, ok := v.Addr().Interface().(interface{ UnmarshalText([]byte) error }); ok && text.UnmarshalText([]byte(sample)) == nil {
--- a/fleet/telemetry/telemetry.go
+++ b/fleet/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up traces and metrics by OpenTelemetry.
+// Package telemetry sets up tracing and metrics with OpenTelemetry.
 package telemetry
 
 import (
@@ -25,7 +25,7 @@
 
 const scope = "github.com/lynxshed/lynxshed"
 
-// Options of the telemetry; without an endpoint and a file nothing is traced.
+// Options configure the telemetry. Spans are exported only if an endpoint or a file is set.
 type Options struct {
 	Node         string
 	Zone         string
@@ -36,7 +36,7 @@
 // Telemetry holds a node's tracer and metrics.
 type Telemetry struct {
 	Tracer  trace.Tracer
-	Traces  bool // whether anything takes the spans
+	Traces  bool // whether spans are exported
 	Meter   metric.Meter
 	Metrics *Metrics
 	handler http.Handler
@@ -98,10 +98,10 @@
 	return err
 }
 
-// Handler serves /metrics.
+// Handler returns the handler for /metrics.
 func (t *Telemetry) Handler() http.Handler { return t.handler }
 
-// Close sends what is left and stops the exporters.
+// Close flushes and stops the exporters.
 func (t *Telemetry) Close(ctx context.Context) error {
 	var err error
 	for _, closer := range t.closers {
@@ -110,25 +110,25 @@
 	return err
 }
 
-// Metrics are the instruments of a node.
+// Metrics holds the metric instruments of a node.
 type Metrics struct {
-	requests metric.Int64Counter
-	refusals metric.Int64Counter
-	retries  metric.Int64Counter
-	resumes  metric.Int64Counter
-	settled  metric.Int64Counter
-	tokens   metric.Int64Counter
-	first    metric.Float64Histogram
-	waited   metric.Float64Histogram
-	meter    metric.Meter
+	requests   metric.Int64Counter
+	refusals   metric.Int64Counter
+	retries    metric.Int64Counter
+	resumes    metric.Int64Counter
+	settled    metric.Int64Counter
+	tokens     metric.Int64Counter
+	firstToken metric.Float64Histogram
+	queueWait  metric.Float64Histogram
+	meter      metric.Meter
 }
 
 func newMetrics(m metric.Meter) (*Metrics, error) {
 	metrics := &Metrics{meter: m}
 	counters := []struct {
-		to   *metric.Int64Counter
-		name string
-		what string
+		counter     *metric.Int64Counter
+		name        string
+		description string
 	}{
 		{&metrics.requests, "lynxshed.requests", "requests that arrived"},
 		{&metrics.refusals, "lynxshed.refusals", "requests refused, by reason"},
@@ -138,26 +138,26 @@
 		{&metrics.tokens, "lynxshed.tokens", "tokens billed"},
 	}
 	for _, c := range counters {
-		counter, err := m.Int64Counter(c.name, metric.WithDescription(c.what))
+		counter, err := m.Int64Counter(c.name, metric.WithDescription(c.description))
 		if err != nil {
 			return nil, errors.Wrapf(err, "metric %s", c.name)
 		}
-		*c.to = counter
+		*c.counter = counter
 	}
 	var err error
-	if metrics.first, err = m.Float64Histogram("lynxshed.first_token", metric.WithUnit("s"), metric.WithDescription("time to the first token")); err != nil {
+	if metrics.firstToken, err = m.Float64Histogram("lynxshed.first_token", metric.WithUnit("s"), metric.WithDescription("time to the first token")); err != nil {
 		return nil, errors.Wrap(err, "metric first_token")
 	}
-	metrics.waited, err = m.Float64Histogram("lynxshed.queue_wait", metric.WithUnit("s"), metric.WithDescription("time in the queue"))
+	metrics.queueWait, err = m.Float64Histogram("lynxshed.queue_wait", metric.WithUnit("s"), metric.WithDescription("time in the queue"))
 	return metrics, errors.Wrap(err, "metric queue_wait")
 }
 
-// Arrived counts a request.
+// Arrived counts a request that arrived.
 func (m *Metrics) Arrived(ctx context.Context, service string) {
 	m.requests.Add(ctx, 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// Refused counts a refusal.
+// Refused counts a refused request by its reason.
 func (m *Metrics) Refused(ctx context.Context, reason string) {
 	m.refusals.Add(ctx, 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
@@ -171,18 +171,20 @@
 // Settled counts a settled request.
 func (m *Metrics) Settled(ctx context.Context) { m.settled.Add(ctx, 1) }
 
-// Billed counts tokens.
+// Billed counts billed tokens.
 func (m *Metrics) Billed(ctx context.Context, tokens int64) { m.tokens.Add(ctx, tokens) }
 
 // FirstToken records the time to the first token.
-func (m *Metrics) FirstToken(ctx context.Context, d time.Duration) { m.first.Record(ctx, d.Seconds()) }
+func (m *Metrics) FirstToken(ctx context.Context, d time.Duration) {
+	m.firstToken.Record(ctx, d.Seconds())
+}
 
 // Waited records the time in the queue.
-func (m *Metrics) Waited(ctx context.Context, d time.Duration) { m.waited.Record(ctx, d.Seconds()) }
+func (m *Metrics) Waited(ctx context.Context, d time.Duration) { m.queueWait.Record(ctx, d.Seconds()) }
 
-// Gauge registers a value that is read at each scrape.
-func (m *Metrics) Gauge(name, what string, read func() int64) error {
-	_, err := m.meter.Int64ObservableGauge(name, metric.WithDescription(what),
+// Gauge registers a gauge whose value is read at each scrape.
+func (m *Metrics) Gauge(name, description string, read func() int64) error {
+	_, err := m.meter.Int64ObservableGauge(name, metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 			o.Observe(read())
 			return nil
--- a/fleet/version/version.go
+++ b/fleet/version/version.go
@@ -1,4 +1,4 @@
-// Package version says which build of the program this is.
+// Package version identifies the build of the program.
 package version
 
 import "runtime/debug"
@@ -6,7 +6,7 @@
 // Number is the product's version.
 const Number = "0.1.0"
 
-// Commit is the commit that the program was built from, "unknown" without one.
+// Commit returns the commit that the program was built from, or "unknown".
 func Commit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -20,10 +20,10 @@
 	return "unknown"
 }
 
-// shortCommit is how many digits of a commit tell builds apart.
+// shortCommit is the number of digits of a commit that distinguish builds.
 const shortCommit = 12
 
-// Build names this build towards other nodes: the commit, cut short.
+// Build returns the name of this build for other nodes: the first digits of the commit.
 func Build() string {
 	commit := Commit()
 	return commit[:min(len(commit), shortCommit)]
