--- a/fleet/clock/stall.go
+++ b/fleet/clock/stall.go
@@ -60,8 +60,8 @@
 	return ended.After(t)
 }
 
-// Unread returns for how much longer the backlog after a stall may not be read completely;
-// zero if there was no recent stall.
+// Unread returns for how much longer the backlog after a stall may be unread; zero if there
+// was no recent stall.
 func (s *Standstills) Unread() time.Duration {
 	now, ended := s.observe()
 	if ended.IsZero() {
--- a/fleet/config/follower.go
+++ b/fleet/config/follower.go
@@ -106,7 +106,7 @@
 const maxPulls = 3
 
 // PullOnce asks peers that run a newer revision for it, those of the own zone first, until one
-// answers. It returns the pause before the next call.
+// succeeds. It returns the pause before the next call.
 func (f *Follower) PullOnce(ctx context.Context) (time.Duration, error) {
 	var err error
 	newer := f.newer()
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -179,7 +179,7 @@
 // Name returns the node's name.
 func (n *Node) Name() ident.Node { return n.self.Node }
 
-// Keeper returns the keeper, which runs the node's ledger holder.
+// Keeper returns the keeper, which runs the node's holder and witness.
 func (n *Node) Keeper() *keeper.Keeper { return n.keeper }
 
 func randomUint64() uint64 { return mathrand.Uint64() }
--- a/fleet/node/peers.go
+++ b/fleet/node/peers.go
@@ -62,13 +62,13 @@
 
 // Head implements config.Source.
 func (p peers) Head(ctx context.Context, from membership.Member) (config.Head, error) {
-	answer, err := peer.Call[peer.HeadAnswer](ctx, p.caller, from, peer.VerbHead, peer.Nothing{})
+	answer, err := peer.Call[peer.HeadResponse](ctx, p.caller, from, peer.VerbHead, peer.Nothing{})
 	return answer.Head, err
 }
 
 // Shard implements config.Source.
 func (p peers) Shard(ctx context.Context, from membership.Member, hash string) (config.Shard, error) {
-	answer, err := peer.Call[peer.ShardAnswer](ctx, p.caller, from, peer.VerbShard, peer.ShardAsk{Hash: hash})
+	answer, err := peer.Call[peer.ShardResponse](ctx, p.caller, from, peer.VerbShard, peer.ShardRequest{Hash: hash})
 	if err == nil && !answer.Found {
 		err = errors.Newf("step %s, peer %s: shard %s not found", peer.VerbShard, from.Node, hash)
 	}
@@ -88,7 +88,7 @@
 	if from.Node == n.self.Node {
 		return n.events.ByRequest(id), nil
 	}
-	answer, err := peer.Call[peer.EventsAnswer](ctx, n.caller, from, peer.VerbEvents, peer.EventsAsk{Request: id})
+	answer, err := peer.Call[peer.EventsResponse](ctx, n.caller, from, peer.VerbEvents, peer.EventsRequest{Request: id})
 	return answer.Events, err
 }
 
@@ -142,15 +142,15 @@
 	peer.Handle(s, peer.VerbBeat, func(_ context.Context, in peer.Beat) (peer.Beat, error) {
 		return n.receiveBeat(in), nil
 	})
-	peer.Handle(s, peer.VerbHead, func(context.Context, peer.Nothing) (peer.HeadAnswer, error) {
-		return peer.HeadAnswer{Head: n.inForce.Snapshot().Head}, nil
+	peer.Handle(s, peer.VerbHead, func(context.Context, peer.Nothing) (peer.HeadResponse, error) {
+		return peer.HeadResponse{Head: n.inForce.Snapshot().Head}, nil
 	})
-	peer.Handle(s, peer.VerbShard, func(_ context.Context, in peer.ShardAsk) (peer.ShardAnswer, error) {
+	peer.Handle(s, peer.VerbShard, func(_ context.Context, in peer.ShardRequest) (peer.ShardResponse, error) {
 		shard, ok := n.inForce.Shard(in.Hash)
-		return peer.ShardAnswer{Found: ok, Shard: shard}, nil
+		return peer.ShardResponse{Found: ok, Shard: shard}, nil
 	})
-	peer.Handle(s, peer.VerbEvents, func(_ context.Context, in peer.EventsAsk) (peer.EventsAnswer, error) {
-		return peer.EventsAnswer{Events: n.events.ByRequest(in.Request)}, nil
+	peer.Handle(s, peer.VerbEvents, func(_ context.Context, in peer.EventsRequest) (peer.EventsResponse, error) {
+		return peer.EventsResponse{Events: n.events.ByRequest(in.Request)}, nil
 	})
 	peer.Handle(s, peer.VerbReport, func(context.Context, peer.Nothing) (operator.Report, error) {
 		return n.report(), nil
--- a/fleet/orders/orders_test.go
+++ b/fleet/orders/orders_test.go
@@ -65,83 +65,83 @@
 	now     time.Time
 }
 
-func (w *fakeStore) Get(context.Context, string) (platform.Object, error) {
-	if w.object.Version == 0 {
+func (s *fakeStore) Get(context.Context, string) (platform.Object, error) {
+	if s.object.Version == 0 {
 		return platform.Object{}, platform.ErrNotFound
 	}
-	return w.object, nil
+	return s.object, nil
 }
 
-func (w *fakeStore) Put(_ context.Context, key string, version platform.Version, value any) (platform.Version, error) {
-	if version != w.object.Version {
+func (s *fakeStore) Put(_ context.Context, key string, version platform.Version, value any) (platform.Version, error) {
+	if version != s.object.Version {
 		return 0, platform.ErrConflict
 	}
 	data, err := json.Marshal(value)
-	w.object = platform.Object{Key: key, Version: version + 1, Value: data}
+	s.object = platform.Object{Key: key, Version: version + 1, Value: data}
 	return version + 1, err
 }
 
-func (w *fakeStore) Weights(context.Context, string) error {
-	if w.limited {
+func (s *fakeStore) Weights(context.Context, string) error {
+	if s.limited {
 		return platform.ErrLimited
 	}
 	return nil
 }
 
-func (w *fakeStore) Load(_ context.Context, _ orders.Engine, fence int64, model string) error {
-	if fence < w.fence {
+func (s *fakeStore) Load(_ context.Context, _ orders.Engine, fence int64, model string) error {
+	if fence < s.fence {
 		return errors.New("older fence")
 	}
-	w.fence = fence
-	w.loaded = append(w.loaded, model)
+	s.fence = fence
+	s.loaded = append(s.loaded, model)
 	return nil
 }
 
-func (w *fakeStore) giver(self ident.Incarnation, gone ident.Incarnation) *orders.Giver {
-	now := func() time.Time { return w.now }
+func (s *fakeStore) giver(self ident.Incarnation, gone ident.Incarnation) *orders.Giver {
+	now := func() time.Time { return s.now }
 	return orders.New(orders.Parts{
-		Self: func() ident.Incarnation { return self }, Zone: "z", Store: w, Sender: w,
+		Self: func() ident.Incarnation { return self }, Zone: "z", Store: s, Sender: s,
 		Gone:    func(i ident.Incarnation) bool { return i == gone },
 		Engines: func() []orders.Engine { return engines[:1] },
 		Waiting: waiting, Leads: func() bool { return true }, Now: now, Events: event.New("n", 10, now),
 	})
 }
 
-func steps(w *fakeStore, g *orders.Giver, count int) (last error) {
+func steps(s *fakeStore, g *orders.Giver, count int) (last error) {
 	for range count {
-		w.now = w.now.Add(3 * time.Second)
+		s.now = s.now.Add(3 * time.Second)
 		last = g.Step(context.Background())
 	}
 	return last
 }
 
 func TestAGiverOrdersEachLoadOnce(t *testing.T) {
-	w := &fakeStore{now: start}
-	require.NoError(t, steps(w, w.giver("n@1", ""), 12))
-	assert.Equal(t, []string{"large", "small"}, w.loaded)
+	s := &fakeStore{now: start}
+	require.NoError(t, steps(s, s.giver("n@1", ""), 12))
+	assert.Equal(t, []string{"large", "small"}, s.loaded)
 }
 
 // A giver that stalls past its lease still takes it for valid when it resumes. Its order carries
 // an older fence and must be refused.
 func TestAPausedGiverIsFenced(t *testing.T) {
-	w := &fakeStore{now: start}
-	old := w.giver("n@1", "")
-	require.NoError(t, steps(w, old, 2)) // takes the lease and gives one order
-	require.Equal(t, []string{"large"}, w.loaded)
-	next := w.giver("m@2", "n@1")
-	require.NoError(t, steps(w, next, 4))
-	require.Equal(t, []string{"large", "small"}, w.loaded)
-	w.now = start.Add(9 * time.Second) // the old giver resumes and takes its lease for valid
+	s := &fakeStore{now: start}
+	old := s.giver("n@1", "")
+	require.NoError(t, steps(s, old, 2)) // takes the lease and gives one order
+	require.Equal(t, []string{"large"}, s.loaded)
+	next := s.giver("m@2", "n@1")
+	require.NoError(t, steps(s, next, 4))
+	require.Equal(t, []string{"large", "small"}, s.loaded)
+	s.now = start.Add(9 * time.Second) // the old giver resumes and takes its lease for valid
 	assert.Error(t, old.Step(context.Background()))
-	assert.Equal(t, []string{"large", "small"}, w.loaded, "its order is refused")
+	assert.Equal(t, []string{"large", "small"}, s.loaded, "its order is refused")
 }
 
 func TestTheWeightStoresLimitDelaysOrders(t *testing.T) {
-	w := &fakeStore{now: start, limited: true}
-	g := w.giver("n@1", "")
-	require.Error(t, steps(w, g, 2))
-	assert.Empty(t, w.loaded)
-	w.limited = false
-	require.NoError(t, steps(w, g, 3))
-	assert.NotEmpty(t, w.loaded)
+	s := &fakeStore{now: start, limited: true}
+	g := s.giver("n@1", "")
+	require.Error(t, steps(s, g, 2))
+	assert.Empty(t, s.loaded)
+	s.limited = false
+	require.NoError(t, steps(s, g, 3))
+	assert.NotEmpty(t, s.loaded)
 }
--- a/fleet/peer/wire.go
+++ b/fleet/peer/wire.go
@@ -142,29 +142,29 @@
 	Read int64 `json:"read"`
 }
 
-// ShardAsk names a shard by its hash.
-type ShardAsk struct {
+// ShardRequest names a shard by its hash.
+type ShardRequest struct {
 	Hash string `json:"hash"`
 }
 
-// ShardAnswer carries a shard; Found is false if the peer does not have it.
-type ShardAnswer struct {
+// ShardResponse carries a shard; Found is false if the peer does not have it.
+type ShardResponse struct {
 	Found bool         `json:"found"`
 	Shard config.Shard `json:"shard"`
 }
 
-// HeadAnswer carries the head in force at the peer.
-type HeadAnswer struct {
+// HeadResponse carries the head in force at the peer.
+type HeadResponse struct {
 	Head config.Head `json:"head"`
 }
 
-// EventsAsk asks for the events of a request, or of the node itself if Request is empty.
-type EventsAsk struct {
+// EventsRequest asks for the events of a request, or of the node itself if Request is empty.
+type EventsRequest struct {
 	Request ident.Request `json:"requestId,omitempty"`
 }
 
-// EventsAnswer carries the events that the node recorded.
-type EventsAnswer struct {
+// EventsResponse carries the events that the node recorded.
+type EventsResponse struct {
 	Events []event.Event `json:"events"`
 }
 
