--- a/fleet/relay/entries_test.go
+++ b/fleet/relay/entries_test.go
@@ -121,7 +121,7 @@
 
 func (a unreadableOrders) Rollout(o store.Object, now time.Time) (rollout.Rollout, error) {
 	if o.Fault != "" {
-		return rollout.Rollout{Revision: o.Revision, Learned: now}, errors.New(o.Fault)
+		return rollout.Rollout{Revision: o.Revision, LearnedAt: now}, errors.New(o.Fault)
 	}
 	if string(o.Status) == "7" {
 		o.Status = nil
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -80,9 +80,9 @@
 func (j *job) pickByVersion(t *Trial, r choice.Request) (*choice.Placement, bool) {
 	c := rollout.Call{
 		Hash: xxhash.Sum64String(j.call.ID), Route: j.route.Name, Once: j.route.Kind == policy.Once,
-		Lasts: j.maxDuration(r), Attempt: len(r.Exclude), Now: r.Now,
+		MaxDuration: j.maxDuration(r), Attempt: len(r.Exclude), Now: r.Now,
 	}
-	j.Samples.Lasts(j.service.Name, c.Lasts)
+	j.Samples.Lasts(j.service.Name, c.MaxDuration)
 	side := t.plan.Side(c)
 	r.Trial = side == rollout.New
 	placement, ok := j.pickAmong(t, t.lists.For(&t.plan, c), r)
@@ -194,9 +194,9 @@
 	case choice.Good:
 		s.Slowness, s.Took, s.Since = t.Slowness(d.whole, d.gap, now), d.whole, d.sent
 	case choice.Bad, choice.Cut:
-		s.Failed, s.Unreached = true, !j.reported.answered
+		s.Failed, s.Unreachable = true, !j.reported.answered
 	case choice.Unreached:
-		s.Failed, s.Unreached = true, true
+		s.Failed, s.Unreachable = true, true
 	case choice.Rejected, choice.Gone, choice.Neutral:
 		return
 	}
--- a/fleet/relay/forward/trial_alloc_test.go
+++ b/fleet/relay/forward/trial_alloc_test.go
@@ -21,8 +21,8 @@
 		all = append(all, engine.Engine{ID: fmt.Sprint("e", i), Service: "s", Version: fmt.Sprint("v", i%2+1), Slots: 16})
 	}
 	order := rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Made: 7}
-	status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.1, Parts: []rollout.Part{{Route: "r", Share: 0.1}}}
-	set := rollout.Set{}.With("s", rollout.Rollout{Order: order, Status: status, Revision: 9, Learned: time.Now()})
+	status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.1, RouteShares: []rollout.RouteShare{{Route: "r", Share: 0.1}}}
+	set := rollout.Set{}.With("s", rollout.Rollout{Order: order, Status: status, Revision: 9, LearnedAt: time.Now()})
 	t := NewTrial(rollout.Split(engine.NewDirectory(1, all).Of("s"), set, "s"), false)
 	h := &Handler{Options: Options{Picker: choice.NewPicker("z", choice.DefaultTuning())}}
 	j := &job{Handler: h, service: policy.Service{Name: "s", KVCapacity: 1, Stride: 10, Slots: 16}, call: call.Call{ID: "c", PromptMax: 1000, OutputMax: 100}, end: time.Now().Add(time.Minute)}
@@ -31,7 +31,7 @@
 
 // choose does the work that a trial adds to each choice of an endpoint.
 func (t *Trial) choose(j *job, c rollout.Call) int {
-	c.Lasts = j.maxDuration(choice.Request{Profile: profile(j.service), Now: c.Now})
+	c.MaxDuration = j.maxDuration(choice.Request{Profile: profile(j.service), Now: c.Now})
 	if t.plan.Side(c) == rollout.New {
 		return -len(t.lists.For(&t.plan, c))
 	}
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -102,7 +102,7 @@
 	}
 	f.start(t, engines)
 	d := engine.NewDirectory(1, engines)
-	set := rollout.Set{}.With("s", rollout.Rollout{Order: testOrder, Status: s, Revision: 9, Learned: time.Now()})
+	set := rollout.Set{}.With("s", rollout.Rollout{Order: testOrder, Status: s, Revision: 9, LearnedAt: time.Now()})
 	f.trials.Store(&forward.Trials{"s": forward.NewTrial(rollout.Split(d.Of("s"), set, "s"), bad)})
 	return f
 }
@@ -161,7 +161,7 @@
 		return s
 	}
 	old := func(s rollout.Sample) rollout.Sample { s.Service, s.Sent = "s", true; return s }
-	all := inProgress(rollout.Status{Share: 1, Parts: []rollout.Part{{Route: "once", Share: 1}}})
+	all := inProgress(rollout.Status{Share: 1, RouteShares: []rollout.RouteShare{{Route: "once", Share: 1}}})
 	cases := []struct {
 		name        string
 		path        string
@@ -174,7 +174,7 @@
 		{"a good one of a call that may run once", "/once/", good("new"), []rollout.Sample{target(rollout.Sample{Route: "once", Once: true})}, true, 1},
 		{"one that failed, and went well again", "/repeat/", status(500, false), []rollout.Sample{target(rollout.Sample{Route: "repeat", Failed: true}), old(rollout.Sample{Route: "repeat"})}, true, 2},
 		{"one that failed and may not run again", "/once/", status(500, false), []rollout.Sample{target(rollout.Sample{Route: "once", Once: true, Failed: true})}, false, 1},
-		{"a reset", "/once/", reset, []rollout.Sample{target(rollout.Sample{Route: "once", Once: true, Failed: true, Unreached: true})}, false, 1},
+		{"a reset", "/once/", reset, []rollout.Sample{target(rollout.Sample{Route: "once", Once: true, Failed: true, Unreachable: true})}, false, 1},
 		{"another's answer", "/once/", foreign, []rollout.Sample{target(rollout.Sample{Route: "once", Once: true, Failed: true})}, false, 1},
 		{"half of one", "/once/", truncated, []rollout.Sample{target(rollout.Sample{Route: "once", Once: true, Failed: true})}, false, 1},
 		{"a stream", "/stream/", events(0, 4, true), []rollout.Sample{target(rollout.Sample{Route: "stream"}), target(rollout.Sample{Route: "stream"})}, true, 1},
@@ -240,13 +240,13 @@
 	a := f.do(t, f.request(t, http.MethodGet, "/repeat/", ""))
 	assert.Equal(t, 200, a.status)
 	got := f.samples.list(t, 2)
-	assert.True(t, got[0].Unreached)
+	assert.True(t, got[0].Unreachable)
 	assert.False(t, got[0].Sent)
 	assert.Equal(t, 1, f.samples.sent)
 }
 
 func TestCallerThatLeftIsNoEvidence(t *testing.T) {
-	f := movingFleet(t, inProgress(rollout.Status{Share: 1, Parts: []rollout.Part{{Route: "once", Share: 1}}}), false, good("old"), hang)
+	f := movingFleet(t, inProgress(rollout.Status{Share: 1, RouteShares: []rollout.RouteShare{{Route: "once", Share: 1}}}), false, good("old"), hang)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(100*time.Millisecond, cancel)
 	_, err := f.Client().Do(f.request(t, http.MethodGet, "/once/", "").WithContext(ctx))
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -18,10 +18,10 @@
 
 // RolloutWord is a node's report on the open orders.
 type RolloutWord struct {
-	Seen []RolloutSeen  `json:"seen,omitempty"`
-	Bad  []rollout.Warn `json:"bad,omitempty"`  // targets that some node found bad
-	Out  bool           `json:"out,omitempty"`  // the sender recently failed to write a status
-	Late bool           `json:"late,omitempty"` // the sender found a status whose age it does not know
+	Seen []RolloutSeen         `json:"seen,omitempty"`
+	Bad  []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
+	Out  bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
+	Late bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
 }
 
 // RolloutSeen is the evidence on one order.
@@ -42,7 +42,7 @@
 type RolloutTalk interface {
 	Own(now time.Time) []RolloutSeen  // evidence for the delegates of the zone
 	Zone(now time.Time) []RolloutSeen // evidence for the delegates of other zones
-	Bad() []rollout.Warn              // targets found bad
+	Bad() []rollout.AnnounceBad       // targets found bad
 	Out(now time.Time) bool           // reports whether the node recently failed to write a status
 	Blind() bool                      // reports whether the age of the status of an open order is unknown
 	Heard(from Teller, w RolloutWord, now time.Time)
@@ -108,9 +108,9 @@
 const afterAllZones = "\xff"
 
 // TellBad announces to all nodes at once that the target of an order was found bad.
-func (g *Gossip) TellBad(w rollout.Warn) {
+func (g *Gossip) TellBad(w rollout.AnnounceBad) {
 	others := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != g.registry.self.Name })
-	g.send(g.withSender(message{Rollouts: &RolloutWord{Bad: []rollout.Warn{w}}}), addresses(others)...)
+	g.send(g.withSender(message{Rollouts: &RolloutWord{Bad: []rollout.AnnounceBad{w}}}), addresses(others)...)
 }
 
 // badTargets returns the report on bad targets for the digest; nil if there are none.
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -18,7 +18,7 @@
 // fakeTalk is a RolloutTalk that provides fixed reports and records received ones.
 type fakeTalk struct {
 	seen []RolloutSeen
-	bad  []rollout.Warn
+	bad  []rollout.AnnounceBad
 	out  bool
 	late bool
 
@@ -32,9 +32,9 @@
 	return lo.Map(k.seen, func(s RolloutSeen, _ int) RolloutSeen { s.Zone = "z"; return s })
 }
 
-func (k *fakeTalk) Bad() []rollout.Warn { return k.bad }
-func (k *fakeTalk) Out(time.Time) bool  { return k.out }
-func (k *fakeTalk) Blind() bool         { return k.late }
+func (k *fakeTalk) Bad() []rollout.AnnounceBad { return k.bad }
+func (k *fakeTalk) Out(time.Time) bool         { return k.out }
+func (k *fakeTalk) Blind() bool                { return k.late }
 
 func (k *fakeTalk) Heard(_ Teller, w RolloutWord, _ time.Time) {
 	k.mu.Lock()
@@ -161,7 +161,7 @@
 		}
 		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
 	}
-	k := &fakeTalk{seen: []RolloutSeen{seen}, bad: []rollout.Warn{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeTalk{seen: []RolloutSeen{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
@@ -177,14 +177,14 @@
 // A version found bad is announced to all nodes at once, and with every digest until its order
 // ends.
 func TestBadVersionIsAnnouncedToAll(t *testing.T) {
-	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "w"}
+	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "w"}
 	k := &fakeTalk{}
 	g, other := gossipWithPeer(t, k)
 	g.TellBad(w)
 	m, _, ok := nextMessage(t, other)
 	require.True(t, ok)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Bad: []rollout.Warn{w}}}, k.received)
-	k.bad = []rollout.Warn{w}
-	assert.Equal(t, &RolloutWord{Bad: []rollout.Warn{w}}, g.badTargets())
+	assert.Equal(t, []RolloutWord{{Bad: []rollout.AnnounceBad{w}}}, k.received)
+	k.bad = []rollout.AnnounceBad{w}
+	assert.Equal(t, &RolloutWord{Bad: []rollout.AnnounceBad{w}}, g.badTargets())
 }
--- a/fleet/relay/restored_orders.go
+++ b/fleet/relay/restored_orders.go
@@ -40,7 +40,7 @@
 		return lacking
 	}
 	for _, name := range set.Names() {
-		if r, _ := set.Name(name); r.Lacking {
+		if r, _ := set.Name(name); r.MissingInStore {
 			lacking[name] = r
 		}
 	}
--- a/fleet/relay/restored_orders_test.go
+++ b/fleet/relay/restored_orders_test.go
@@ -76,7 +76,7 @@
 			r, ok := n.rollouts.Load().Name("s")
 			require.Equal(t, c.exists, ok)
 			assert.Equal(t, c.want, r.Status)
-			assert.Equal(t, c.lacks, r.Lacking)
+			assert.Equal(t, c.lacks, r.MissingInStore)
 		})
 	}
 }
--- a/fleet/relay/rollout/decider.go
+++ b/fleet/relay/rollout/decider.go
@@ -50,17 +50,17 @@
 // Handle processes a message and returns the next decider and the effects to carry out.
 func (d Decider) Handle(m Message) (Decider, []Effect) {
 	switch m := m.(type) {
-	case Learned:
+	case StatusLearned:
 		return d.handleLearned(m), nil
-	case Gone:
+	case OrderDeleted:
 		return NewDecider(d.rule), nil
-	case Told:
+	case EvidenceUpdated:
 		return d.handleEvidence(m)
-	case Heard:
+	case ReportedBad:
 		return d.handleReportedBad(m)
 	case Tick:
 		return d.handleTick(m)
-	case Refused:
+	case WriteRefused:
 		d.refusals++
 		d.writeAskedAt = m.Now.Add(d.retryDelay() - writeTimeout)
 	}
@@ -81,7 +81,7 @@
 // Judge returns the current judgment of the evidence, for logs and metrics.
 func (d Decider) Judge() Judge { return d.judge }
 
-func (d Decider) handleLearned(m Learned) Decider {
+func (d Decider) handleLearned(m StatusLearned) Decider {
 	if !d.known || !sameOrder(d.rollout, m.Rollout) {
 		d = NewDecider(d.rule)
 		d.judge = NewJudge(d.rule, m.Rollout.Duration)
@@ -96,7 +96,7 @@
 		d.rollout, d.writeAskedAt, d.refusals = m.Rollout, time.Time{}, 0
 	}
 	d.known = true
-	d.judge = d.judge.WithReferences(d.rollout.Status.Usual)
+	d.judge = d.judge.WithReferences(d.rollout.Status.References)
 	return d
 }
 
@@ -107,9 +107,9 @@
 // orderStart returns when the order was made, as far as its status tells.
 func (r Rollout) orderStart() time.Time {
 	if r.State() == Ordered {
-		return r.Learned
+		return r.LearnedAt
 	}
-	return r.Learned.Add(-r.Status.Used - r.uncertainty())
+	return r.LearnedAt.Add(-r.Status.Used - r.uncertainty())
 }
 
 // uncertainty returns how much more of the duration may have passed than a found status says: the
@@ -117,7 +117,7 @@
 func (r Rollout) uncertainty() time.Duration {
 	maxLost := time.Duration(checkpointPart * float64(r.Duration))
 	switch {
-	case !r.Found:
+	case !r.AgeUnknown:
 		return 0
 	case r.Status.Writes < 2:
 		maxLost = min(maxLost, maxRateWindow)
@@ -127,7 +127,7 @@
 	return maxLost + minOutage
 }
 
-func (d Decider) handleEvidence(m Told) (Decider, []Effect) {
+func (d Decider) handleEvidence(m EvidenceUpdated) (Decider, []Effect) {
 	if !d.known || m.Evidence.Made != d.rollout.Made || m.Evidence.Service != d.rollout.Service {
 		return d, nil
 	}
@@ -146,10 +146,10 @@
 	}
 	d.foundBad, d.why = true, d.judge.Why()
 	d, effects := d.revertBad(m.Now)
-	return d, append([]Effect{Warn{d.rollout.Service, d.rollout.Target, d.rollout.Made, d.why}}, effects...)
+	return d, append([]Effect{AnnounceBad{d.rollout.Service, d.rollout.Target, d.rollout.Made, d.why}}, effects...)
 }
 
-func (d Decider) handleReportedBad(m Heard) (Decider, []Effect) {
+func (d Decider) handleReportedBad(m ReportedBad) (Decider, []Effect) {
 	if !d.known || d.foundBad || m.Made != d.rollout.Made || m.Target != d.rollout.Target || !d.open() {
 		return d, nil
 	}
@@ -175,7 +175,7 @@
 func (d Decider) handleTick(t Tick) (Decider, []Effect) {
 	d.tick = t
 	d.judge = d.judge.WithSingleCohort(t.Cohorts == 1 || d.spreadsCalls(t.Now) && d.judge.SingleCohortAnswers())
-	if !d.known || d.rollout.Fault() != "" || !d.open() {
+	if !d.known || d.rollout.Problem() != "" || !d.open() {
 		return d, nil
 	}
 	d.noOldSince = since(d.noOldSince, t.Old == 0, t.Now)
@@ -198,7 +198,7 @@
 // them, instead of one after the other.
 func (d Decider) spreadsCalls(now time.Time) bool {
 	isMoving := d.known && d.rollout.State() == InProgress && d.rollout.Status.Stage == Moving
-	return isMoving && now.Sub(d.rollout.Learned) >= maxLearnDelay+baselineShort
+	return isMoving && now.Sub(d.rollout.LearnedAt) >= maxLearnDelay+baselineShort
 }
 
 func since(before time.Time, holds bool, now time.Time) time.Time {
@@ -217,12 +217,12 @@
 func (d Decider) write(s Status, why string, now time.Time) (Decider, []Effect) {
 	s.Target, s.Made = d.rollout.Target, d.rollout.Made
 	s.Used = d.used(now)
-	for _, rounded := range []*time.Duration{&s.Used, &s.Left, &s.Full} {
+	for _, rounded := range []*time.Duration{&s.Used, &s.Left, &s.FullLoad} {
 		*rounded -= *rounded % time.Millisecond // the precision of stored statuses
 	}
 	s.Barred = d.rollout.Unproven()
 	if s.State == InProgress {
-		s.Usual = updatedReferences(d.latest, d.rollout.Status.Usual)
+		s.References = updatedReferences(d.latest, d.rollout.Status.References)
 	}
 	s.Writes = 1
 	if d.rollout.State() != Ordered {
--- a/fleet/relay/rollout/decider_test.go
+++ b/fleet/relay/rollout/decider_test.go
@@ -15,9 +15,9 @@
 func TestRestartedDeciderObservesBeforeMoving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.03, Used: 200 * time.Millisecond, Writes: 1}
-	found := rollout.Rollout{Order: rollout.Order{Service: "s", Target: "v2", Duration: 8 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now, Found: true}
+	found := rollout.Rollout{Order: rollout.Order{Service: "s", Target: "v2", Duration: 8 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now, AgeUnknown: true}
 	d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-	d, _ = d.Handle(rollout.Learned{Rollout: found, Now: now})
+	d, _ = d.Handle(rollout.StatusLearned{Rollout: found, Now: now})
 	for i := range 5 { // a second
 		at := now.Add(time.Duration(i) * 200 * time.Millisecond)
 		var effects []rollout.Effect
@@ -26,7 +26,7 @@
 		route := rollout.RouteEvidence{Route: "r"}
 		route.Old[0] = rollout.Count{Answers: 20 * (i + 1)}
 		route.Target[0] = rollout.Count{Answers: i}
-		d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+		d, effects = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 		assert.Empty(t, effects)
 	}
 }
@@ -34,7 +34,7 @@
 // Guards against completing a found move, whose earlier observers are lost, without evidence of the
 // target compared with the old version.
 func TestFoundMoveCompletesOnlyOnEvidence(t *testing.T) {
-	known := []rollout.Reference{{Route: "r", Usual: 50 * time.Millisecond, Answers: 100, Bad: 1}}
+	known := []rollout.Reference{{Route: "r", MedianTime: 50 * time.Millisecond, Answers: 100, Bad: 1}}
 	for _, c := range []struct {
 		name       string
 		references []rollout.Reference
@@ -50,11 +50,11 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{
 				State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 6 * time.Second,
-				Left: 2 * time.Second, Full: 1300 * time.Millisecond, Writes: 3, Usual: c.references,
+				Left: 2 * time.Second, FullLoad: 1300 * time.Millisecond, Writes: 3, References: c.references,
 			}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now, Found: true,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now, AgeUnknown: true,
 			}})
 			decided := rollout.Status{State: rollout.InProgress}
 			for i := 0; decided.State == rollout.InProgress && i < 60; i++ {
@@ -63,7 +63,7 @@
 				for cohort := range 3 {
 					route.Target[cohort] = rollout.Count{Answers: c.target.Answers * i / 3, Bad: c.target.Bad * i / 3}
 				}
-				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
+				d = handle(t, d, rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
 				d = handle(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
 			}
 			assert.Equal(t, c.want, decided.State)
@@ -87,11 +87,11 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{
 				State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 8 * time.Second,
-				Left: time.Second, Full: time.Second, Writes: 3,
+				Left: time.Second, FullLoad: time.Second, Writes: 3,
 			}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now,
 			}})
 			decided := rollout.Status{State: rollout.InProgress}
 			for i := 0; decided.State == rollout.InProgress && i < 25; i++ {
@@ -101,7 +101,7 @@
 				route.Target[1] = rollout.Count{Answers: 10, Bad: 10}
 				route.Target[2] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
 				route.Target[3] = rollout.Count{Answers: 2 + c.others*max(i-1, 0)}
-				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
+				d = handle(t, d, rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at}, &decided)
 				d = handle(t, d, rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 3, Decides: true}, &decided)
 			}
 			assert.Equal(t, c.want, decided.State)
@@ -143,8 +143,8 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.05, Used: 100 * time.Millisecond, Writes: 1}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 3 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 5 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 5 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now,
 			}})
 			moved := false
 			for i := c.late; i < 27; i++ { // beyond the order's end
@@ -156,7 +156,7 @@
 					routes = append(routes, rollout.RouteEvidence{Route: "q", Old: route.Old})
 				}
 				var decided rollout.Status
-				d = handle(t, d, rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: routes}, Now: at}, &decided)
+				d = handle(t, d, rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: routes}, Now: at}, &decided)
 				d = handle(t, d, rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5, Decides: true}, &decided)
 				moved = moved || decided.Stage == rollout.Moving
 			}
@@ -177,8 +177,8 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.05, Used: time.Second, Writes: 2}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now,
 			}})
 			found := false
 			for i := range 5 {
@@ -188,7 +188,7 @@
 				route.Old[0] = rollout.Count{Answers: 40 * (i + 1), Bad: i}
 				route.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
 				var effects []rollout.Effect
-				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+				d, effects = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				found = found || len(effects) > 0
 			}
 			assert.Equal(t, c.bad, found)
@@ -213,11 +213,11 @@
 			now := time.Unix(1000, 0)
 			status := rollout.Status{
 				State: rollout.InProgress, Stage: c.stage, Target: "v2", Made: 7, Share: 0.05, Used: 4 * time.Second,
-				Left: 3 * time.Second, Full: 1300 * time.Millisecond, Writes: 3,
+				Left: 3 * time.Second, FullLoad: 1300 * time.Millisecond, Writes: 3,
 			}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now,
 			}})
 			found := false
 			for i := range 12 {
@@ -229,7 +229,7 @@
 				route.Target[1].Answers += c.others * i
 				route.Target[3] = rollout.Count{Answers: 6 * i, Bad: 3 * i}
 				var effects []rollout.Effect
-				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+				d, effects = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				found = found || len(effects) > 0
 			}
 			assert.Equal(t, c.bad, found)
@@ -257,19 +257,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			status := rollout.Status{
-				State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.03, Filled: c.filled, Used: 500 * time.Millisecond, Writes: 2,
-				Parts: []rollout.Part{{Route: "r", Share: 0.03}},
+				State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.03, PulseShare: c.filled, Used: 500 * time.Millisecond, Writes: 2,
+				RouteShares: []rollout.RouteShare{{Route: "r", Share: 0.03}},
 			}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-				Order: rollout.Order{Service: "s", Target: "v2", Duration: 30 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now, Found: c.found,
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+				Order: rollout.Order{Service: "s", Target: "v2", Duration: 30 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now, AgeUnknown: c.found,
 			}})
 			var effects []rollout.Effect
 			for i := range 12 {
 				at := now.Add(time.Duration(i) * 200 * time.Millisecond)
 				route := rollout.RouteEvidence{Route: "r"}
 				route.Old[0], route.Target[3] = rollout.Count{Answers: 30 * (i + 1)}, rollout.Count{Answers: c.target}
-				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+				d, _ = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				var more []rollout.Effect
 				d, more = d.Handle(rollout.Tick{Now: at, Old: 2, Target: 2, Cohorts: 2, OldInFlight: 5, Decides: true})
 				effects = append(effects, more...)
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -7,20 +7,20 @@
 
 // Sample is the result of one call, for the comparison of two versions on one route.
 type Sample struct {
-	Service   string
-	Route     string
-	Once      bool   // calls of the route may run at most once
-	Target    bool   // it ran at an endpoint of the target
-	Endpoint  uint64 // hash of the endpoint's id
-	Failed    bool
-	Unreached bool          // no answer came: no connection, a reset or silence; implies Failed
-	Cold      bool          // the endpoint signals a cold start: its slowness isn't counted
-	Now       time.Time     // by the node's steady clock
-	Sent      bool          // Recorder.Sent counted the call when it was sent
-	Slowness  float64       // time taken over time expected for its prompt and the load; 0 if unknown
-	Took      time.Duration // until the first event, or all of a plain call; 0 if unknown
-	Since     time.Time     // when the attempt was sent; zero if unknown
-	AtLeast   bool          // Slowness and Took are lower bounds, which don't update the baseline
+	Service     string
+	Route       string
+	Once        bool   // calls of the route may run at most once
+	Target      bool   // it ran at an endpoint of the target
+	Endpoint    uint64 // hash of the endpoint's id
+	Failed      bool
+	Unreachable bool          // no answer came: no connection, a reset or silence; implies Failed
+	Cold        bool          // the endpoint signals a cold start: its slowness isn't counted
+	Now         time.Time     // by the node's steady clock
+	Sent        bool          // Recorder.Sent counted the call when it was sent
+	Slowness    float64       // time taken over time expected for its prompt and the load; 0 if unknown
+	Took        time.Duration // until the first event, or all of a plain call; 0 if unknown
+	Since       time.Time     // when the attempt was sent; zero if unknown
+	LowerBound  bool          // Slowness and Took are lower bounds, which don't update the baseline
 }
 
 // Cohorts is the number of groups in which the endpoints of a version are counted, by the hash of
@@ -78,9 +78,9 @@
 	Once   bool   `json:"x,omitempty"` // its calls may run at most once
 	Old    Counts `json:"o"`
 	Target Counts `json:"t"`
-	// UsualMs is the old version's median time until the first event, or for all of a plain call; 0
+	// MedianMs is the old version's median time until the first event, or for all of a plain call; 0
 	// if unknown.
-	UsualMs float64 `json:"u,omitempty"`
+	MedianMs float64 `json:"u,omitempty"`
 }
 
 // Evidence is what was observed of an order's two versions, by one node since it knows of the order,
@@ -107,7 +107,7 @@
 			e.Routes = append(e.Routes, *r)
 			continue
 		}
-		e.Routes[at].UsualMs = e.Routes[at].mergedUsualMs(*r)
+		e.Routes[at].MedianMs = e.Routes[at].mergedUsualMs(*r)
 		e.Routes[at].Old.add(&r.Old)
 		e.Routes[at].Target.add(&r.Target)
 	}
@@ -118,12 +118,12 @@
 func (r RouteEvidence) mergedUsualMs(o RouteEvidence) float64 {
 	own, other := float64(r.Old.Sum().Answers), float64(o.Old.Sum().Answers)
 	switch {
-	case o.UsualMs <= 0 || other == 0:
-		return r.UsualMs
-	case r.UsualMs <= 0 || own == 0:
-		return o.UsualMs
+	case o.MedianMs <= 0 || other == 0:
+		return r.MedianMs
+	case r.MedianMs <= 0 || own == 0:
+		return o.MedianMs
 	}
-	return (own*r.UsualMs + other*o.UsualMs) / (own + other)
+	return (own*r.MedianMs + other*o.MedianMs) / (own + other)
 }
 
 func (c *Counts) add(o *Counts) {
@@ -141,7 +141,7 @@
 			e.Routes = append(e.Routes, r)
 			continue
 		}
-		e.Routes[i].UsualMs = e.Routes[i].mergedUsualMs(r)
+		e.Routes[i].MedianMs = e.Routes[i].mergedUsualMs(r)
 		e.Routes[i].Old = join(e.Routes[i].Old, r.Old)
 		e.Routes[i].Target = join(e.Routes[i].Target, r.Target)
 	}
--- a/fleet/relay/rollout/gathered.go
+++ b/fleet/relay/rollout/gathered.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// Gathered is what all nodes have reported about an order's versions. A restarted node has another
+// EvidenceTracker is what all nodes have reported about an order's versions. A restarted node has another
 // incarnation; what its earlier one reported still counts. It changes in place, since each node
 // reports several times per second, and isn't safe for concurrent use.
-type Gathered struct {
+type EvidenceTracker struct {
 	service       string
 	made          int64
 	byIncarnation map[string]Evidence
 }
 
-// NewGathered returns an empty Gathered for an order.
-func NewGathered(service string, made int64) *Gathered {
-	return &Gathered{service: service, made: made, byIncarnation: map[string]Evidence{}}
+// NewEvidenceTracker returns an empty Gathered for an order.
+func NewEvidenceTracker(service string, made int64) *EvidenceTracker {
+	return &EvidenceTracker{service: service, made: made, byIncarnation: map[string]Evidence{}}
 }
 
-// Take records what one incarnation of a node has observed so far. Evidence about another order, or
+// Record records what one incarnation of a node has observed so far. Evidence about another order, or
 // older than what is known, is ignored.
-func (g *Gathered) Take(incarnation string, e Evidence) {
+func (g *EvidenceTracker) Record(incarnation string, e Evidence) {
 	if e.Service != g.service || e.Made != g.made {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // Sum returns what all nodes have observed together.
-func (g *Gathered) Sum() Evidence {
+func (g *EvidenceTracker) Sum() Evidence {
 	sum := Evidence{Service: g.service, Made: g.made}
 	for _, e := range g.byIncarnation {
 		sum.add(e)
--- a/fleet/relay/rollout/message.go
+++ b/fleet/relay/rollout/message.go
@@ -9,23 +9,23 @@
 // Message is an input of a Decider. The interface is sealed.
 type Message interface{ message() }
 
-// Learned carries the rollout as the store holds it now.
-type Learned struct {
+// StatusLearned carries the rollout as the store holds it now.
+type StatusLearned struct {
 	Rollout Rollout
 	Now     time.Time
 }
 
-// Gone reports that the order was deleted.
-type Gone struct{}
+// OrderDeleted reports that the order was deleted.
+type OrderDeleted struct{}
 
-// Told carries what all nodes have observed so far.
-type Told struct {
+// EvidenceUpdated carries what all nodes have observed so far.
+type EvidenceUpdated struct {
 	Evidence Evidence
 	Now      time.Time
 }
 
-// Heard reports that another node found the target of an order bad.
-type Heard struct {
+// ReportedBad reports that another node found the target of an order bad.
+type ReportedBad struct {
 	Target string
 	Made   int64
 	Why    string
@@ -34,25 +34,25 @@
 
 // Tick is the current time, and what is known of the endpoints at it.
 type Tick struct {
-	Now         time.Time
-	Old, Target int           // endpoints that accept new work, by version
-	Cohorts     int           // number of cohorts in which the target's endpoints fall; 0 if unknown
-	Cold        int           // endpoints of the target that are slow after their start
-	OldInFlight int           // calls at old endpoints, by the nodes' digests and the endpoints' signals
-	Lasts       time.Duration // how long the longest calls at old endpoints may still take
-	Decides     bool          // this node writes; the others only judge
+	Now          time.Time
+	Old, Target  int           // endpoints that accept new work, by version
+	Cohorts      int           // number of cohorts in which the target's endpoints fall; 0 if unknown
+	Cold         int           // endpoints of the target that are slow after their start
+	OldInFlight  int           // calls at old endpoints, by the nodes' digests and the endpoints' signals
+	MaxRemaining time.Duration // how long the longest calls at old endpoints may still take
+	Decides      bool          // this node writes; the others only judge
 }
 
-// Refused reports that a write did not take effect: another node wrote, or the store is unavailable.
+// WriteRefused reports that a write did not take effect: another node wrote, or the store is unavailable.
 // The next tick retries with what was learned meanwhile.
-type Refused struct{ Now time.Time }
+type WriteRefused struct{ Now time.Time }
 
-func (Learned) message() {}
-func (Gone) message()    {}
-func (Told) message()    {}
-func (Heard) message()   {}
-func (Tick) message()    {}
-func (Refused) message() {}
+func (StatusLearned) message()   {}
+func (OrderDeleted) message()    {}
+func (EvidenceUpdated) message() {}
+func (ReportedBad) message()     {}
+func (Tick) message()            {}
+func (WriteRefused) message()    {}
 
 // Effect is an output of a Decider. The interface is sealed.
 type Effect interface{ effect() }
@@ -64,13 +64,13 @@
 	Why      string // for the log
 }
 
-// Warn requests an immediate announcement to all nodes that the target of an order is bad.
-type Warn struct {
+// AnnounceBad requests an immediate announcement to all nodes that the target of an order is bad.
+type AnnounceBad struct {
 	Service string
 	Target  string
 	Made    int64
 	Why     string
 }
 
-func (Write) effect() {}
-func (Warn) effect()  {}
+func (Write) effect()       {}
+func (AnnounceBad) effect() {}
--- a/fleet/relay/rollout/model_answers_test.go
+++ b/fleet/relay/rollout/model_answers_test.go
@@ -55,11 +55,11 @@
 	if p.bothDuring.holds(p.now) {
 		add(p.faultOfBoth, 1)
 	}
-	n.recorder.Sent(a.sample)
+	n.recorder.RecordSent(a.sample)
 	a.sample.Sent = true
 	a.sample.Failed = p.rand.Float64() < fails
 	if p.separated(n, e) {
-		a.sample.Failed, a.sample.Unreached, a.fromBadVersion = true, true, false
+		a.sample.Failed, a.sample.Unreachable, a.fromBadVersion = true, true, false
 	}
 	a.fromBadVersion = a.fromBadVersion && (a.sample.Failed || p.version.slower > 0)
 	if a.old {
@@ -75,7 +75,7 @@
 // arrives.
 func (p *play) reportLate(i int, route *modelRoute, a answer, slow float64) {
 	shows := route.shows()
-	times, after := p.nodes[a.node].recorder.SlowFrom(route.name)
+	times, after := p.nodes[a.node].recorder.SlowThreshold(route.name)
 	if times > 0 {
 		after = time.Duration(lateMargin * times * float64(shows))
 	}
--- a/fleet/relay/rollout/model_decider_test.go
+++ b/fleet/relay/rollout/model_decider_test.go
@@ -17,24 +17,24 @@
 		if p.now < n.upAt || p.partitioned(n.zone) || p.unreachable(i) {
 			continue
 		}
-		p.gathered.Take(fmt.Sprintf("%d.%d", i, n.incarnation), n.recorder.Evidence())
+		p.gathered.Record(fmt.Sprintf("%d.%d", i, n.incarnation), n.recorder.Evidence())
 	}
 	p.inFlightHistory = append(p.inFlightHistory, p.inFlight)
 	sum, at := p.gathered.Sum(), p.time()
 	queued := p.evidenceQueue
-	p.evidenceQueue = []func(){func() { p.handle(Told{sum, at}) }}
+	p.evidenceQueue = []func(){func() { p.handle(EvidenceUpdated{sum, at}) }}
 	for _, handle := range queued {
 		handle()
 	}
 	if p.windows != nil && p.windows.bad(sum, p.now) {
-		p.handle(Heard{Target: "v2", Made: made, Why: "by windows", Now: at})
+		p.handle(ReportedBad{Target: "v2", Made: made, Why: "by windows", Now: at})
 		p.warn()
 	}
 	maximum := time.Duration(0)
 	for _, r := range p.service.routes {
 		maximum = max(maximum, r.maximum)
 	}
-	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.inFlightHistory[max(len(p.inFlightHistory)-2, 0)], Lasts: maximum, Decides: !p.listening()})
+	p.handle(Tick{Now: p.time(), Old: p.service.old, Target: p.targets, Cohorts: p.cohorts, Cold: lo.Ternary(p.now < p.cold, p.targets, 0), OldInFlight: p.inFlightHistory[max(len(p.inFlightHistory)-2, 0)], MaxRemaining: maximum, Decides: !p.listening()})
 }
 
 func (p *play) handle(m Message) {
@@ -44,10 +44,10 @@
 		switch e := e.(type) {
 		case Write:
 			if p.early && e.Status.State == InProgress && e.Status.Writes > 1 {
-				e.Status.Stage, e.Status.Left, e.Status.Full = Moving, 6*time.Second, minFullLoad
+				e.Status.Stage, e.Status.Left, e.Status.FullLoad = Moving, 6*time.Second, minFullLoad
 			}
 			p.write(e)
-		case Warn:
+		case AnnounceBad:
 			p.warn()
 		}
 	}
@@ -75,7 +75,7 @@
 		case p.now < done:
 			p.pendingWrites = append(p.pendingWrites, wait)
 		case p.storeUnavailable.holds(p.now) || w.Revision != p.revision:
-			p.handle(Refused{p.time()})
+			p.handle(WriteRefused{p.time()})
 		default:
 			p.stored(w)
 		}
@@ -98,5 +98,5 @@
 		at := p.now + time.Duration(p.rand.Float64()*float64(maxStatusDelay))
 		p.nodes[i].updates = append(p.nodes[i].updates, statusUpdate{at: at, status: w.Status, rev: p.revision})
 	}
-	p.statusWritten(Learned{p.rollout(p.status, p.revision, false), p.time()})
+	p.statusWritten(StatusLearned{p.rollout(p.status, p.revision, false), p.time()})
 }
--- a/fleet/relay/rollout/model_test.go
+++ b/fleet/relay/rollout/model_test.go
@@ -91,7 +91,7 @@
 	unhealthy       [2]uint64 // hash of an unhealthy endpoint of the old version and of the target
 	lists           map[store.Revision]*Lists
 	decider         Decider
-	gathered        *Gathered
+	gathered        *EvidenceTracker
 	evidenceQueue   []func() // for the decider, in the next rounds
 	status          Status
 	revision        store.Revision
@@ -168,17 +168,17 @@
 // the age of the status.
 func (p *play) newDecider(found bool) {
 	p.decider = NewDecider(p.rule)
-	p.gathered = NewGathered("svc", made)
+	p.gathered = NewEvidenceTracker("svc", made)
 	r := p.rollout(p.status, p.revision, found)
 	if !found {
-		r.Learned = epoch.Add(p.out.endedAt)
+		r.LearnedAt = epoch.Add(p.out.endedAt)
 	}
-	p.handle(Learned{r, p.time()})
+	p.handle(StatusLearned{r, p.time()})
 	p.decider.judge.test = p.test
 }
 
 func (p *play) rollout(s Status, revision store.Revision, found bool) Rollout {
-	return Rollout{Order: p.order(), Status: s, Revision: revision, Learned: p.time(), Found: found}
+	return Rollout{Order: p.order(), Status: s, Revision: revision, LearnedAt: p.time(), AgeUnknown: found}
 }
 
 func (p *play) listsOf(s Status, revision store.Revision) *Lists {
@@ -193,7 +193,7 @@
 
 func (p *play) learn(i int, s statusUpdate) {
 	n := &p.nodes[i]
-	n.recorder.Refer(s.status.Usual)
+	n.recorder.SetReferences(s.status.References)
 	bad := n.plan.bad
 	n.plan = NewPlan(p.rollout(s.status, s.rev, s.found))
 	if bad {
@@ -331,7 +331,7 @@
 // dispatch sends a call that a node has received.
 func (p *play) dispatch(i, k int, route *modelRoute) {
 	n := &p.nodes[k]
-	c := Call{Hash: p.rand.Uint64(), Route: route.name, Once: route.once, Lasts: route.maximum, Now: p.time()}
+	c := Call{Hash: p.rand.Uint64(), Route: route.name, Once: route.once, MaxDuration: route.maximum, Now: p.time()}
 	from := n.lists.For(&n.plan, c)
 	if len(from) == 0 {
 		return
--- a/fleet/relay/rollout/move.go
+++ b/fleet/relay/rollout/move.go
@@ -83,7 +83,7 @@
 // ended, but no more than a part of the duration.
 func (d Decider) moveTime(t Tick) time.Duration {
 	maximum := time.Duration(maxMovePart * float64(d.rollout.Duration))
-	return max(min(t.Lasts+maxLearnDelay, maximum), min(rampTime+d.fullLoadTime()+maxLearnDelay, maximum))
+	return max(min(t.MaxRemaining+maxLearnDelay, maximum), min(rampTime+d.fullLoadTime()+maxLearnDelay, maximum))
 }
 
 // startMoving starts the move if enough was observed of the target and it is not in doubt. It waits
@@ -103,8 +103,8 @@
 	}
 	status := d.rollout.Status
 	status.Stage = Moving
-	status.Full = d.fullLoadTime()
-	status.Left = max(min(duration, remaining-d.slowestWrite), status.Full+maxLearnDelay+rampTime/2)
+	status.FullLoad = d.fullLoadTime()
+	status.Left = max(min(duration, remaining-d.slowestWrite), status.FullLoad+maxLearnDelay+rampTime/2)
 	return d.write(status, fmt.Sprintf("%d answers of the target, %s left", target.Answers, remaining), t.Now)
 }
 
@@ -153,7 +153,7 @@
 	switch {
 	case d.rollout.Status.Stage != Moving:
 		return watched
-	case len(d.rollout.Status.Usual) == 0:
+	case len(d.rollout.Status.References) == 0:
 		return watched / 2
 	}
 	return d.slowAnswerTime() + gatherTime
@@ -162,8 +162,8 @@
 // slowAnswerTime returns how long an answer of the slowest route takes until it counts as slow.
 func (d Decider) slowAnswerTime() time.Duration {
 	slowest := time.Duration(0)
-	for _, known := range d.rollout.Status.Usual {
-		slowest = max(slowest, known.Usual)
+	for _, known := range d.rollout.Status.References {
+		slowest = max(slowest, known.MedianTime)
 	}
 	return time.Duration(slowFactor * float64(slowest))
 }
@@ -220,10 +220,10 @@
 // oldMayStopAt returns when old endpoints may stop. Nodes that found the status when they started
 // send nothing there.
 func (d Decider) oldMayStopAt() time.Time {
-	if d.rollout.Found {
-		return d.rollout.Learned.Add(d.rollout.Status.Full)
+	if d.rollout.AgeUnknown {
+		return d.rollout.LearnedAt.Add(d.rollout.Status.FullLoad)
 	}
-	return d.rollout.Learned.Add(d.rollout.Status.Left)
+	return d.rollout.LearnedAt.Add(d.rollout.Status.Left)
 }
 
 // resolveDoubt waits for more answers as long as there is time, and then reverts to the version that
--- a/fleet/relay/rollout/order.go
+++ b/fleet/relay/rollout/order.go
@@ -21,9 +21,9 @@
 	Made     int64         // number of the store's revision at which it was made: identifies the order
 }
 
-// Fault returns why an order is invalid; "" if it is valid. An invalid order changes nothing, and is
+// Problem returns why an order is invalid; "" if it is valid. An invalid order changes nothing, and is
 // logged.
-func (o Order) Fault() string {
+func (o Order) Problem() string {
 	switch {
 	case o.Service == "":
 		return "it names no service"
@@ -48,26 +48,26 @@
 
 // Status is what the fleet has agreed on for an order. It is kept in the store.
 type Status struct {
-	State  State
-	Target string // target of its order; a status with another target belongs to another order
-	Made   int64  // Made of its order; 0 if unknown
-	Stage  Stage
-	Share  float64       // of each node's calls that sample the target while sampling
-	Parts  []Part        // shares of single routes; Share applies to the others
-	Used   time.Duration // of the order's duration when the status was written
-	Filled float64       // while sampling: share that loads one endpoint like an old one; 0 without pulses
-	Ill    uint32        // bit set of the target's cohorts that are not sampled: one unhealthy endpoint each
-	First  int           // index of the sampled endpoint that the first pulse loads
-	Left   time.Duration // in the stage Moving: until old endpoints may stop
-	Full   time.Duration // end of Left in which nearly all new calls go to the target
-	Barred []string      // versions of earlier orders that were not found good: they receive nothing
-	Writes int           // how often the status of this order was written
-	Usual  []Reference   // the old version's baseline, for nodes that never observed it
+	State       State
+	Target      string // target of its order; a status with another target belongs to another order
+	Made        int64  // Made of its order; 0 if unknown
+	Stage       Stage
+	Share       float64       // of each node's calls that sample the target while sampling
+	RouteShares []RouteShare  // shares of single routes; Share applies to the others
+	Used        time.Duration // of the order's duration when the status was written
+	PulseShare  float64       // while sampling: share that loads one endpoint like an old one; 0 without pulses
+	Unhealthy   uint32        // bit set of the target's cohorts that are not sampled: one unhealthy endpoint each
+	FirstPulse  int           // index of the sampled endpoint that the first pulse loads
+	Left        time.Duration // in the stage Moving: until old endpoints may stop
+	FullLoad    time.Duration // end of Left in which nearly all new calls go to the target
+	Barred      []string      // versions of earlier orders that were not found good: they receive nothing
+	Writes      int           // how often the status of this order was written
+	References  []Reference   // the old version's baseline, for nodes that never observed it
 }
 
-// Part is the share of one route's calls that samples the target: routes with few calls need a
+// RouteShare is the share of one route's calls that samples the target: routes with few calls need a
 // larger one.
-type Part struct {
+type RouteShare struct {
 	Route string
 	Share float64
 }
@@ -84,22 +84,22 @@
 // Rollout is an order and its status, as known to one node.
 type Rollout struct {
 	Order
-	Status   Status
-	Revision store.Revision // of the object in the store
-	Learned  time.Time      // when this node learned of this status, by its steady clock
-	Found    bool           // the status was there when this node first read the order: its age is unknown
-	Lacking  bool           // the store was restored from a copy without this status
+	Status         Status
+	Revision       store.Revision // of the object in the store
+	LearnedAt      time.Time      // when this node learned of this status, by its steady clock
+	AgeUnknown     bool           // the status was there when this node first read the order: its age is unknown
+	MissingInStore bool           // the store was restored from a copy without this status
 }
 
-// Outlasts returns the rollout as a later era of the store holds it, with the status known from an
+// CarryOver returns the rollout as a later era of the store holds it, with the status known from an
 // earlier era if that is further along. An operator's order that is written again is the same order,
 // whatever the revision at which it was made.
-func (r Rollout) Outlasts(known Rollout) Rollout {
+func (r Rollout) CarryOver(known Rollout) Rollout {
 	same := known.Service == r.Service && known.Target == r.Target && known.Duration == r.Duration
 	if !same || known.State() == Ordered || r.State() != Ordered && r.Status.Writes >= known.Status.Writes {
 		return r
 	}
-	r.Status, r.Learned, r.Found, r.Lacking = known.Status, known.Learned, known.Found, true
+	r.Status, r.LearnedAt, r.AgeUnknown, r.MissingInStore = known.Status, known.LearnedAt, known.AgeUnknown, true
 	if r.Status.Made != 0 {
 		r.Status.Made = r.Made
 	}
--- a/fleet/relay/rollout/pace_takeover_test.go
+++ b/fleet/relay/rollout/pace_takeover_test.go
@@ -31,8 +31,8 @@
 			now := time.Unix(1000, 0)
 			order := rollout.Order{Service: "s", Target: "v2", Duration: 40 * time.Second, Made: 7}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			status := rollout.Status{State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 20 * time.Second, Left: 2 * time.Second, Full: 1300 * time.Millisecond, Writes: 3}
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, Learned: now}})
+			status := rollout.Status{State: rollout.InProgress, Stage: rollout.Moving, Target: "v2", Made: 7, Share: 0.05, Used: 20 * time.Second, Left: 2 * time.Second, FullLoad: 1300 * time.Millisecond, Writes: 3}
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, LearnedAt: now}})
 			total := 0
 			for at := time.Duration(0); at < 10*time.Second; at += every {
 				answers := 80
@@ -40,14 +40,14 @@
 					answers /= 4
 				}
 				total += answers
-				all := rollout.RouteEvidence{Route: "r", UsualMs: 25}
+				all := rollout.RouteEvidence{Route: "r", MedianMs: 25}
 				for cohort := range 8 {
 					all.Target[cohort] = rollout.Count{Answers: total / 8}
 					if at >= c.receivedAfter {
 						all.Old[cohort] = rollout.Count{Answers: c.before / 8}
 					}
 				}
-				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{all}}, Now: now.Add(at)})
+				d, _ = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{all}}, Now: now.Add(at)})
 				var effects []rollout.Effect
 				d, effects = d.Handle(rollout.Tick{Now: now.Add(at), Old: 10, Target: 10, Cohorts: 8, Decides: true})
 				for _, e := range effects {
@@ -79,16 +79,16 @@
 			now := time.Unix(1000, 0)
 			order := rollout.Order{Service: "s", Target: "v2", Duration: 18 * time.Second, Made: 7}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-			r := rollout.Rollout{Order: order, Revision: 8, Learned: now}
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: r})
+			r := rollout.Rollout{Order: order, Revision: 8, LearnedAt: now}
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: r})
 			var learnedAt time.Time
 			total, began := 0, now
 			for at := time.Duration(0); at < 20*time.Second; at += every {
 				now = began.Add(at)
 				if !learnedAt.IsZero() && !now.Before(learnedAt) {
-					r.Learned, learnedAt = now.Add(-c.takes), time.Time{}
+					r.LearnedAt, learnedAt = now.Add(-c.takes), time.Time{}
 					r.Revision++
-					d, _ = d.Handle(rollout.Learned{Now: now, Rollout: r})
+					d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: r})
 				}
 				moving := r.Status.Stage == rollout.Moving
 				if moving {
@@ -96,11 +96,11 @@
 				} else {
 					total += 80
 				}
-				all := rollout.RouteEvidence{Route: "r", UsualMs: 25}
+				all := rollout.RouteEvidence{Route: "r", MedianMs: 25}
 				for cohort := range 8 {
 					all.Target[cohort].Answers, all.Old[cohort].Answers = total/80, (total-total/10)/8
 				}
-				d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{all}}, Now: now})
+				d, _ = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{all}}, Now: now})
 				var effects []rollout.Effect
 				d, effects = d.Handle(rollout.Tick{Now: now, Old: 10, Target: 10, Cohorts: 8, Decides: true})
 				for _, e := range effects {
--- a/fleet/relay/rollout/pace_test.go
+++ b/fleet/relay/rollout/pace_test.go
@@ -33,7 +33,7 @@
 			order := rollout.Order{Service: "s", Target: "v2", Duration: 18 * time.Second, Made: 7}
 			d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
 			status := rollout.Status{State: rollout.InProgress, Stage: rollout.Sampling, Target: "v2", Made: 7, Share: 0.05, Used: 6 * time.Second, Writes: 2}
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, Learned: now}})
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 9, LearnedAt: now}})
 			var old, target rollout.Count
 			report := func(at time.Time, moving, bad bool, answers int) []rollout.Effect {
 				old.Answers += answers
@@ -47,13 +47,13 @@
 					old.Answers -= answers / 10
 					target.Answers += answers / 10
 				}
-				route := rollout.RouteEvidence{Route: "r", UsualMs: 25}
+				route := rollout.RouteEvidence{Route: "r", MedianMs: 25}
 				for cohort := range 8 {
 					route.Old[cohort] = rollout.Count{Answers: old.Answers / 8}
 					route.Target[cohort] = rollout.Count{Answers: target.Answers / 8, Bad: target.Bad / 8}
 				}
 				var effects, ticked []rollout.Effect
-				d, effects = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+				d, effects = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
 				d, ticked = d.Handle(rollout.Tick{Now: at, Old: 10, Target: 10, Cohorts: 8, Decides: true})
 				return append(effects, ticked...)
 			}
@@ -62,8 +62,8 @@
 				report(now, false, false, 160)
 			}
 			moved := now
-			status.Stage, status.Used, status.Left, status.Full, status.Writes = rollout.Moving, 10*time.Second, 2*time.Second, 1300*time.Millisecond, 3
-			d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 10, Learned: now}})
+			status.Stage, status.Used, status.Left, status.FullLoad, status.Writes = rollout.Moving, 10*time.Second, 2*time.Second, 1300*time.Millisecond, 3
+			d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{Order: order, Status: status, Revision: 10, LearnedAt: now}})
 			for at := every; at < 9*time.Second; at += every {
 				silent := at >= c.silent.from && at < c.silent.until
 				if silent && !c.deciderRuns {
--- a/fleet/relay/rollout/plan.go
+++ b/fleet/relay/rollout/plan.go
@@ -17,12 +17,12 @@
 
 // Call holds what the side of a call depends on.
 type Call struct {
-	Hash    uint64        // hash of its id: selects the calls that sample the target
-	Route   string        // its name, as in Sample
-	Once    bool          // it may run at most once
-	Lasts   time.Duration // expected maximum duration
-	Attempt int           // 0 is the first; later ones never sample the target
-	Now     time.Time     // by the node's steady clock
+	Hash        uint64        // hash of its id: selects the calls that sample the target
+	Route       string        // its name, as in Sample
+	Once        bool          // it may run at most once
+	MaxDuration time.Duration // expected maximum duration
+	Attempt     int           // 0 is the first; later ones never sample the target
+	Now         time.Time     // by the node's steady clock
 }
 
 // rampTime is how long the share of calls that could still end at old endpoints takes to rise from
@@ -81,9 +81,9 @@
 func (p *Plan) moving(c Call) Side {
 	left := p.left(c.Now)
 	switch {
-	case c.Lasts >= left:
+	case c.MaxDuration >= left:
 		return New
-	case c.Attempt > 0 && left > p.rollout.Status.Full:
+	case c.Attempt > 0 && left > p.rollout.Status.FullLoad:
 		return Old
 	case p.sampled(c, p.rampShare(c, left)):
 		return New
@@ -94,10 +94,10 @@
 // left returns how long old endpoints certainly keep running. With a status of unknown age no call
 // may start there.
 func (p *Plan) left(now time.Time) time.Duration {
-	if p.rollout.Found {
+	if p.rollout.AgeUnknown {
 		return 0
 	}
-	return p.rollout.Status.Left - now.Sub(p.rollout.Learned) - maxLearnDelay
+	return p.rollout.Status.Left - now.Sub(p.rollout.LearnedAt) - maxLearnDelay
 }
 
 // rampShare returns the share of calls that could still end at old endpoints which go to the target.
@@ -106,7 +106,7 @@
 // breaks under load.
 func (p *Plan) rampShare(c Call, left time.Duration) float64 {
 	share := p.share(c)
-	x := float64(p.rollout.Status.Full+rampTime-left) / float64(rampTime)
+	x := float64(p.rollout.Status.FullLoad+rampTime-left) / float64(rampTime)
 	switch {
 	case x <= 0:
 		return share
@@ -117,12 +117,12 @@
 }
 
 func (p *Plan) share(c Call) float64 {
-	for i := range p.rollout.Status.Parts {
-		if part := &p.rollout.Status.Parts[i]; part.Route == c.Route {
+	for i := range p.rollout.Status.RouteShares {
+		if part := &p.rollout.Status.RouteShares[i]; part.Route == c.Route {
 			return part.Share
 		}
 	}
-	if c.Once && len(p.rollout.Status.Parts) == 0 {
+	if c.Once && len(p.rollout.Status.RouteShares) == 0 {
 		return 0 // sampled only once the shares of routes are known
 	}
 	return p.rollout.Status.Share
--- a/fleet/relay/rollout/plan_test.go
+++ b/fleet/relay/rollout/plan_test.go
@@ -12,7 +12,7 @@
 
 func planOf(s Status) Plan {
 	s.Target, s.Made = "v2", 10
-	return NewPlan(Rollout{Order: order("v2", 10), Status: s, Revision: 20, Learned: epoch})
+	return NewPlan(Rollout{Order: order("v2", 10), Status: s, Revision: 20, LearnedAt: epoch})
 }
 
 // targetShare returns the share of calls that go to the target.
@@ -29,8 +29,8 @@
 }
 
 func TestShareOfCallsToTheTarget(t *testing.T) {
-	parts := []Part{{"small", 0.2}, {"large", 0.05}, {"once", 0.02}}
-	moving := Status{State: InProgress, Stage: Moving, Left: 8*time.Second + maxLearnDelay, Full: time.Second, Share: 0.08}
+	parts := []RouteShare{{"small", 0.2}, {"large", 0.05}, {"once", 0.02}}
+	moving := Status{State: InProgress, Stage: Moving, Left: 8*time.Second + maxLearnDelay, FullLoad: time.Second, Share: 0.08}
 	for _, c := range []struct {
 		name string
 		plan Plan
@@ -41,19 +41,19 @@
 		{"sampling", planOf(Status{State: InProgress, Share: 0.08}), Call{}, 0.08},
 		{"sampling, must run once", planOf(Status{State: InProgress, Share: 0.08}), Call{Once: true}, 0},
 		{"sampling, retry", planOf(Status{State: InProgress, Share: 0.08}), Call{Attempt: 1}, 0},
-		{"sampling, small route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "small"}, 0.2},
-		{"sampling, large route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "large"}, 0.05},
-		{"sampling, must run once, parts", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "once", Once: true}, 0.02},
-		{"sampling, later route", planOf(Status{State: InProgress, Share: 0.08, Parts: parts}), Call{Route: "new"}, 0.08},
+		{"sampling, small route", planOf(Status{State: InProgress, Share: 0.08, RouteShares: parts}), Call{Route: "small"}, 0.2},
+		{"sampling, large route", planOf(Status{State: InProgress, Share: 0.08, RouteShares: parts}), Call{Route: "large"}, 0.05},
+		{"sampling, must run once, parts", planOf(Status{State: InProgress, Share: 0.08, RouteShares: parts}), Call{Route: "once", Once: true}, 0.02},
+		{"sampling, later route", planOf(Status{State: InProgress, Share: 0.08, RouteShares: parts}), Call{Route: "new"}, 0.08},
 		{"found bad", planOf(Status{State: InProgress, Share: 0.08}).WithBad(), Call{}, 0},
-		{"moving, found bad", planOf(moving).WithBad(), Call{Lasts: time.Minute}, 0},
-		{"moving, ends in time", planOf(moving), Call{Lasts: time.Second}, 0.08},
-		{"moving, ends too late", planOf(moving), Call{Lasts: 9 * time.Second}, 1},
-		{"moving, in the ramp", planOf(moving), Call{Lasts: time.Second / 2, Now: epoch.Add(7*time.Second - rampTime/2)}, 0.08 + 0.86/8},
-		{"moving, retry in time", planOf(moving), Call{Lasts: time.Second, Attempt: 1, Now: epoch.Add(6800 * time.Millisecond)}, 0},
-		{"moving, retry too late", planOf(moving), Call{Lasts: 2 * time.Second, Attempt: 1, Now: epoch.Add(6500 * time.Millisecond)}, 1},
-		{"moving, full load", planOf(moving), Call{Lasts: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
-		{"moving, full load, retry", planOf(moving), Call{Lasts: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
+		{"moving, found bad", planOf(moving).WithBad(), Call{MaxDuration: time.Minute}, 0},
+		{"moving, ends in time", planOf(moving), Call{MaxDuration: time.Second}, 0.08},
+		{"moving, ends too late", planOf(moving), Call{MaxDuration: 9 * time.Second}, 1},
+		{"moving, in the ramp", planOf(moving), Call{MaxDuration: time.Second / 2, Now: epoch.Add(7*time.Second - rampTime/2)}, 0.08 + 0.86/8},
+		{"moving, retry in time", planOf(moving), Call{MaxDuration: time.Second, Attempt: 1, Now: epoch.Add(6800 * time.Millisecond)}, 0},
+		{"moving, retry too late", planOf(moving), Call{MaxDuration: 2 * time.Second, Attempt: 1, Now: epoch.Add(6500 * time.Millisecond)}, 1},
+		{"moving, full load", planOf(moving), Call{MaxDuration: 10 * time.Millisecond, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
+		{"moving, full load, retry", planOf(moving), Call{MaxDuration: 10 * time.Millisecond, Attempt: 1, Now: epoch.Add(7100 * time.Millisecond)}, rampEndShare},
 		{"completed", planOf(Status{State: Completed}), Call{}, 1},
 		{"completed, found bad later", planOf(Status{State: Completed}).WithBad(), Call{}, 1},
 		{"reverted", planOf(Status{State: Reverted}), Call{}, 0},
@@ -73,10 +73,10 @@
 }
 
 func TestFoundMoveSendsNoCallToOldEndpoints(t *testing.T) {
-	r := Rollout{Order: order("v2", 10), Learned: epoch, Found: true,
+	r := Rollout{Order: order("v2", 10), LearnedAt: epoch, AgeUnknown: true,
 		Status: Status{State: InProgress, Stage: Moving, Left: time.Minute, Target: "v2", Made: 10}}
 	p := NewPlan(r)
-	assert.Equal(t, New, p.Side(Call{Now: epoch, Lasts: time.Millisecond}))
+	assert.Equal(t, New, p.Side(Call{Now: epoch, MaxDuration: time.Millisecond}))
 }
 
 func TestCallIsSampledAlikeAtEveryNode(t *testing.T) {
--- a/fleet/relay/rollout/pulse.go
+++ b/fleet/relay/rollout/pulse.go
@@ -41,7 +41,7 @@
 	if p.elapsed(now)%p.period >= pulseDuration {
 		return 0
 	}
-	return min(share*p.rollout.Status.Filled/p.rollout.Status.Share, maxPulseShare)
+	return min(share*p.rollout.Status.PulseShare/p.rollout.Status.Share, maxPulseShare)
 }
 
 // pulseRange selects which of the sampled endpoints a pulse loads, one after the other.
@@ -49,7 +49,7 @@
 	if p.period == 0 || endpoints == 0 {
 		return 0, endpoints
 	}
-	i := (p.rollout.Status.First + int(p.elapsed(now)/p.period)) % endpoints
+	i := (p.rollout.Status.FirstPulse + int(p.elapsed(now)/p.period)) % endpoints
 	return i, i + 1
 }
 
@@ -57,17 +57,17 @@
 func nextPulse(r Rollout, now time.Time) int {
 	every := period(r.Status)
 	if every == 0 {
-		return r.Status.First
+		return r.Status.FirstPulse
 	}
-	return r.Status.First + int(max(now.Sub(r.Learned), 0)/every) + 1
+	return r.Status.FirstPulse + int(max(now.Sub(r.LearnedAt), 0)/every) + 1
 }
 
 // elapsed returns how long the status has been in force. If the status was found, its first pulse
 // counts as over: otherwise nodes that restart one after the other would each start one, and the
 // target would receive many times its share.
 func (p *Plan) elapsed(now time.Time) time.Duration {
-	passed := max(now.Sub(p.rollout.Learned), 0)
-	if p.rollout.Found {
+	passed := max(now.Sub(p.rollout.LearnedAt), 0)
+	if p.rollout.AgeUnknown {
 		passed += pulseDuration
 	}
 	return passed
@@ -75,8 +75,8 @@
 
 // period returns the time from one pulse to the next.
 func period(s Status) time.Duration {
-	if s.Filled <= s.Share || s.Share <= 0 || s.State != InProgress || s.Stage != Sampling {
+	if s.PulseShare <= s.Share || s.Share <= 0 || s.State != InProgress || s.Stage != Sampling {
 		return 0
 	}
-	return time.Duration(float64(pulseDuration) * s.Filled / s.Share)
+	return time.Duration(float64(pulseDuration) * s.PulseShare / s.Share)
 }
--- a/fleet/relay/rollout/pulse_test.go
+++ b/fleet/relay/rollout/pulse_test.go
@@ -10,9 +10,9 @@
 // Guards against nodes that each start a pulse when they find a status: restarted one after the
 // other, they would send the target more than its mean share.
 func TestRestartedNodeStartsNoPulse(t *testing.T) {
-	status := Status{State: InProgress, Share: 0.05, Filled: 0.5}
+	status := Status{State: InProgress, Share: 0.05, PulseShare: 0.5}
 	learned := planOf(status)
-	r := Rollout{Order: order("v2", 10), Status: status, Revision: 20, Learned: epoch, Found: true}
+	r := Rollout{Order: order("v2", 10), Status: status, Revision: 20, LearnedAt: epoch, AgeUnknown: true}
 	r.Status.Target, r.Status.Made = "v2", 10
 	found := NewPlan(r)
 	inPulse := Call{Route: "r", Now: epoch.Add(pulseDuration / 2)}
--- a/fleet/relay/rollout/recorder.go
+++ b/fleet/relay/rollout/recorder.go
@@ -46,9 +46,9 @@
 	return &Recorder{evidence: Evidence{Service: o.Service, Made: o.Made}, pending: map[uint64][]Sample{}}
 }
 
-// Refer sets what others observed of the old version. Where the recorder has few answers of that
+// SetReferences sets what others observed of the old version. Where the recorder has few answers of that
 // version itself, it compares the target's answers with the references.
-func (r *Recorder) Refer(references []Reference) {
+func (r *Recorder) SetReferences(references []Reference) {
 	if len(references) > 0 {
 		r.references = references[:min(len(references), maxRoutes)]
 	}
@@ -59,9 +59,9 @@
 	return Evidence{Service: r.evidence.Service, Made: r.evidence.Made}.Plus(r.evidence)
 }
 
-// Sent counts a call when it is sent; its answer follows in samples that have Sent set. A call to a
+// RecordSent counts a call when it is sent; its answer follows in samples that have Sent set. A call to a
 // cold endpoint counts only if it fails: its answer doesn't show whether the version is slow.
-func (r *Recorder) Sent(s Sample) {
+func (r *Recorder) RecordSent(s Sample) {
 	if i := r.route(s); i >= 0 && s.Service == r.evidence.Service && !s.Cold {
 		r.add(i, s, Count{Answers: 1})
 	}
@@ -75,7 +75,7 @@
 	if s.Service != r.evidence.Service {
 		return false
 	}
-	if s.Unreached {
+	if s.Unreachable {
 		r.hold(s)
 		return true
 	}
@@ -88,10 +88,10 @@
 	return r.count(s)
 }
 
-// SlowFrom returns the multiple of the expected time from which an answer of a route counts as slow;
+// SlowThreshold returns the multiple of the expected time from which an answer of a route counts as slow;
 // 0 if unknown. Where only references of others are known, it returns the time after which an answer
 // is slow.
-func (r *Recorder) SlowFrom(route string) (times float64, after time.Duration) {
+func (r *Recorder) SlowThreshold(route string) (times float64, after time.Duration) {
 	i := slices.IndexFunc(r.evidence.Routes, func(e RouteEvidence) bool { return e.Route == route })
 	known := 0
 	if i >= 0 {
@@ -110,8 +110,8 @@
 // unknown.
 func (r *Recorder) referenceLimit(route string) time.Duration {
 	for _, known := range r.references {
-		if known.Route == route && known.Usual > 0 {
-			return time.Duration(slowFactor*float64(known.Usual+referenceSlack)) - referenceSlack
+		if known.Route == route && known.MedianTime > 0 {
+			return time.Duration(slowFactor*float64(known.MedianTime+referenceSlack)) - referenceSlack
 		}
 	}
 	return 0
@@ -183,15 +183,15 @@
 	if s.Slowness <= 0 || s.Target && !r.hasBaseline {
 		return false // no baseline to compare with
 	}
-	informs := !s.Target && !s.AtLeast
-	if s.AtLeast && r.routeSlowness[route].answers == 0 {
+	informs := !s.Target && !s.LowerBound
+	if s.LowerBound && r.routeSlowness[route].answers == 0 {
 		return false
 	}
 	excess := r.routeSlowness[route].excess(math.Log(s.Slowness)-r.commonSlowness, !informs)
 	if informs {
 		r.hasBaseline = true
 		r.commonSlowness += max(min(excess, commonStep), -commonStep)
-		r.evidence.Routes[route].UsualMs = r.routeSlowness[route].nextMedianMs(r.evidence.Routes[route].UsualMs, s.Took)
+		r.evidence.Routes[route].MedianMs = r.routeSlowness[route].nextMedianMs(r.evidence.Routes[route].MedianMs, s.Took)
 	}
 	return excess > math.Log(slowFactor)
 }
--- a/fleet/relay/rollout/recorder_test.go
+++ b/fleet/relay/rollout/recorder_test.go
@@ -20,7 +20,7 @@
 func TestRecorderCounts(t *testing.T) {
 	failed := func(s *Sample) { s.Failed = true }
 	lost := func(at time.Duration) Sample {
-		return sample(true, func(s *Sample) { s.Failed, s.Unreached, s.Now = true, true, epoch.Add(at) })
+		return sample(true, func(s *Sample) { s.Failed, s.Unreachable, s.Now = true, true, epoch.Add(at) })
 	}
 	answered := func(at time.Duration) Sample {
 		return sample(true, func(s *Sample) { s.Now = epoch.Add(at) })
@@ -60,8 +60,8 @@
 	r := NewRecorder(order("v2", 10))
 	counted := func() Count { return r.Evidence().Route("r").Target.Sum() }
 	sent := sample(true, func(s *Sample) { s.Sent = true })
-	r.Sent(sent)
-	r.Sent(sent)
+	r.RecordSent(sent)
+	r.RecordSent(sent)
 	assert.Equal(t, Count{2, 0}, counted())
 	assert.False(t, r.Add(sent), "its first event came in time")
 	sent.Failed = true
@@ -115,16 +115,16 @@
 		samples  []Sample
 		want     Count
 	}{
-		{"typical", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(typical)}, Count{1, 0}},
-		{"five times slower", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 1}},
-		{"nothing is known of the route", []Reference{{Route: "other", Usual: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 0}},
+		{"typical", []Reference{{Route: "r", MedianTime: typical, Answers: 20}}, []Sample{target(typical)}, Count{1, 0}},
+		{"five times slower", []Reference{{Route: "r", MedianTime: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 1}},
+		{"nothing is known of the route", []Reference{{Route: "other", MedianTime: typical, Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 0}},
 		{"no times are known", []Reference{{Route: "r", Answers: 20}}, []Sample{target(5 * typical)}, Count{1, 0}},
-		{"how long it took is not known", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{target(0)}, Count{1, 0}},
-		{"the old version is as slow by now", []Reference{{Route: "r", Usual: typical, Answers: 20}}, []Sample{old, old, old, target(5 * typical)}, Count{1, 0}},
+		{"how long it took is not known", []Reference{{Route: "r", MedianTime: typical, Answers: 20}}, []Sample{target(0)}, Count{1, 0}},
+		{"the old version is as slow by now", []Reference{{Route: "r", MedianTime: typical, Answers: 20}}, []Sample{old, old, old, target(5 * typical)}, Count{1, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewRecorder(order("v2", 10))
-			r.Refer(c.referred)
+			r.SetReferences(c.referred)
 			for _, s := range c.samples {
 				r.Add(s)
 			}
@@ -132,8 +132,8 @@
 		})
 	}
 	r := NewRecorder(order("v2", 10))
-	r.Refer([]Reference{{Route: "r", Usual: typical, Answers: 20}})
-	times, after := r.SlowFrom("r")
+	r.SetReferences([]Reference{{Route: "r", MedianTime: typical, Answers: 20}})
+	times, after := r.SlowThreshold("r")
 	assert.Zero(t, times)
 	assert.InDelta(t, slowFactor*float64(typical), float64(after), float64(2*referenceSlack))
 }
@@ -142,11 +142,11 @@
 // based on more answers.
 func TestUpdatedReferences(t *testing.T) {
 	observed := func(usualMs float64, old Count) Evidence {
-		r := RouteEvidence{Route: "r", UsualMs: usualMs}
+		r := RouteEvidence{Route: "r", MedianMs: usualMs}
 		r.Old[2] = old
 		return Evidence{Service: "svc", Made: 10, Routes: []RouteEvidence{r}}
 	}
-	before := []Reference{{Route: "r", Usual: 80 * time.Millisecond, Answers: 50, Bad: 2}}
+	before := []Reference{{Route: "r", MedianTime: 80 * time.Millisecond, Answers: 50, Bad: 2}}
 	for _, c := range []struct {
 		name   string
 		e      Evidence
@@ -156,12 +156,12 @@
 		{"nothing", Evidence{}, nil, nil},
 		{"nothing new", Evidence{}, before, before},
 		{"nothing of the old version", observed(0, Count{}), before, before},
-		{"the first", observed(100.4, Count{30, 3}), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 30, Bad: 3}}},
-		{"more than before", observed(100, Count{60, 3}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 60, Bad: 3}}},
+		{"the first", observed(100.4, Count{30, 3}), nil, []Reference{{Route: "r", MedianTime: 100 * time.Millisecond, Answers: 30, Bad: 3}}},
+		{"more than before", observed(100, Count{60, 3}), before, []Reference{{Route: "r", MedianTime: 100 * time.Millisecond, Answers: 60, Bad: 3}}},
 		{"less than before", observed(300, Count{20, 20}), before, before},
-		{"many", observed(100, Count{4000, 400}), before, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 200, Bad: 20}}},
-		{"two nodes", observed(100, Count{30, 0}).Plus(observed(200, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 125 * time.Millisecond, Answers: 40}}},
-		{"two nodes, one knows no times", observed(100, Count{30, 0}).Plus(observed(0, Count{10, 0})), nil, []Reference{{Route: "r", Usual: 100 * time.Millisecond, Answers: 40}}},
+		{"many", observed(100, Count{4000, 400}), before, []Reference{{Route: "r", MedianTime: 100 * time.Millisecond, Answers: 200, Bad: 20}}},
+		{"two nodes", observed(100, Count{30, 0}).Plus(observed(200, Count{10, 0})), nil, []Reference{{Route: "r", MedianTime: 125 * time.Millisecond, Answers: 40}}},
+		{"two nodes, one knows no times", observed(100, Count{30, 0}).Plus(observed(0, Count{10, 0})), nil, []Reference{{Route: "r", MedianTime: 100 * time.Millisecond, Answers: 40}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, updatedReferences(c.e, c.before))
@@ -173,19 +173,19 @@
 	r := NewRecorder(order("v2", 10))
 	for i := range 10_000 {
 		r.Add(sample(true, func(s *Sample) { s.Route, s.Endpoint = string(rune(i)), uint64(i) }))
-		r.Add(sample(true, func(s *Sample) { s.Endpoint, s.Unreached = uint64(i), true }))
+		r.Add(sample(true, func(s *Sample) { s.Endpoint, s.Unreachable = uint64(i), true }))
 	}
 	assert.LessOrEqual(t, len(r.Evidence().Routes), maxRoutes)
 	assert.LessOrEqual(t, len(r.pending), maxPending)
 }
 
 func TestEvidenceOfARestartedNodeStillCounts(t *testing.T) {
-	g := NewGathered("svc", 10)
-	g.Take("a.1", evidenceOf(Count{160, 0}, Count{16, 16}))
-	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0}))
-	g.Take("a.2", evidenceOf(Count{320, 0}, Count{32, 0}))
-	g.Take("a.2", evidenceOf(Count{160, 0}, Count{16, 0})) // arrives late
-	g.Take("b.1", Evidence{Service: "svc", Made: 9})
+	g := NewEvidenceTracker("svc", 10)
+	g.Record("a.1", evidenceOf(Count{160, 0}, Count{16, 16}))
+	g.Record("a.2", evidenceOf(Count{160, 0}, Count{16, 0}))
+	g.Record("a.2", evidenceOf(Count{320, 0}, Count{32, 0}))
+	g.Record("a.2", evidenceOf(Count{160, 0}, Count{16, 0})) // arrives late
+	g.Record("b.1", Evidence{Service: "svc", Made: 9})
 	target, old := g.Sum().counts("")
 	assert.Equal(t, Count{48, 16}, target)
 	assert.Equal(t, Count{480, 0}, old)
--- a/fleet/relay/rollout/reference.go
+++ b/fleet/relay/rollout/reference.go
@@ -11,10 +11,10 @@
 // survives the nodes that observed the old version: others would take what a bad target shows for
 // normal.
 type Reference struct {
-	Route   string
-	Usual   time.Duration // median time until the first event, or of a plain call; 0 if unknown
-	Answers int           // number of answers behind it
-	Bad     int           // bad ones among them
+	Route      string
+	MedianTime time.Duration // median time until the first event, or of a plain call; 0 if unknown
+	Answers    int           // number of answers behind it
+	Bad        int           // bad ones among them
 }
 
 const (
@@ -30,7 +30,7 @@
 	all := slices.Clone(before)
 	for _, r := range e.Routes {
 		old := r.Old.Sum()
-		observed := Reference{Route: r.Route, Usual: medianDuration(r.UsualMs), Answers: old.Answers, Bad: old.Bad}.capped()
+		observed := Reference{Route: r.Route, MedianTime: medianDuration(r.MedianMs), Answers: old.Answers, Bad: old.Bad}.capped()
 		i := slices.IndexFunc(all, func(known Reference) bool { return known.Route == r.Route })
 		switch {
 		case old.Answers == 0:
--- a/fleet/relay/rollout/sampling.go
+++ b/fleet/relay/rollout/sampling.go
@@ -69,11 +69,11 @@
 		return d.writeShares("nothing was observed of the target since the status was found", t.Now)
 	case used >= d.end()-d.spare()-duration-d.writeTime()/2:
 		return d.startMoving(t, duration)
-	case len(status.Parts) == 0 && d.ratesKnown(t.Now):
+	case len(status.RouteShares) == 0 && d.ratesKnown(t.Now):
 		return d.writeShares("calls were counted", t.Now)
-	case status.Filled > 0 && d.judge.SuspectedSince(d.rollout.Learned) && t.Now.Sub(d.rollout.Learned) > minPulseSkip && d.mayWriteMore():
+	case status.PulseShare > 0 && d.judge.SuspectedSince(d.rollout.LearnedAt) && t.Now.Sub(d.rollout.LearnedAt) > minPulseSkip && d.mayWriteMore():
 		return d.writeShares("one endpoint looks bad, the next is loaded", t.Now)
-	case status.Ill != d.judge.UnhealthyCohorts() && d.mayWriteMore():
+	case status.Unhealthy != d.judge.UnhealthyCohorts() && d.mayWriteMore():
 		return d.writeShares("an endpoint of the target is unhealthy", t.Now)
 	case used-status.Used >= time.Duration(checkpointPart*float64(d.rollout.Duration)) && d.mayWriteMore() && d.latestAt.Sub(d.firstAt) >= minRateWindow:
 		return d.writeShares("time used", t.Now)
@@ -89,13 +89,13 @@
 // node starts a pulse from a status that it found, so the target would receive no calls.
 func (d Decider) missesPulses() bool {
 	_, target := d.latest.Answers()
-	return d.rollout.Found && period(d.rollout.Status) > 0 && target.Answers < minTargetAnswers && d.latestAt.Sub(d.firstAt) >= minRateWindow
+	return d.rollout.AgeUnknown && period(d.rollout.Status) > 0 && target.Answers < minTargetAnswers && d.latestAt.Sub(d.firstAt) >= minRateWindow
 }
 
 // ratesKnown reports whether enough calls were counted to know the rates of routes.
 func (d Decider) ratesKnown(now time.Time) bool {
 	passed := d.latestAt.Sub(d.firstAt)
-	if d.firstAt.IsZero() || now.Sub(d.rollout.Learned) < minRateWindow || passed < minRateWindow {
+	if d.firstAt.IsZero() || now.Sub(d.rollout.LearnedAt) < minRateWindow || passed < minRateWindow {
 		return false
 	}
 	all, _ := d.latest.Answers()
@@ -111,10 +111,10 @@
 	status, all := d.rollout.Status, d.rates()
 	if all.sum() > 0 {
 		status.Share = d.sampledShare(all.sum(), now)
-		status.Filled = d.pulseShare(status.Share, all.sum(), now)
-		status.Parts = routeShares(status.Share, status.Filled, all)
-		status.First = nextPulse(d.rollout, now)
-		status.Ill = d.judge.UnhealthyCohorts()
+		status.PulseShare = d.pulseShare(status.Share, all.sum(), now)
+		status.RouteShares = routeShares(status.Share, status.PulseShare, all)
+		status.FirstPulse = nextPulse(d.rollout, now)
+		status.Unhealthy = d.judge.UnhealthyCohorts()
 	}
 	return d.write(status, fmt.Sprintf("%s: %.1f calls/s on %d routes", why, all.sum(), len(all)), now)
 }
@@ -138,7 +138,7 @@
 func (d Decider) pulseShare(share, perSecond float64, now time.Time) float64 {
 	filled := pulseShareFor(share, d.tick.Old)
 	rest, _ := d.unsampledCalls(perSecond, now)
-	if d.rollout.Status.Filled > 0 && d.rollout.Status.Ill == d.judge.UnhealthyCohorts() && !d.judge.HasSuspicion() && rest < filled*perSecond*pulseDuration.Seconds()/2 {
+	if d.rollout.Status.PulseShare > 0 && d.rollout.Status.Unhealthy == d.judge.UnhealthyCohorts() && !d.judge.HasSuspicion() && rest < filled*perSecond*pulseDuration.Seconds()/2 {
 		return 0
 	}
 	return filled
--- a/fleet/relay/rollout/sampling_test.go
+++ b/fleet/relay/rollout/sampling_test.go
@@ -16,11 +16,11 @@
 	const every = 200 * time.Millisecond
 	now := time.Unix(1000, 0)
 	status := rollout.Status{
-		State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.05, Used: used, Writes: 2, Parts: []rollout.Part{{Route: "r", Share: 0.05}},
+		State: rollout.InProgress, Target: "v2", Made: 7, Share: 0.05, Used: used, Writes: 2, RouteShares: []rollout.RouteShare{{Route: "r", Share: 0.05}},
 	}
 	d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-	d, _ = d.Handle(rollout.Learned{Now: now, Rollout: rollout.Rollout{
-		Order: rollout.Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Made: 7}, Status: status, Revision: 9, Learned: now,
+	d, _ = d.Handle(rollout.StatusLearned{Now: now, Rollout: rollout.Rollout{
+		Order: rollout.Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Made: 7}, Status: status, Revision: 9, LearnedAt: now,
 	}})
 	for i := 0; time.Duration(i)*every <= until; i++ {
 		at := now.Add(time.Duration(i) * every)
@@ -31,8 +31,8 @@
 		more := target(i)
 		route.Target[1] = rollout.Count{Answers: (before.Answers + more.Answers) / 2, Bad: (before.Bad + more.Bad) / 2}
 		route.Target[2] = rollout.Count{Answers: before.Answers + more.Answers - route.Target[1].Answers, Bad: before.Bad + more.Bad - route.Target[1].Bad}
-		d, _ = d.Handle(rollout.Told{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
-		_, effects := d.Handle(rollout.Tick{Now: at, Old: 40, Target: 40, Cohorts: 16, OldInFlight: 5, Lasts: 100 * time.Millisecond, Decides: true})
+		d, _ = d.Handle(rollout.EvidenceUpdated{Evidence: rollout.Evidence{Service: "s", Made: 7, Routes: []rollout.RouteEvidence{route}}, Now: at})
+		_, effects := d.Handle(rollout.Tick{Now: at, Old: 40, Target: 40, Cohorts: 16, OldInFlight: 5, MaxRemaining: 100 * time.Millisecond, Decides: true})
 		for _, e := range effects {
 			if w, ok := e.(rollout.Write); ok {
 				return &w, at.Sub(now)
@@ -87,8 +87,8 @@
 	const step = 50 * time.Millisecond
 	start := time.Unix(1000, 0)
 	d := rollout.NewDecider(rollout.Rule{Share: 0.1, Tolerance: 50, Rollback: 5 * time.Second})
-	d, _ = d.Handle(rollout.Learned{Now: start, Rollout: rollout.Rollout{
-		Order: rollout.Order{Service: "s", Target: "v2", Duration: 30 * time.Second, Made: 7}, Revision: 9, Learned: start,
+	d, _ = d.Handle(rollout.StatusLearned{Now: start, Rollout: rollout.Rollout{
+		Order: rollout.Order{Service: "s", Target: "v2", Duration: 30 * time.Second, Made: 7}, Revision: 9, LearnedAt: start,
 	}})
 	var delays []time.Duration
 	last := start
@@ -99,7 +99,7 @@
 			continue
 		}
 		delays, last = append(delays, now.Sub(last)), now
-		d, _ = d.Handle(rollout.Refused{Now: now})
+		d, _ = d.Handle(rollout.WriteRefused{Now: now})
 	}
 	short, long := 500*time.Millisecond, 750*time.Millisecond
 	assert.Equal(t, []time.Duration{0, short, short, short, short, long, long, long, long, long}, delays)
--- a/fleet/relay/rollout/set.go
+++ b/fleet/relay/rollout/set.go
@@ -26,7 +26,7 @@
 	var found Rollout
 	ok := false
 	for _, r := range s.byName {
-		if r.Service == service && r.Fault() == "" && (!ok || r.Made > found.Made) {
+		if r.Service == service && r.Problem() == "" && (!ok || r.Made > found.Made) {
 			found, ok = r, true
 		}
 	}
--- a/fleet/relay/rollout/share.go
+++ b/fleet/relay/rollout/share.go
@@ -80,17 +80,17 @@
 
 // routeShares divides a share of the service's calls among routes, such that each gets about as many
 // samples as another, however often it is called. If the share comes in pulses, it divides a pulse.
-func routeShares(share, filled float64, rates Rates) []Part {
+func routeShares(share, filled float64, rates Rates) []RouteShare {
 	if filled == 0 {
 		return divide(share, maxRouteFactor*share, rates)
 	}
-	return lo.Map(divide(filled, maxPulseShare, rates), func(p Part, _ int) Part {
-		return Part{p.Route, p.Share * share / filled}
+	return lo.Map(divide(filled, maxPulseShare, rates), func(p RouteShare, _ int) RouteShare {
+		return RouteShare{p.Route, p.Share * share / filled}
 	})
 }
 
 // divide gives routes their parts of a share; what exceeds the maximum of one goes to the others.
-func divide(share, maximum float64, rates Rates) []Part {
+func divide(share, maximum float64, rates Rates) []RouteShare {
 	left := share * rates.sum()
 	chosen := make(map[string]float64, len(rates))
 	open := lo.Filter(rates, func(r Rate, _ int) bool { return r.PerSecond > 0 })
@@ -109,8 +109,8 @@
 		}
 		open = rest
 	}
-	return lo.Map(rates, func(r Rate, _ int) Part {
-		return Part{r.Route, min(lo.ValueOr(chosen, r.Route, share), 1)}
+	return lo.Map(rates, func(r Rate, _ int) RouteShare {
+		return RouteShare{r.Route, min(lo.ValueOr(chosen, r.Route, share), 1)}
 	})
 }
 
--- a/fleet/relay/rollout/split.go
+++ b/fleet/relay/rollout/split.go
@@ -57,7 +57,7 @@
 	switch r.State() {
 	case InProgress:
 		l.Old, l.Target = old, target
-		l.Sampled = sampledEndpoints(withoutUnhealthy(target, r.Status.Ill), old, r.Status.Share)
+		l.Sampled = sampledEndpoints(withoutUnhealthy(target, r.Status.Unhealthy), old, r.Status.Share)
 	case Completed:
 		l.Target = target
 	case Reverted:
--- a/fleet/relay/rollout/stall_test.go
+++ b/fleet/relay/rollout/stall_test.go
@@ -112,7 +112,7 @@
 }
 
 // statusWritten passes a stored status to the decider once its process runs.
-func (p *play) statusWritten(m Learned) {
+func (p *play) statusWritten(m StatusLearned) {
 	if p.stalled(0) {
 		p.pendingWrites = append(p.pendingWrites, func() { p.statusWritten(m) })
 		return
--- a/fleet/relay/rollout/text.go
+++ b/fleet/relay/rollout/text.go
@@ -32,8 +32,8 @@
 // Equal reports whether two statuses are equal.
 func (s Status) Equal(o Status) bool {
 	same := s.State == o.State && s.Target == o.Target && s.Made == o.Made && s.Stage == o.Stage && s.Share == o.Share
-	same = same && s.Used == o.Used && s.Left == o.Left && s.Filled == o.Filled && s.Full == o.Full && s.First == o.First && s.Ill == o.Ill && s.Writes == o.Writes
-	return same && slices.Equal(s.Parts, o.Parts) && slices.Equal(s.Barred, o.Barred) && slices.Equal(s.Usual, o.Usual)
+	same = same && s.Used == o.Used && s.Left == o.Left && s.PulseShare == o.PulseShare && s.FullLoad == o.FullLoad && s.FirstPulse == o.FirstPulse && s.Unhealthy == o.Unhealthy && s.Writes == o.Writes
+	return same && slices.Equal(s.RouteShares, o.RouteShares) && slices.Equal(s.Barred, o.Barred) && slices.Equal(s.References, o.References)
 }
 
 // Names returns the sorted names of the objects in the set.
--- a/fleet/relay/rollout/text_test.go
+++ b/fleet/relay/rollout/text_test.go
@@ -38,13 +38,13 @@
 
 func TestStatusEqual(t *testing.T) {
 	full := rollout.Status{
-		State: rollout.InProgress, Target: "v2", Made: 7, Stage: rollout.Moving, Share: 0.1, Used: time.Second, Left: time.Second, Filled: 0.1, Full: time.Second, First: 3, Ill: 4,
-		Parts: []rollout.Part{{Route: "r", Share: 0.2}}, Barred: []string{"v3"}, Writes: 2,
+		State: rollout.InProgress, Target: "v2", Made: 7, Stage: rollout.Moving, Share: 0.1, Used: time.Second, Left: time.Second, PulseShare: 0.1, FullLoad: time.Second, FirstPulse: 3, Unhealthy: 4,
+		RouteShares: []rollout.RouteShare{{Route: "r", Share: 0.2}}, Barred: []string{"v3"}, Writes: 2,
 	}
 	changes := []func(*rollout.Status){
 		func(s *rollout.Status) { s.State = rollout.Completed }, func(s *rollout.Status) { s.Target = "" }, func(s *rollout.Status) { s.Made = 0 },
 		func(s *rollout.Status) { s.Stage = rollout.Sampling }, func(s *rollout.Status) { s.Share = 0 }, func(s *rollout.Status) { s.Used = 0 },
-		func(s *rollout.Status) { s.Left = 0 }, func(s *rollout.Status) { s.Filled = 0 }, func(s *rollout.Status) { s.Full = 0 }, func(s *rollout.Status) { s.First = 0 }, func(s *rollout.Status) { s.Ill = 0 }, func(s *rollout.Status) { s.Parts = nil }, func(s *rollout.Status) { s.Barred = nil }, func(s *rollout.Status) { s.Writes = 0 },
+		func(s *rollout.Status) { s.Left = 0 }, func(s *rollout.Status) { s.PulseShare = 0 }, func(s *rollout.Status) { s.FullLoad = 0 }, func(s *rollout.Status) { s.FirstPulse = 0 }, func(s *rollout.Status) { s.Unhealthy = 0 }, func(s *rollout.Status) { s.RouteShares = nil }, func(s *rollout.Status) { s.Barred = nil }, func(s *rollout.Status) { s.Writes = 0 },
 	}
 	assert.True(t, full.Equal(full))
 	for i, change := range changes {
--- a/fleet/relay/rollout/writes_test.go
+++ b/fleet/relay/rollout/writes_test.go
@@ -20,9 +20,9 @@
 	return Evidence{Service: "svc", Made: 10, Routes: []RouteEvidence{r}}
 }
 
-func statusLearned(s Status, revision store.Revision, age time.Duration) Learned {
-	r := Rollout{Order: order("v2", 10), Status: s, Revision: revision, Learned: epoch.Add(-age)}
-	return Learned{r, epoch}
+func statusLearned(s Status, revision store.Revision, age time.Duration) StatusLearned {
+	r := Rollout{Order: order("v2", 10), Status: s, Revision: revision, LearnedAt: epoch.Add(-age)}
+	return StatusLearned{r, epoch}
 }
 
 func (d Decider) after(messages ...Message) (Decider, []Effect) {
@@ -40,7 +40,7 @@
 }
 
 func movingStatus(left time.Duration) Status {
-	return Status{State: InProgress, Stage: Moving, Target: "v2", Made: 10, Share: 0.08, Used: 20 * time.Second, Left: left, Full: minFullLoad, Writes: 3}
+	return Status{State: InProgress, Stage: Moving, Target: "v2", Made: 10, Share: 0.08, Used: 20 * time.Second, Left: left, FullLoad: minFullLoad, Writes: 3}
 }
 
 func TestDeciderWrites(t *testing.T) {
@@ -51,10 +51,10 @@
 		return changed
 	}
 	healthyEvidence := []Message{
-		Told{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)},
-		Told{evidenceOf(Count{6400, 0}, Count{640, 0}), epoch},
+		EvidenceUpdated{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)},
+		EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{640, 0}), epoch},
 	}
-	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	bad := EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
 	alone := statusLearned(Status{}, 20, 0)
 	alone.Rollout.Made = 10
 	for _, c := range []struct {
@@ -80,9 +80,9 @@
 		{"it ended badly", []Message{statusLearned(Status{State: Reverted, Target: "v2", Made: 10}, 20, 0), tick, bad}, nil, 0},
 		{"calls were counted", append([]Message{statusLearned(samplingStatus(0), 20, 5*time.Second)}, append(healthyEvidence, tick)...), []State{InProgress}, Sampling},
 		{"time to move", append([]Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second)}, append(healthyEvidence, tick)...), []State{InProgress}, Moving},
-		{"time to move, nothing observed", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), Told{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, nil, 0},
-		{"nothing observed by the end", []Message{statusLearned(samplingStatus(20*time.Second), 20, 11*time.Second), Told{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, []State{Reverted}, 0},
-		{"nobody calls the service", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), Told{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)}, Told{evidenceOf(Count{}, Count{}), epoch}, tick}, []State{InProgress}, Moving},
+		{"time to move, nothing observed", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, nil, 0},
+		{"nothing observed by the end", []Message{statusLearned(samplingStatus(20*time.Second), 20, 11*time.Second), EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{}), epoch}, tick}, []State{Reverted}, 0},
+		{"nobody calls the service", []Message{statusLearned(samplingStatus(20*time.Second), 20, 8*time.Second), EvidenceUpdated{evidenceOf(Count{}, Count{}), epoch.Add(-10 * time.Second)}, EvidenceUpdated{evidenceOf(Count{}, Count{}), epoch}, tick}, []State{InProgress}, Moving},
 		{"calls run at old endpoints", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.OldInFlight = 1 })}, nil, 0},
 		{"no calls there for a moment", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), tick}, nil, 0},
 		{"no calls there", []Message{statusLearned(movingStatus(3*time.Second), 20, 4*time.Second), with(func(t *Tick) { t.Now = epoch.Add(-settleTime) }), tick}, []State{Completed}, 0},
@@ -92,14 +92,14 @@
 		{"the target is gone by the end", []Message{statusLearned(movingStatus(3*time.Second), 20, 11*time.Second), with(func(t *Tick) { t.Target = 0 })}, []State{Reverted}, 0},
 		{"bad while sampling", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, bad}, []State{Reverted}, 0},
 		{"bad while moving", []Message{statusLearned(movingStatus(3*time.Second), 20, time.Second), tick, bad}, []State{Reverted}, 0},
-		{"another node found it bad", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Heard{Target: "v2", Made: 10, Now: epoch}}, []State{Reverted}, 0},
-		{"another order's target found bad", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Heard{Target: "v2", Made: 9, Now: epoch}}, nil, 0},
-		{"evidence of another order", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, Told{Evidence{Service: "svc", Made: 9, Routes: bad.Evidence.Routes}, epoch}}, nil, 0},
-		{"deleted halfway", []Message{statusLearned(samplingStatus(0), 20, time.Second), Gone{}, tick, bad}, nil, 0},
+		{"another node found it bad", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, ReportedBad{Target: "v2", Made: 10, Now: epoch}}, []State{Reverted}, 0},
+		{"another order's target found bad", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, ReportedBad{Target: "v2", Made: 9, Now: epoch}}, nil, 0},
+		{"evidence of another order", []Message{statusLearned(samplingStatus(0), 20, time.Second), tick, EvidenceUpdated{Evidence{Service: "svc", Made: 9, Routes: bad.Evidence.Routes}, epoch}}, nil, 0},
+		{"deleted halfway", []Message{statusLearned(samplingStatus(0), 20, time.Second), OrderDeleted{}, tick, bad}, nil, 0},
 		{"a write waits for its answer", []Message{statusLearned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(time.Second) })}, []State{InProgress}, 0},
 		{"a write without an answer", []Message{statusLearned(Status{}, 20, 0), tick, with(func(t *Tick) { t.Now = epoch.Add(writeTimeout) })}, []State{InProgress, InProgress}, 0},
-		{"a refused write", []Message{statusLearned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay) })}, []State{InProgress, InProgress}, 0},
-		{"a refused write, too soon", []Message{statusLearned(Status{}, 20, 0), tick, Refused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay / 2) })}, []State{InProgress}, 0},
+		{"a refused write", []Message{statusLearned(Status{}, 20, 0), tick, WriteRefused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay) })}, []State{InProgress, InProgress}, 0},
+		{"a refused write, too soon", []Message{statusLearned(Status{}, 20, 0), tick, WriteRefused{epoch}, with(func(t *Tick) { t.Now = epoch.Add(refusedDelay / 2) })}, []State{InProgress}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, effects := NewDecider(modelRule).after(c.messages...)
@@ -118,7 +118,7 @@
 
 func TestInvalidOrdersAreNeverWritten(t *testing.T) {
 	for _, o := range []Order{{}, {Service: "svc"}, {Service: "svc", Target: "v2"}, {Service: "svc", Target: "v2", Duration: -1}} {
-		_, effects := NewDecider(modelRule).after(Learned{Rollout{Order: o, Learned: epoch}, epoch}, Tick{Now: epoch, Old: 3, Target: 3, Decides: true})
+		_, effects := NewDecider(modelRule).after(StatusLearned{Rollout{Order: o, LearnedAt: epoch}, epoch}, Tick{Now: epoch, Old: 3, Target: 3, Decides: true})
 		assert.Empty(t, effects, o)
 	}
 }
@@ -130,13 +130,13 @@
 	assert.Equal(t, 23*time.Second, d.used(epoch), "never less than is known")
 
 	found := statusLearned(samplingStatus(10*time.Second), 20, 0)
-	found.Rollout.Found = true
+	found.Rollout.AgeUnknown = true
 	d, _ = NewDecider(modelRule).after(found)
 	assert.Greater(t, d.used(epoch), 10*time.Second, "some time has passed without any node")
 }
 
 func TestNewOrderResetsTheDecider(t *testing.T) {
-	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	bad := EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
 	d, effects := NewDecider(modelRule).after(statusLearned(samplingStatus(0), 20, time.Second), Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true}, bad)
 	assert.Len(t, effects, 2)
 	next := statusLearned(Status{State: Reverted, Target: "v2", Made: 10}, 30, 0)
@@ -153,14 +153,14 @@
 	other := statusLearned(samplingStatus(0), 20, time.Second)
 	other.Rollout.Service = "other"
 	tick := Tick{Now: epoch, Old: 6, Target: 6, Cohorts: 5, Decides: true}
-	_, effects := NewDecider(modelRule).after(other, tick, Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch})
+	_, effects := NewDecider(modelRule).after(other, tick, EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch})
 	assert.Empty(t, effects, "evidence of one service does not count for the other")
 }
 
 func TestBadTargetIsAnnouncedOnceByEveryJudge(t *testing.T) {
-	bad := Told{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
+	bad := EvidenceUpdated{evidenceOf(Count{6400, 0}, Count{640, 320}), epoch}
 	_, effects := NewDecider(modelRule).after(statusLearned(samplingStatus(0), 20, time.Second), bad, bad)
 	assert.Len(t, effects, 1)
-	assert.IsType(t, Warn{}, effects[0])
-	assert.Contains(t, effects[0].(Warn).Why, `target 320 bad of 640`)
+	assert.IsType(t, AnnounceBad{}, effects[0])
+	assert.Contains(t, effects[0].(AnnounceBad).Why, `target 320 bad of 640`)
 }
--- a/fleet/relay/rollouts.go
+++ b/fleet/relay/rollouts.go
@@ -106,8 +106,8 @@
 func (n *Node) mergeRollout(before rollout.Set, o store.Object, now time.Time, listed bool) rollout.Rollout {
 	r, err := n.adapter.Rollout(o, now)
 	known, ok := before.Name(o.Name)
-	if err == nil && ok && (known.Lacking || known.Revision.IsOfEraBefore(o.Revision)) {
-		if r = r.Outlasts(known); r.Lacking {
+	if err == nil && ok && (known.MissingInStore || known.Revision.IsOfEraBefore(o.Revision)) {
+		if r = r.CarryOver(known); r.MissingInStore {
 			n.faults.Read(o)
 			n.trials.rekeyWarnings(known.Order, r.Order)
 			return r
@@ -129,10 +129,10 @@
 		n.faults.Tell(o, "rollout", "what can be read of it", err)
 	}
 	if same && known.Status.Equal(r.Status) {
-		r.Learned, r.Found = known.Learned, known.Found
+		r.LearnedAt, r.AgeUnknown = known.LearnedAt, known.AgeUnknown
 		return r
 	}
-	r.Found = r.Status.State != rollout.Ordered && (listed || !same)
+	r.AgeUnknown = r.Status.State != rollout.Ordered && (listed || !same)
 	return r
 }
 
@@ -145,7 +145,7 @@
 			continue
 		}
 		entry := n.log.WithFields(rolloutFields(r)).WithField("object", name)
-		if fault := r.Fault(); fault != "" {
+		if fault := r.Problem(); fault != "" {
 			entry.WithField("fault", fault).Warn("rollout that makes no sense: it changes nothing")
 			continue
 		}
@@ -165,7 +165,7 @@
 	return log.Fields{
 		"service": r.Service, "target": r.Target, "made": r.Made, "revision": r.Revision.Number(), "era": r.Revision.Era(), "durationMs": r.Duration.Milliseconds(),
 		"state": r.State().String(), "stage": r.Status.Stage.String(), "share": r.Status.Share,
-		"usedMs": r.Status.Used.Milliseconds(), "leftMs": r.Status.Left.Milliseconds(), "found": r.Found, "usual": baselineFields(r.Status.Usual),
+		"usedMs": r.Status.Used.Milliseconds(), "leftMs": r.Status.Left.Milliseconds(), "found": r.AgeUnknown, "usual": baselineFields(r.Status.References),
 	}
 }
 
@@ -173,7 +173,7 @@
 // answers and bad answers that it is derived from.
 func baselineFields(known []rollout.Reference) map[string][3]int64 {
 	return lo.SliceToMap(known, func(r rollout.Reference) (string, [3]int64) {
-		return r.Route, [3]int64{r.Usual.Milliseconds(), int64(r.Answers), int64(r.Bad)}
+		return r.Route, [3]int64{r.MedianTime.Milliseconds(), int64(r.Answers), int64(r.Bad)}
 	})
 }
 
--- a/fleet/relay/rollouts_test.go
+++ b/fleet/relay/rollouts_test.go
@@ -27,7 +27,7 @@
 }
 
 func (versionedAdapter) Rollout(o store.Object, now time.Time) (rollout.Rollout, error) {
-	r := rollout.Rollout{Revision: o.Revision, Learned: now}
+	r := rollout.Rollout{Revision: o.Revision, LearnedAt: now}
 	if err := json.Unmarshal(o.Data, &r.Order); err != nil {
 		return r, err
 	}
@@ -239,7 +239,7 @@
 	r, ok := n.rollouts.Load().Of("s")
 	require.True(t, ok)
 	assert.Equal(t, rollout.Ordered, r.State())
-	assert.False(t, r.Learned.Before(before))
+	assert.False(t, r.LearnedAt.Before(before))
 }
 
 // The age of a status is known only if its write was observed, and a repeated one keeps its age.
@@ -252,20 +252,20 @@
 		return r
 	}
 	n.applyRollouts(listed(9, order("s", "v2", 5, 6, moving)))
-	assert.True(t, of().Found)
-	first := of().Learned
+	assert.True(t, of().AgeUnknown)
+	first := of().LearnedAt
 	n.applyRollouts(listed(10, order("s", "v2", 5, 6, moving)))
-	assert.Equal(t, first, of().Learned)
+	assert.Equal(t, first, of().LearnedAt)
 	moving.Writes++
 	n.applyRollouts(changed(11, order("s", "v2", 5, 11, moving)))
-	assert.False(t, of().Found, "its write was observed")
-	assert.True(t, of().Learned.After(first))
+	assert.False(t, of().AgeUnknown, "its write was observed")
+	assert.True(t, of().LearnedAt.After(first))
 	n = versionedNode()
 	n.applyRollouts(listed(1))
 	n.applyRollouts(changed(5, order("s", "v2", 5, 5, rollout.Status{})))
-	assert.False(t, of().Found)
+	assert.False(t, of().AgeUnknown)
 	n.applyRollouts(changed(6, order("s", "v2", 5, 6, moving)))
-	assert.False(t, of().Found)
+	assert.False(t, of().AgeUnknown)
 }
 
 // Guards against one request for the orders per change of an entry: they are requested at
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -25,8 +25,8 @@
 	fleet       delegation
 
 	mu               sync.Mutex
-	open             map[string]*trial // by service
-	bad              []rollout.Warn    // received, also about orders that this node does not know yet
+	open             map[string]*trial     // by service
+	bad              []rollout.AnnounceBad // received, also about orders that this node does not know yet
 	lastTick         time.Time
 	receivesUntil    time.Time // reports of others are collected until then, before anything is decided
 	recentStalls     []span    // around the latest stalls: answers that were read in one may have waited in a socket
@@ -37,7 +37,7 @@
 type delegation interface {
 	Writes() bool        // this node is a delegate
 	FirstDelegate() bool // this node is the delegate that writes statuses
-	TellBad(rollout.Warn)
+	TellBad(rollout.AnnounceBad)
 }
 
 // trial holds the evidence and the decider of one open order.
@@ -48,9 +48,9 @@
 	ids            []string
 	counts         endpointCounts
 	recorder       *rollout.Recorder
-	zoneEvidence   *rollout.Gathered // of the nodes of this zone, by incarnation
-	fleetEvidence  *rollout.Gathered // of all zones, by zone
-	reports        map[string]report // by node of this zone and by other zone
+	zoneEvidence   *rollout.EvidenceTracker // of the nodes of this zone, by incarnation
+	fleetEvidence  *rollout.EvidenceTracker // of all zones, by zone
+	reports        map[string]report        // by node of this zone and by other zone
 	durations      durationWindow
 	decider        rollout.Decider
 	judgedRevision store.Revision // of the order as last passed to the decider; 0: this node does not judge
@@ -98,7 +98,7 @@
 			continue
 		}
 		open[r.Service] = t.trialOf(name, r, now)
-		open[r.Service].recorder.Refer(r.Status.Usual)
+		open[r.Service].recorder.SetReferences(r.Status.References)
 	}
 	t.open = open
 }
@@ -114,7 +114,7 @@
 	}
 	created := &trial{
 		name: name, rollout: r, learnedAt: now, recorder: rollout.NewRecorder(r.Order), reports: map[string]report{},
-		zoneEvidence: rollout.NewGathered(r.Service, r.Made), fleetEvidence: rollout.NewGathered(r.Service, r.Made),
+		zoneEvidence: rollout.NewEvidenceTracker(r.Service, r.Made), fleetEvidence: rollout.NewEvidenceTracker(r.Service, r.Made),
 	}
 	created.bad = slices.ContainsFunc(t.bad, created.matches)
 	return created
@@ -142,11 +142,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range t.open {
-		o.rollout.Found, o.learnedAt, o.judgedRevision = true, now, 0
+		o.rollout.AgeUnknown, o.learnedAt, o.judgedRevision = true, now, 0
 	}
 }
 
-func (o *trial) matches(w rollout.Warn) bool {
+func (o *trial) matches(w rollout.AnnounceBad) bool {
 	return w.Service == o.rollout.Service && w.Target == o.rollout.Target && w.Made == o.rollout.Made
 }
 
@@ -176,7 +176,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[s.Service]; ok {
-		o.recorder.Sent(s)
+		o.recorder.RecordSent(s)
 	}
 }
 
@@ -214,7 +214,7 @@
 		shortest = 0
 	}
 	s.Slowness *= shortest.Seconds() / max(s.Took, time.Nanosecond).Seconds()
-	s.Took, s.AtLeast = shortest, true
+	s.Took, s.LowerBound = shortest, true
 	return s
 }
 
@@ -249,7 +249,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
-		return o.recorder.SlowFrom(route)
+		return o.recorder.SlowThreshold(route)
 	}
 	return 0, 0
 }
@@ -279,7 +279,7 @@
 func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutSeen {
 	return peer.RolloutSeen{
 		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.longest.Milliseconds(),
-		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.Found,
+		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.AgeUnknown,
 	}
 }
 
@@ -294,7 +294,7 @@
 	defer t.mu.Unlock()
 	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
 		o := t.open[service]
-		o.zoneEvidence.Take(t.incarnation, o.recorder.Evidence())
+		o.zoneEvidence.Record(t.incarnation, o.recorder.Evidence())
 		sum := o.sum(t.ownReport(o, now), now, func(from string) bool { return from[0] == ofNode })
 		seen := o.observation(o.zoneEvidence.Sum(), sum, now)
 		seen.Zone = t.settings.Zone
@@ -330,10 +330,10 @@
 }
 
 // Bad implements peer.RolloutTalk.
-func (t *trials) Bad() []rollout.Warn {
+func (t *trials) Bad() []rollout.AnnounceBad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Filter(t.bad, func(w rollout.Warn, _ int) bool {
+	return lo.Filter(t.bad, func(w rollout.AnnounceBad, _ int) bool {
 		o, ok := t.open[w.Service]
 		return ok && o.matches(w)
 	})
@@ -350,7 +350,7 @@
 func (t *trials) Blind() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.Found })
+	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.AgeUnknown })
 }
 
 // Heard implements peer.RolloutTalk.
@@ -374,12 +374,12 @@
 	received := report{old: max(seen.Old, 0), longest: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
 	switch seen.Zone {
 	case "":
-		o.zoneEvidence.Take(from.Life, seen.Evidence)
+		o.zoneEvidence.Record(from.Life, seen.Evidence)
 		o.reports[string(ofNode)+from.Name] = received
 	case t.settings.Zone:
-		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
 	default:
-		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
 		o.reports[string(ofZone)+seen.Zone] = received
 	}
 }
@@ -388,9 +388,9 @@
 // node observed neither the creation of the order nor the write of its status.
 func elapsed(r rollout.Rollout, now time.Time) time.Duration {
 	if r.State() == rollout.Ordered {
-		return now.Sub(r.Learned)
+		return now.Sub(r.LearnedAt)
 	}
-	return r.Status.Used + now.Sub(r.Learned)
+	return r.Status.Used + now.Sub(r.LearnedAt)
 }
 
 // adoptElapsed takes over from another node how much of an order has elapsed, if this node found
@@ -399,14 +399,14 @@
 // lower bound: without it, nodes that restart one after the other, faster than elapsed time is
 // written, would keep an order from ever progressing.
 func (o *trial) adoptElapsed(seen peer.RolloutSeen, now time.Time) {
-	if !o.rollout.Found || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
+	if !o.rollout.AgeUnknown || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
 		return
 	}
 	learned := now.Add(o.rollout.Status.Used - time.Duration(seen.UsedMs)*time.Millisecond)
-	if seen.AtLeast && !learned.Before(o.rollout.Learned.Add(-minElapsedGain)) {
+	if seen.AtLeast && !learned.Before(o.rollout.LearnedAt.Add(-minElapsedGain)) {
 		return
 	}
-	o.rollout.Learned, o.rollout.Found = learned, seen.AtLeast
+	o.rollout.LearnedAt, o.rollout.AgeUnknown = learned, seen.AtLeast
 	o.judgedRevision = 0 // the decider restarts
 }
 
@@ -414,9 +414,9 @@
 const minElapsedGain = 500 * time.Millisecond
 
 // markBad records that the target of an order is bad: it gets no calls from now on.
-func (t *trials) markBad(w rollout.Warn, by string) {
+func (t *trials) markBad(w rollout.AnnounceBad, by string) {
 	t.mu.Lock()
-	if slices.ContainsFunc(t.bad, func(known rollout.Warn) bool {
+	if slices.ContainsFunc(t.bad, func(known rollout.AnnounceBad) bool {
 		return known.Service == w.Service && known.Target == w.Target && known.Made == w.Made
 	}) {
 		t.mu.Unlock()
--- a/fleet/relay/trials_judge.go
+++ b/fleet/relay/trials_judge.go
@@ -50,7 +50,7 @@
 	decides := judges && t.fleet.FirstDelegate() && !stalled
 	for _, a := range t.judge(judges, decides, now) {
 		switch e := a.effect.(type) {
-		case rollout.Warn:
+		case rollout.AnnounceBad:
 			t.log.WithFields(a.inputs).WithField("why", e.Why).Warn("target version judged bad")
 			t.markBad(e, t.settings.Node)
 			t.fleet.TellBad(e)
@@ -98,8 +98,8 @@
 
 func (t *trials) judgeTrial(o *trial, decides bool, now time.Time) []pendingEffect {
 	decides = decides && o.mayDecide(now)
-	if o.judgedRevision == 0 || o.elapsedUnknown && !o.rollout.Found {
-		o.decider, o.judgedRevision, o.elapsedUnknown = rollout.NewDecider(t.settings.Rollout.Rule()), 0, o.rollout.Found
+	if o.judgedRevision == 0 || o.elapsedUnknown && !o.rollout.AgeUnknown {
+		o.decider, o.judgedRevision, o.elapsedUnknown = rollout.NewDecider(t.settings.Rollout.Rule()), 0, o.rollout.AgeUnknown
 	}
 	var effects []rollout.Effect
 	handle := func(m rollout.Message) {
@@ -108,16 +108,16 @@
 	}
 	if o.judgedRevision < o.rollout.Revision {
 		o.judgedRevision = o.rollout.Revision
-		handle(rollout.Learned{Rollout: o.rollout, Now: now})
+		handle(rollout.StatusLearned{Rollout: o.rollout, Now: now})
 	}
-	o.zoneEvidence.Take(t.incarnation, o.recorder.Evidence())
-	o.fleetEvidence.Take(t.settings.Zone, o.zoneEvidence.Sum())
+	o.zoneEvidence.Record(t.incarnation, o.recorder.Evidence())
+	o.fleetEvidence.Record(t.settings.Zone, o.zoneEvidence.Sum())
 	evidence := o.fleetEvidence.Sum()
 	sum := o.sum(t.ownReport(o, now), now, func(string) bool { return true })
-	handle(rollout.Told{Evidence: evidence, Now: now}) // first: decisions need the newest answers
-	handle(rollout.Tick{Now: now, Old: o.counts.old, Target: o.counts.target, Cohorts: o.counts.cohorts, Cold: o.counts.cold(now), OldInFlight: sum.old, Lasts: sum.longest, Decides: decides})
+	handle(rollout.EvidenceUpdated{Evidence: evidence, Now: now}) // first: decisions need the newest answers
+	handle(rollout.Tick{Now: now, Old: o.counts.old, Target: o.counts.target, Cohorts: o.counts.cohorts, Cold: o.counts.cold(now), OldInFlight: sum.old, MaxRemaining: sum.longest, Decides: decides})
 	if o.bad {
-		handle(rollout.Heard{Target: o.rollout.Target, Made: o.rollout.Made, Why: t.badReason(o), Now: now})
+		handle(rollout.ReportedBad{Target: o.rollout.Target, Made: o.rollout.Made, Why: t.badReason(o), Now: now})
 	}
 	inputs := lo.Assign(rolloutFields(o.rollout), log.Fields{
 		"object": o.name, "oldEndpoints": o.counts.old, "targetEndpoints": o.counts.target, "oldInFlight": sum.old, "lastsMs": sum.longest.Milliseconds(),
@@ -135,7 +135,7 @@
 // mayDecide reports whether this node has collected reports of others on an order that was under
 // way when it started.
 func (o *trial) mayDecide(now time.Time) bool {
-	return !o.rollout.Found || now.Sub(o.learnedAt) >= startSettleTime
+	return !o.rollout.AgeUnknown || now.Sub(o.learnedAt) >= startSettleTime
 }
 
 // admits reports whether an effect is carried out now. Each order has at most one write in
@@ -147,7 +147,7 @@
 		return true
 	}
 	if o.writing && (w.Status.State != rollout.Reverted || o.backoff > 0) {
-		o.decider, _ = o.decider.Handle(rollout.Refused{Now: now})
+		o.decider, _ = o.decider.Handle(rollout.WriteRefused{Now: now})
 		return false
 	}
 	o.writing = true
@@ -197,7 +197,7 @@
 	}
 	written := r.Status.Equal(w.Status)
 	if written {
-		r.Learned = began
+		r.LearnedAt = began
 	}
 	entry.WithField("written", written).WithField("at", after.Revision.Number()).WithField("atEra", after.Revision.Era()).WithField("ms", now.Sub(began).Milliseconds()).Info("status of a rollout written")
 	t.writeDone(o, r, now)
@@ -214,7 +214,7 @@
 		return false
 	}
 	o.writing = false
-	o.decider, _ = o.decider.Handle(rollout.Refused{Now: clock.Now()})
+	o.decider, _ = o.decider.Handle(rollout.WriteRefused{Now: clock.Now()})
 	return true
 }
 
@@ -245,7 +245,7 @@
 func (t *trials) writeFailed(o *trial, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o.decider, _ = o.decider.Handle(rollout.Refused{Now: now})
+	o.decider, _ = o.decider.Handle(rollout.WriteRefused{Now: now})
 	t.storeFailedUntil = now.Add(storeFailurePeriod)
 	o.backoff = min(max(2*o.backoff, statusBackoff), maxStatusBackoff)
 	time.AfterFunc(store.Jittered(o.backoff), func() {
@@ -260,7 +260,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o.writing, o.backoff, t.storeFailedUntil = false, 0, time.Time{}
-	o.decider, _ = o.decider.Handle(rollout.Learned{Rollout: r, Now: now})
+	o.decider, _ = o.decider.Handle(rollout.StatusLearned{Rollout: r, Now: now})
 	o.judgedRevision = max(o.judgedRevision, r.Revision)
 }
 
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -66,12 +66,12 @@
 // fakeDelegation is the role of a node among the delegates.
 type fakeDelegation struct {
 	delegate, first bool
-	warnings        []rollout.Warn
+	warnings        []rollout.AnnounceBad
 }
 
-func (f *fakeDelegation) Writes() bool           { return f.delegate }
-func (f *fakeDelegation) FirstDelegate() bool    { return f.first }
-func (f *fakeDelegation) TellBad(w rollout.Warn) { f.warnings = append(f.warnings, w) }
+func (f *fakeDelegation) Writes() bool                  { return f.delegate }
+func (f *fakeDelegation) FirstDelegate() bool           { return f.first }
+func (f *fakeDelegation) TellBad(w rollout.AnnounceBad) { f.warnings = append(f.warnings, w) }
 
 // judgingNode is a delegate on a store that holds an order of 12 s.
 type judgingNode struct {
@@ -288,19 +288,19 @@
 // A version that a peer found bad gets no calls at once, also if the order arrives later, and the
 // writing delegate reverts it.
 func TestAVersionThatAPeerFoundBad(t *testing.T) {
-	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "fails"}
-	heard := func(n *Node, w rollout.Warn) {
-		n.trials.Heard(peer.Teller{Name: "o", Life: "o/1"}, peer.RolloutWord{Bad: []rollout.Warn{w}}, time.Now())
+	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "fails"}
+	heard := func(n *Node, w rollout.AnnounceBad) {
+		n.trials.Heard(peer.Teller{Name: "o", Life: "o/1"}, peer.RolloutWord{Bad: []rollout.AnnounceBad{w}}, time.Now())
 	}
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
-		heard(j.Node, rollout.Warn{Service: "s", Target: "v3", Made: 5})
-		heard(j.Node, rollout.Warn{Service: "s", Target: "v2", Made: 4})
+		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v3", Made: 5})
+		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v2", Made: 4})
 		assert.False(t, j.trials.open["s"].bad, "that is another order")
 		heard(j.Node, w)
 		heard(j.Node, w)
 		assert.True(t, j.trials.open["s"].bad)
-		assert.Equal(t, []rollout.Warn{w}, j.trials.Bad())
+		assert.Equal(t, []rollout.AnnounceBad{w}, j.trials.Bad())
 		j.play(ctx, time.Second)
 		assert.Equal(t, rollout.Reverted, j.state())
 	})
