--- a/fleet/relay/bound/gate.go
+++ b/fleet/relay/bound/gate.go
@@ -108,9 +108,9 @@
 	return g.sentWithin(e.ID, b.Window, now) < g.share(e, b, partitioned, now)
 }
 
-// Part returns how many calls in any window this node may send to an endpoint, and how many it
+// Share returns how many calls in any window this node may send to an endpoint, and how many it
 // sent in the last one.
-func (g *Gate) Part(e engine.Engine, b Bound, now time.Time) (share, sent int) {
+func (g *Gate) Share(e engine.Engine, b Bound, now time.Time) (share, sent int) {
 	partitioned := g.partitioned()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -24,11 +24,11 @@
 	if p.limits == nil {
 		return true
 	}
-	perSecond, named := p.limits.Of(e.Life())
+	perSecond, named := p.limits.Of(e.Incarnation())
 	if !named || p.gate.Allows(e, p.limits.Bound(perSecond), r.Now) {
 		return true
 	}
-	return p.limits.MayProbe(e.Life(), p.gate.Count(), r.Now)
+	return p.limits.MayProbe(e.Incarnation(), p.gate.Count(), r.Now)
 }
 
 // endpointsWithStaleLimit returns the endpoints whose limit was not confirmed lately. They get
@@ -41,7 +41,7 @@
 	}
 	var stale []engine.Engine
 	for _, life := range p.limits.Unconfirmed(r.Now) {
-		if e, ok := find(r.Engines, life.ID); ok && e.Life() == life {
+		if e, ok := find(r.Engines, life.ID); ok && e.Incarnation() == life {
 			stale = append(stale, e)
 		}
 	}
@@ -59,7 +59,7 @@
 		if e.State != engine.Ready {
 			continue
 		}
-		l, named := p.limits.Of(e.Life())
+		l, named := p.limits.Of(e.Incarnation())
 		if !named {
 			return 0, false
 		}
@@ -72,7 +72,7 @@
 // Limit records what an answer signals about the endpoint's limit. Only a successful answer
 // shows that there is none: others may come from an intermediary.
 func (t *Placement) Limit(l call.Limit, good bool, sent, now time.Time) {
-	limits, life := t.picker.limits, t.Engine.Life()
+	limits, life := t.picker.limits, t.Engine.Incarnation()
 	if limits == nil {
 		return
 	}
--- a/fleet/relay/choice/bounds_test.go
+++ b/fleet/relay/choice/bounds_test.go
@@ -24,10 +24,10 @@
 		all[i].Zone = "z1" // the node is in another zone than the limited endpoint
 	}
 	all[0].Zone = "z9"
-	limits := limit.NewBook(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
+	limits := limit.NewTracker(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
 	limits.Engines(all)
 	p := choice.NewPicker("z1", choice.DefaultTuning()).WithColdGate(coldGate(now), cold.Rule{}).WithLimits(limits)
-	limits.Named(all[0].Life(), 1, now)
+	limits.Named(all[0].Incarnation(), 1, now)
 	pick := func(i int, at time.Time) *choice.Placement {
 		r := ask(call.Call{ID: fmt.Sprint("c", i)}, all, at)
 		r.Profile.Tokens = false
@@ -43,8 +43,8 @@
 	probe := pick(21, later)
 	assert.Equal(t, all[0].ID, probe.Engine.ID, "the limit was not confirmed for a while")
 	assert.NotEqual(t, all[0].ID, pick(22, later).Engine.ID, "the answer is pending")
-	limits.Unnamed(all[0].Life(), later, later.Add(50*time.Millisecond))
-	_, named := limits.Of(all[0].Life())
+	limits.Unnamed(all[0].Incarnation(), later, later.Add(50*time.Millisecond))
+	_, named := limits.Of(all[0].Incarnation())
 	assert.False(t, named)
 	assert.NotEqual(t, all[0].ID, pick(23, later.Add(time.Minute)).Engine.ID, "the limit is over: chosen like the others")
 }
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -29,9 +29,9 @@
 	places  distance.Places
 	gate    *bound.Gate
 	cold    cold.Rule
-	limits  *limit.Book  // nil: limits that endpoints name are ignored
-	notices *notice.Book // nil: notices in answers are ignored
-	doubts  *doubt.Book  // nil: failures that peers report are ignored
+	limits  *limit.Tracker  // nil: limits that endpoints name are ignored
+	notices *notice.Tracker // nil: notices in answers are ignored
+	doubts  *doubt.Tracker  // nil: failures that peers report are ignored
 
 	mu            sync.Mutex
 	endpoints     map[string]*endpoint
@@ -70,20 +70,20 @@
 }
 
 // WithLimits makes the picker respect limits that endpoints name, using the same gate.
-func (p *Picker) WithLimits(b *limit.Book) *Picker {
+func (p *Picker) WithLimits(b *limit.Tracker) *Picker {
 	p.limits = b
 	return p
 }
 
 // WithNotices makes the picker act on notices in endpoints' answers.
-func (p *Picker) WithNotices(b *notice.Book) *Picker {
+func (p *Picker) WithNotices(b *notice.Tracker) *Picker {
 	p.notices = b
 	return p
 }
 
 // WithDoubts makes the picker avoid endpoints suspected by several nodes, and report this node's
 // failures.
-func (p *Picker) WithDoubts(b *doubt.Book) *Picker {
+func (p *Picker) WithDoubts(b *doubt.Tracker) *Picker {
 	p.doubts = b
 	return p
 }
@@ -103,12 +103,12 @@
 // Request holds the input of one choice.
 type Request struct {
 	Call      call.Call
-	Engines   []engine.Engine      // ordered by id
-	Sources   []engine.Engine      // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
-	Again     bool                 // the call is idempotent and may run again
-	Elsewhere bool                 // if this endpoint turns the call away, it may be sent to another one
-	Trial     bool                 // the endpoints are on trial: their timing does not update the service's model
-	Exclude   map[engine.Life]bool // already tried
+	Engines   []engine.Engine             // ordered by id
+	Sources   []engine.Engine             // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
+	Again     bool                        // the call is idempotent and may run again
+	Elsewhere bool                        // if this endpoint turns the call away, it may be sent to another one
+	Trial     bool                        // the endpoints are on trial: their timing does not update the service's model
+	Exclude   map[engine.Incarnation]bool // already tried
 	Profile   Profile
 	Objective time.Duration // time to the first event, from now; 0: none
 	Gap       time.Duration // longest acceptable pause between two events; 0: none
@@ -133,15 +133,15 @@
 
 // place counts a placement at its endpoint.
 func (p *Picker) place(t *Placement, r Request) {
-	e := p.endpoint(t.Engine.Life(), r.Profile.Capacity)
+	e := p.endpoint(t.Engine.Incarnation(), r.Profile.Capacity)
 	t.picker, t.model, t.request, t.endpoint = p, p.model(r.Profile.Service), r, e
 	p.capacity = max(p.capacity, r.Profile.Capacity)
 	p.gate.Sent(t.Engine.ID, r.Now)
 	if p.limits != nil {
-		p.limits.Placed(t.Engine.Life(), r.Now)
+		p.limits.Placed(t.Engine.Incarnation(), r.Now)
 	}
 	if p.notices != nil {
-		p.notices.Placed(t.Engine.Life(), r.Now)
+		p.notices.Placed(t.Engine.Incarnation(), r.Now)
 	}
 	e.listed, e.placed = true, r.Now
 	e.inFlight++
--- a/fleet/relay/choice/choice_test.go
+++ b/fleet/relay/choice/choice_test.go
@@ -89,12 +89,12 @@
 		}, "e1"},
 		{"endpoints already tried", func(*choice.Picker) choice.Request {
 			a := ask(prompt("a", "s"), all, now)
-			a.Exclude = map[engine.Life]bool{{ID: "e1"}: true}
+			a.Exclude = map[engine.Incarnation]bool{{ID: "e1"}: true}
 			return a
 		}, "e0"},
 		{"none left", func(*choice.Picker) choice.Request {
 			a := ask(prompt("a", "s"), all, now)
-			a.Exclude = map[engine.Life]bool{{ID: "e0"}: true, {ID: "e1"}: true}
+			a.Exclude = map[engine.Incarnation]bool{{ID: "e0"}: true, {ID: "e1"}: true}
 			return a
 		}, ""},
 		{"none at all", func(*choice.Picker) choice.Request { return ask(prompt("a", "s"), nil, now) }, ""},
@@ -109,7 +109,7 @@
 		}, ""},
 		{"an endpoint that failed", func(p *choice.Picker) choice.Request {
 			a := ask(prompt("a", "s"), all, now)
-			a.Exclude = map[engine.Life]bool{{ID: "e1"}: true}
+			a.Exclude = map[engine.Incarnation]bool{{ID: "e1"}: true}
 			placement, _ := p.Pick(a)
 			placement.Close(choice.Bad, now)
 			return ask(prompt("b", "s"), all, now)
@@ -142,7 +142,7 @@
 	assert.False(t, ok)
 	_, ok = two.Pick(r)
 	assert.True(t, ok, "a node that did not receive the digest")
-	two.Heard("one", one.Digests(), now)
+	two.ReceiveDigests("one", one.Digests(), now)
 	_, ok = two.Pick(later)
 	assert.False(t, ok)
 }
@@ -164,11 +164,11 @@
 	affinity, _ := p.Pick(ask(prompt("a", "s"), all, now))
 	affinity.First(readTime(affinity), now)
 	affinity.Close(choice.Good, now)
-	p.Heard("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now)
+	p.ReceiveDigests("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now)
 	other, _ := p.Pick(ask(prompt("b", "s"), all, now))
 	assert.NotEqual(t, affinity.Engine.ID, other.Engine.ID)
 	old := choice.NewPicker("z", choice.DefaultTuning())
-	old.Heard("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now.Add(-3*time.Second))
+	old.ReceiveDigests("peer", map[string]choice.Digest{affinity.Engine.ID: {InFlight: 5, Waiting: 40_000}}, now.Add(-3*time.Second))
 	back, _ := old.Pick(ask(prompt("c", "s"), all, now))
 	assert.Equal(t, affinity.Engine.ID, back.Engine.ID, "an old digest has no effect")
 }
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -77,7 +77,7 @@
 	maxReads = 128
 )
 
-func (l *recentReads) add(by engine.Life, parts []call.Part, homes []string, rare bool, now time.Time) {
+func (l *recentReads) add(by engine.Incarnation, parts []call.Part, homes []string, rare bool, now time.Time) {
 	if len(parts) == 0 {
 		return
 	}
@@ -127,9 +127,11 @@
 // the region may receive them.
 func (p *Picker) Reads(region string, now time.Time) []Read { return p.listReads(region, false, now) }
 
-// News returns those of Reads whose parts few endpoints were known to cache. Only these are
+// RareReads returns those of Reads whose parts few endpoints were known to cache. Only these are
 // worth sending between zones.
-func (p *Picker) News(region string, now time.Time) []Read { return p.listReads(region, true, now) }
+func (p *Picker) RareReads(region string, now time.Time) []Read {
+	return p.listReads(region, true, now)
+}
 
 func (p *Picker) listReads(region string, rareOnly bool, now time.Time) []Read {
 	if !p.tuning.Gossip {
@@ -140,8 +142,8 @@
 	return p.recent.list(region, rareOnly, now)
 }
 
-// Heard records a peer's digests. Endpoints that they don't list have no calls of that peer.
-func (p *Picker) Heard(peer string, digests map[string]Digest, now time.Time) {
+// ReceiveDigests records a peer's digests. Endpoints that they don't list have no calls of that peer.
+func (p *Picker) ReceiveDigests(peer string, digests map[string]Digest, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, id := range p.peerEndpoints[peer] {
@@ -157,18 +159,18 @@
 		announced = append(announced, id)
 		d = d.sanitized()
 		d.At = now
-		s := p.endpoint(engine.Life{ID: id, Born: d.Born}, 0)
+		s := p.endpoint(engine.Incarnation{ID: id, Born: d.Born}, 0)
 		s.peers[peer] = d
 		s.gone = s.gone || d.Gone && d.Born == s.born
 	}
 	p.peerEndpoints[peer] = announced
 }
 
-// HeardReads records the reads of a peer. With forward set, reads of parts that few endpoints
+// ReceiveReads records the reads of a peer. With forward set, reads of parts that few endpoints
 // are known to cache are passed on within the zone, so that every node knows a source of each
 // shared part. Otherwise most nodes of a large fleet never learn of a read, and parts without a
 // known source are read again.
-func (p *Picker) HeardReads(reads []Read, forward bool, now time.Time) {
+func (p *Picker) ReceiveReads(reads []Read, forward bool, now time.Time) {
 	if !p.tuning.Gossip {
 		return
 	}
@@ -186,7 +188,7 @@
 		deepest := r.Parts[len(r.Parts)-1]
 		rare := p.isRare(deepest) && !p.holders[deepest][r.Endpoint]
 		if !known {
-			s = p.endpoint(engine.Life{ID: r.Endpoint, Born: r.Born}, p.capacity)
+			s = p.endpoint(engine.Incarnation{ID: r.Endpoint, Born: r.Born}, p.capacity)
 		}
 		for i, id := range r.Parts {
 			if r.Tokens[i] >= 0 {
--- a/fleet/relay/choice/distance_test.go
+++ b/fleet/relay/choice/distance_test.go
@@ -38,7 +38,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPicker("a1", DefaultTuning()).WithPlaces(distance.From("a1", regions, distance.DefaultCosts()))
 			for _, i := range c.keeping {
-				p.endpoint(all[i].Life(), profile.Capacity).cache.read(shared[0], true)
+				p.endpoint(all[i].Incarnation(), profile.Capacity).cache.read(shared[0], true)
 			}
 			used := map[string]bool{}
 			for i := range 64 {
@@ -80,8 +80,8 @@
 			for i, zone := range []string{"b1", "a2", "a1"} {
 				all[i].Zone = zone
 				if slices.Contains(c.full, zone) {
-					p.endpoint(all[i].Life(), 0).inFlight = 3 * all[i].Slots
-					p.endpoint(all[i].Life(), 0).waiting = 200_000
+					p.endpoint(all[i].Incarnation(), 0).inFlight = 3 * all[i].Slots
+					p.endpoint(all[i].Incarnation(), 0).waiting = 200_000
 				}
 			}
 			one := call.Call{ID: "x", PromptMax: 2000, OutputMax: 20}
@@ -111,7 +111,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPicker("z", DefaultTuning())
 			for _, i := range c.keeping {
-				p.endpoint(all[i].Life(), profile.Capacity).cache.read(shared[0], true)
+				p.endpoint(all[i].Incarnation(), profile.Capacity).cache.read(shared[0], true)
 			}
 			r := Request{Call: call.Call{PromptMax: 6500, Parts: shared}, Engines: all[:3], Profile: profile, Now: now}
 			for i := range 32 {
@@ -134,8 +134,8 @@
 func TestReadsAreSentToHomeRegionsOnly(t *testing.T) {
 	var l recentReads
 	now := time.Unix(1000, 0)
-	l.add(engine.Life{ID: "anywhere"}, []call.Part{{ID: "a"}}, nil, false, now)
-	l.add(engine.Life{ID: "home"}, []call.Part{{ID: "b"}}, []string{"r1", "r2"}, false, now)
+	l.add(engine.Incarnation{ID: "anywhere"}, []call.Part{{ID: "a"}}, nil, false, now)
+	l.add(engine.Incarnation{ID: "home"}, []call.Part{{ID: "b"}}, []string{"r1", "r2"}, false, now)
 	cases := []struct {
 		region string
 		want   []string
@@ -165,12 +165,12 @@
 			p := NewPicker("z", DefaultTuning())
 			p.capacity = 100_000
 			for i := range all {
-				p.HeardReads(read(i), c.forward, now)
-				p.HeardReads(read(i), c.forward, now)
+				p.ReceiveReads(read(i), c.forward, now)
+				p.ReceiveReads(read(i), c.forward, now)
 			}
 			assert.Len(t, p.holders["a"], len(all), "including endpoints that this node never used")
 			assert.Len(t, p.Reads("", now), c.announced)
-			assert.Empty(t, p.News("", now))
+			assert.Empty(t, p.RareReads("", now))
 		})
 	}
 	p := NewPicker("z", DefaultTuning())
@@ -181,7 +181,7 @@
 		got.First(time.Millisecond, now)
 	}
 	assert.Len(t, p.Reads("", now), len(all))
-	assert.Len(t, p.News("", now), minHolders)
+	assert.Len(t, p.RareReads("", now), minHolders)
 }
 
 // Moving parts costs round trips: over a long distance reading them again is faster.
@@ -205,8 +205,8 @@
 			all[0].Zone, all[1].Zone = "b1", "a1"
 			profile := Profile{Service: service, Tokens: true, Capacity: 100_000, TokenBytes: 131_072, LinkMbps: 500_000}
 			parts := []call.Part{{ID: "system", Tokens: 6000}, {ID: "own", Tokens: 500}}
-			p.endpoint(all[0].Life(), profile.Capacity).cache.read(parts[0], true)
-			got, ok := p.Pick(Request{Call: call.Call{ID: "x", PromptMax: 6500, Parts: parts}, Engines: all, Exclude: map[engine.Life]bool{all[0].Life(): true}, Profile: profile, Cap: 9, Now: now})
+			p.endpoint(all[0].Incarnation(), profile.Capacity).cache.read(parts[0], true)
+			got, ok := p.Pick(Request{Call: call.Call{ID: "x", PromptMax: 6500, Parts: parts}, Engines: all, Exclude: map[engine.Incarnation]bool{all[0].Incarnation(): true}, Profile: profile, Cap: 9, Now: now})
 			require.True(t, ok)
 			assert.Equal(t, c.fetched, got.Fetched > 0)
 		})
--- a/fleet/relay/choice/endpoint.go
+++ b/fleet/relay/choice/endpoint.go
@@ -29,7 +29,7 @@
 }
 
 // endpoint returns the state of the present incarnation, even if the caller names another one.
-func (p *Picker) endpoint(life engine.Life, capacity int64) *endpoint {
+func (p *Picker) endpoint(life engine.Incarnation, capacity int64) *endpoint {
 	s, ok := p.endpoints[life.ID]
 	if !ok {
 		s = p.newIncarnation(life, capacity)
@@ -41,7 +41,7 @@
 }
 
 // newIncarnation replaces the state of an endpoint by that of a new incarnation.
-func (p *Picker) newIncarnation(life engine.Life, capacity int64) *endpoint {
+func (p *Picker) newIncarnation(life engine.Incarnation, capacity int64) *endpoint {
 	s := &endpoint{born: life.Born, peers: map[string]Digest{}, cache: newPrefixCache(max(capacity, 1), life.ID, p.holders)}
 	p.endpoints[life.ID] = s
 	return s
--- a/fleet/relay/choice/incarnation.go
+++ b/fleet/relay/choice/incarnation.go
@@ -31,7 +31,7 @@
 // Begin records which incarnation of an endpoint is listed. The state of an earlier one is
 // discarded: cached parts, load, speed, pauses and failures. What peers already reported of the
 // new one is kept.
-func (p *Picker) Begin(life engine.Life, now time.Time) Dropped {
+func (p *Picker) Begin(life engine.Incarnation, now time.Time) Dropped {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before, known := p.endpoints[life.ID]
@@ -57,12 +57,12 @@
 
 // isSameIncarnation reports whether the known state may belong to a listed incarnation: it has
 // the same start time, or consists only of peers' reports without one.
-func (s *endpoint) isSameIncarnation(life engine.Life) bool {
+func (s *endpoint) isSameIncarnation(life engine.Incarnation) bool {
 	return s.born == life.Born || !s.listed && s.born == 0 && !s.gone
 }
 
 // replaceIncarnation starts an incarnation in place of another one.
-func (p *Picker) replaceIncarnation(before *endpoint, life engine.Life) *endpoint {
+func (p *Picker) replaceIncarnation(before *endpoint, life engine.Incarnation) *endpoint {
 	capacity := before.cache.capacity
 	before.cache.clear()
 	s := p.newIncarnation(life, capacity)
@@ -76,7 +76,7 @@
 }
 
 // forget drops the reads of earlier incarnations, so that peers no longer receive them.
-func (l *recentReads) forget(life engine.Life) {
+func (l *recentReads) forget(life engine.Incarnation) {
 	l.reads = slices.DeleteFunc(l.reads, func(r timedRead) bool { return r.Endpoint == life.ID && r.Born != life.Born })
 }
 
--- a/fleet/relay/choice/incarnation_test.go
+++ b/fleet/relay/choice/incarnation_test.go
@@ -17,7 +17,7 @@
 func TestPeerReportsCountForTheirIncarnation(t *testing.T) {
 	start := time.Unix(1000, 0)
 	const before, now, after = 5, 9, 11
-	life := func(born int64) engine.Life { return engine.Life{ID: "e", Born: born} }
+	life := func(born int64) engine.Incarnation { return engine.Incarnation{ID: "e", Born: born} }
 	begun := func(p *Picker, born ...int64) {
 		for _, b := range born {
 			p.Begin(life(b), start)
@@ -52,8 +52,8 @@
 			p.capacity = 1000
 			begun(p, c.learned...)
 			at := start.Add(c.at)
-			p.Heard("peer", map[string]Digest{"e": {InFlight: 7, Waiting: 70, Paused: 1, Streams: 9, Born: c.born}}, at)
-			p.HeardReads([]Read{{Endpoint: "e", Born: c.born, Parts: []string{"part"}, Tokens: []int64{9}}}, true, at)
+			p.ReceiveDigests("peer", map[string]Digest{"e": {InFlight: 7, Waiting: 70, Paused: 1, Streams: 9, Born: c.born}}, at)
+			p.ReceiveReads([]Read{{Endpoint: "e", Born: c.born, Parts: []string{"part"}, Tokens: []int64{9}}}, true, at)
 			begun(p, c.later...)
 			s := p.endpoints["e"]
 			inFlight, waiting := s.total(at)
@@ -82,11 +82,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPicker("z", DefaultTuning())
-			p.Begin(engine.Life{ID: "e", Born: 9}, now)
-			p.Heard("peer", map[string]Digest{"e": {Gone: true, Born: c.born}}, now)
+			p.Begin(engine.Incarnation{ID: "e", Born: 9}, now)
+			p.ReceiveDigests("peer", map[string]Digest{"e": {Gone: true, Born: c.born}}, now)
 			assert.Equal(t, c.gone, p.endpoints["e"].gone)
 			assert.Equal(t, c.gone, p.Digests()["e"].Gone, "it is reported with the incarnation that ended")
-			p.Begin(engine.Life{ID: "e", Born: 11}, now)
+			p.Begin(engine.Incarnation{ID: "e", Born: 11}, now)
 			assert.False(t, p.endpoints["e"].gone)
 			assert.Empty(t, p.Digests())
 		})
@@ -99,7 +99,7 @@
 	now := time.Unix(1000, 0)
 	p := NewPicker("z", DefaultTuning())
 	e := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "away", Slots: 8}
-	assert.Equal(t, Dropped{}, p.Begin(e.Life(), now))
+	assert.Equal(t, Dropped{}, p.Begin(e.Incarnation(), now))
 	r := Request{
 		Call:    call.Call{ID: "c", PromptMax: 900, Parts: []call.Part{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 400}}},
 		Engines: []engine.Engine{e}, Cap: 9, Now: now, Profile: Profile{Service: "s", Tokens: true, Capacity: 5000},
@@ -110,10 +110,10 @@
 	failed, ok := p.Pick(r)
 	require.True(t, ok)
 	failed.Close(Unreached, now)
-	p.Heard("peer", map[string]Digest{"e": {InFlight: 1, Born: 5}}, now)
-	assert.Equal(t, Dropped{}, p.Begin(e.Life(), now))
+	p.ReceiveDigests("peer", map[string]Digest{"e": {InFlight: 1, Born: 5}}, now)
+	assert.Equal(t, Dropped{}, p.Begin(e.Incarnation(), now))
 	assert.True(t, p.zones["away"].failed["e"])
-	next := engine.Life{ID: "e", Born: 9}
+	next := engine.Incarnation{ID: "e", Born: 9}
 	assert.Equal(t, Dropped{Ended: true, Born: 5, Parts: 2, Calls: 1, Peers: 1, Doubted: true, Placed: now}, p.Begin(next, now))
 	assert.False(t, p.zones["away"].failed["e"], "whether the new incarnation can be reached is unknown")
 	assert.Equal(t, int64(5000), p.endpoints["e"].cache.capacity, "the capacity is the service's, not the incarnation's")
@@ -133,15 +133,15 @@
 		known func(p *Picker)
 		ended bool
 	}{
-		{"listed", func(p *Picker) { p.Begin(e.Life(), now) }, true},
+		{"listed", func(p *Picker) { p.Begin(e.Incarnation(), now) }, true},
 		{"called", func(p *Picker) { p.Pick(Request{Engines: []engine.Engine{e}, Cap: 9, Now: now}) }, true},
-		{"a peer's report", func(p *Picker) { p.Heard("peer", map[string]Digest{"e": {InFlight: 1}}, now) }, false},
+		{"a peer's report", func(p *Picker) { p.ReceiveDigests("peer", map[string]Digest{"e": {InFlight: 1}}, now) }, false},
 		{"unknown", func(*Picker) {}, false},
 	}
 	for _, c := range cases {
 		p := NewPicker("z", DefaultTuning())
 		c.known(p)
-		assert.Equal(t, c.ended, p.Begin(engine.Life{ID: "e", Born: 9}, now).Ended, c.name)
+		assert.Equal(t, c.ended, p.Begin(engine.Incarnation{ID: "e", Born: 9}, now).Ended, c.name)
 	}
 }
 
@@ -170,7 +170,7 @@
 			}
 			target := p.affinity(r)
 			for _, born := range c.incarnations {
-				p.Begin(engine.Life{ID: target, Born: born}, now)
+				p.Begin(engine.Incarnation{ID: target, Born: born}, now)
 			}
 			assert.Equal(t, target, p.affinity(r), "calls still go there first, so that it caches them again")
 			assert.Equal(t, c.from, p.source(r, target).id == target)
--- a/fleet/relay/choice/model_test.go
+++ b/fleet/relay/choice/model_test.go
@@ -126,8 +126,8 @@
 		default:
 			playCall(t, p, random, e, k, 1, now)
 		}
-		p.Heard("liar", map[string]Digest{e.ID: {InFlight: -5, Waiting: -1 << 40, Paused: 1e300, Streams: -1}}, now)
-		p.HeardReads([]Read{{Endpoint: e.ID, Parts: []string{"a"}, Tokens: []int64{-5}}, {Endpoint: e.ID, Parts: []string{"a", "b"}, Tokens: []int64{1}}}, false, now)
+		p.ReceiveDigests("liar", map[string]Digest{e.ID: {InFlight: -5, Waiting: -1 << 40, Paused: 1e300, Streams: -1}}, now)
+		p.ReceiveReads([]Read{{Endpoint: e.ID, Parts: []string{"a"}, Tokens: []int64{-5}}, {Endpoint: e.ID, Parts: []string{"a", "b"}, Tokens: []int64{1}}}, false, now)
 		now = now.Add(20 * time.Millisecond)
 	}
 	m := p.model(service)
@@ -161,7 +161,7 @@
 				require.True(t, ok)
 				stream.First(35*time.Millisecond, now) // as the prior predicts
 			}
-			p.endpoint(all[1].Life(), 0).waiting = 300 // slightly more prompt tokens wait where no stream runs
+			p.endpoint(all[1].Incarnation(), 0).waiting = 300 // slightly more prompt tokens wait where no stream runs
 			got, ok := p.Pick(Request{Call: long, Engines: all, Profile: Profile{Service: service, Tokens: true, Capacity: 1}, Gap: 300 * time.Millisecond, Objective: time.Second, Cap: 100, Now: now})
 			require.True(t, ok)
 			assert.Equal(t, c.want, got.Engine.ID)
@@ -202,13 +202,13 @@
 			p := sender
 			if c.announced {
 				p = NewPicker("z", DefaultTuning())
-				p.endpoint(all[0].Life(), 100_000)
-				p.HeardReads(sender.Reads("", now), false, now)
+				p.endpoint(all[0].Incarnation(), 100_000)
+				p.ReceiveReads(sender.Reads("", now), false, now)
 			}
 			if c.suspect {
 				p.endpoints[all[0].ID].suspectedUntil = now.Add(time.Second)
 			}
-			got, ok := p.Pick(Request{Call: prompt("b"), Engines: all, Exclude: map[engine.Life]bool{all[0].Life(): true}, Profile: profile, Cap: 9, Now: now})
+			got, ok := p.Pick(Request{Call: prompt("b"), Engines: all, Exclude: map[engine.Incarnation]bool{all[0].Incarnation(): true}, Profile: profile, Cap: 9, Now: now})
 			require.True(t, ok)
 			assert.Equal(t, c.want, got.Fetched)
 			assert.Equal(t, c.want > 0, got.Source == all[0].Address)
@@ -226,12 +226,12 @@
 	p := NewPicker("z", DefaultTuning())
 	target, ok := find(all, p.affinity(r))
 	require.True(t, ok)
-	r.Exclude = map[engine.Life]bool{target.Life(): true}
+	r.Exclude = map[engine.Incarnation]bool{target.Incarnation(): true}
 	got, ok := p.Pick(r)
 	require.True(t, ok)
 	assert.Equal(t, target.Address, got.Source)
 	assert.Equal(t, c.PromptMax, got.Uncached, "the target may lack them, so the estimate does not rely on it")
-	p.endpoint(target.Life(), 1).gone = true
+	p.endpoint(target.Incarnation(), 1).gone = true
 	got, ok = p.Pick(r)
 	require.True(t, ok)
 	assert.Empty(t, got.Source)
@@ -242,11 +242,11 @@
 	var l recentReads
 	now := time.Unix(1000, 0)
 	for i := range 500 {
-		l.add(engine.Life{ID: "e"}, []call.Part{{ID: fmt.Sprint(i), Tokens: 5}}, nil, false, now)
+		l.add(engine.Incarnation{ID: "e"}, []call.Part{{ID: fmt.Sprint(i), Tokens: 5}}, nil, false, now)
 	}
 	assert.Len(t, l.list("", false, now), maxReads)
 	assert.Empty(t, l.list("", false, now.Add(2*readTTL)))
-	l.add(engine.Life{ID: "e"}, nil, nil, true, now)
+	l.add(engine.Incarnation{ID: "e"}, nil, nil, true, now)
 	assert.Empty(t, l.list("", false, now.Add(2*readTTL)), "a prompt without shared parts is not sent")
 }
 
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -15,7 +15,7 @@
 	if p.notices == nil {
 		return false
 	}
-	switch p.notices.Use(e.Life(), r.Now) {
+	switch p.notices.Use(e.Incarnation(), r.Now) {
 	case notice.Closed:
 		return true
 	case notice.LastResort:
@@ -42,7 +42,7 @@
 		if e.State != engine.Ready {
 			continue
 		}
-		until, length, resting := p.notices.Resting(e.Life(), now)
+		until, length, resting := p.notices.Resting(e.Incarnation(), now)
 		if !resting {
 			return 0, false
 		}
@@ -59,20 +59,20 @@
 	if t.picker.notices == nil {
 		return false
 	}
-	_, _, resting := t.picker.notices.Resting(t.Engine.Life(), now)
+	_, _, resting := t.picker.notices.Resting(t.Engine.Incarnation(), now)
 	return resting
 }
 
 // Took records that the endpoint accepted a call that was sent at the given time.
 func (t *Placement) Took(sent time.Time) {
 	if t.picker.notices != nil {
-		t.picker.notices.Took(t.Engine.Life(), sent)
+		t.picker.notices.Took(t.Engine.Incarnation(), sent)
 	}
 }
 
 // Notice records a notice in an answer of the endpoint to this node.
 func (t *Placement) Notice(n call.Notice, now time.Time) {
 	if t.picker.notices != nil {
-		t.picker.notices.Saw(t.Engine, n, now)
+		t.picker.notices.Observe(t.Engine, n, now)
 	}
 }
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -87,7 +87,7 @@
 	for i, part := range t.request.Call.Parts {
 		e.cache.read(part, i < len(shared))
 	}
-	t.picker.recent.add(engine.Life{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, rare, now)
+	t.picker.recent.add(engine.Incarnation{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, rare, now)
 }
 
 func (t *Placement) endWaiting() {
@@ -154,14 +154,14 @@
 	if t.picker.doubts == nil {
 		return
 	}
-	life := t.Engine.Life()
+	life := t.Engine.Incarnation()
 	switch r {
 	case Good:
-		t.picker.doubts.Saw(life, doubt.Fine, now)
+		t.picker.doubts.Observe(life, doubt.Succeeded, now)
 	case Cut:
-		t.picker.doubts.Saw(life, doubt.Cut, now)
+		t.picker.doubts.Observe(life, doubt.Interrupted, now)
 	case Bad, Unreached:
-		t.picker.doubts.Saw(life, doubt.Failed, now)
+		t.picker.doubts.Observe(life, doubt.Failed, now)
 	case Rejected, Gone, Neutral:
 	}
 }
--- a/fleet/relay/choice/reason.go
+++ b/fleet/relay/choice/reason.go
@@ -42,7 +42,7 @@
 	if p.excludedByRest(r, e, level) {
 		return nil, Resting
 	}
-	s := p.endpoint(e.Life(), r.Profile.Capacity)
+	s := p.endpoint(e.Incarnation(), r.Profile.Capacity)
 	switch {
 	case s.gone:
 		return s, Replaced
@@ -52,7 +52,7 @@
 		return s, Suspected
 	case level == healthyOnly && p.unreachable(e.Zone, r.Now):
 		return s, Unreachable
-	case level != allowAll && p.doubts != nil && p.doubts.Avoids(e.Life(), r.Again, key, r.Now):
+	case level != allowAll && p.doubts != nil && p.doubts.Avoids(e.Incarnation(), r.Again, key, r.Now):
 		return s, Doubted
 	case !p.withinBounds(*r, *e):
 		return s, Bounded
@@ -70,7 +70,7 @@
 		return Emptied
 	case e.State != engine.Ready && !lastResort:
 		return Ending
-	case r.Exclude[e.Life()]:
+	case r.Exclude[e.Incarnation()]:
 		return Tried
 	}
 	return Usable
--- a/fleet/relay/choice/rest_test.go
+++ b/fleet/relay/choice/rest_test.go
@@ -38,7 +38,7 @@
 func newRestFleet(nodes int, seed uint64) *restFleet {
 	w := &restFleet{random: rand.New(rand.NewPCG(seed, 5)), now: time.Unix(1000, 0), engines: testEngines(restEndpoints), ends: map[time.Time][]func(){}, running: map[string]int{}}
 	for i := range nodes {
-		b := notice.NewBook(fmt.Sprint("n", i), notice.Rule{}, func(notice.Change) {})
+		b := notice.NewTracker(fmt.Sprint("n", i), notice.Rule{}, func(notice.Change) {})
 		b.Engines(w.engines, w.now)
 		w.pickers = append(w.pickers, NewPicker("z", DefaultTuning()).WithNotices(b))
 	}
@@ -67,7 +67,7 @@
 		digests := from.Digests()
 		for j, to := range w.pickers {
 			if i != j && (j+beat)%5 == 0 {
-				to.Heard(fmt.Sprint("n", i), digests, w.now)
+				to.ReceiveDigests(fmt.Sprint("n", i), digests, w.now)
 			}
 		}
 	}
@@ -86,9 +86,9 @@
 		w.received = append(w.received, w.now)
 		if w.now.Before(w.resting) {
 			t.Notice(call.Rest{For: restLength}, w.now)
-			reports := p.notices.News(false, w.now)
+			reports := p.notices.Updates(false, w.now)
 			for _, other := range w.pickers {
-				other.notices.Heard("n", reports, w.now)
+				other.notices.Receive("n", reports, w.now)
 			}
 			t.Close(Rejected, w.now)
 			return
--- a/fleet/relay/choice/suspicion_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -19,28 +19,28 @@
 func TestNonRepeatableCallsAvoidSuspectedEndpoints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
-	reports := []doubt.Word{{Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "b", Cut: true}}}, {Endpoint: all[0].ID, Tellers: []doubt.Teller{{Node: "c", Cut: true}}}}
+	reports := []doubt.Report{{Endpoint: all[0].ID, Reporters: []doubt.Reporter{{Node: "b", Interrupted: true}}}, {Endpoint: all[0].ID, Reporters: []doubt.Reporter{{Node: "c", Interrupted: true}}}}
 	cases := []struct {
 		name      string
 		announced bool
 		full      bool // the others refused a call lately
-		exclude   map[engine.Life]bool
+		exclude   map[engine.Incarnation]bool
 		want      bool // some calls go to the suspected endpoint
 	}{
 		{"others can take it", true, false, nil, false},
 		{"others were full a moment ago", true, true, nil, false},
-		{"others were tried", true, false, map[engine.Life]bool{all[1].Life(): true, all[2].Life(): true}, true},
+		{"others were tried", true, false, map[engine.Incarnation]bool{all[1].Incarnation(): true, all[2].Incarnation(): true}, true},
 		{"nothing is reported", false, false, nil, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := choice.NewPicker("z0", choice.DefaultTuning())
 			if c.announced {
-				b := doubt.NewBook("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
+				b := doubt.NewTracker("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
 				b.Engines(all)
 				b.Nodes(map[string]string{"a": "z0", "b": "z0", "c": "z0"})
-				b.Heard("b", reports[:1], now)
-				b.Heard("c", reports[1:], now)
+				b.Receive("b", reports[:1], now)
+				b.Receive("c", reports[1:], now)
 				p.WithDoubts(b)
 			}
 			for _, e := range all[1:] {
@@ -72,27 +72,27 @@
 	all := []engine.Engine{{ID: "e0", Born: 5, Service: "s", Slots: 8}, {ID: "e1", Service: "s", Slots: 8}}
 	cases := []struct {
 		result choice.Result
-		want   []doubt.Teller
+		want   []doubt.Reporter
 	}{
 		{choice.Good, nil},
 		{choice.Rejected, nil},
 		{choice.Neutral, nil},
 		{choice.Gone, nil},
-		{choice.Bad, []doubt.Teller{{Node: "a"}}},
-		{choice.Unreached, []doubt.Teller{{Node: "a"}}},
-		{choice.Cut, []doubt.Teller{{Node: "a", Cut: true}}},
+		{choice.Bad, []doubt.Reporter{{Node: "a"}}},
+		{choice.Unreached, []doubt.Reporter{{Node: "a"}}},
+		{choice.Cut, []doubt.Reporter{{Node: "a", Interrupted: true}}},
 	}
 	for _, c := range cases {
-		b := doubt.NewBook("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
+		b := doubt.NewTracker("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
 		b.Engines(all)
 		p := choice.NewPicker("z0", choice.DefaultTuning()).WithDoubts(b)
 		placed, ok := p.Pick(ask(call.Call{ID: "c"}, all[:1], now))
 		require.True(t, ok)
 		placed.Close(c.result, now)
-		var want []doubt.Word
+		var want []doubt.Report
 		if c.want != nil {
-			want = []doubt.Word{{Endpoint: "e0", Born: 5, Tellers: c.want}}
+			want = []doubt.Report{{Endpoint: "e0", Born: 5, Reporters: c.want}}
 		}
-		assert.Equal(t, want, b.Words(false, now), "result %d", c.result)
+		assert.Equal(t, want, b.Reports(false, now), "result %d", c.result)
 	}
 }
--- a/fleet/relay/cold/cold.go
+++ b/fleet/relay/cold/cold.go
@@ -45,7 +45,7 @@
 // IsCold reports whether an endpoint is slow now, as far as this node knows: the endpoint
 // reports it itself, or it restarted or its zone was given back less than one start time ago.
 func IsCold(e engine.Engine, start time.Duration, now time.Time) bool {
-	return now.Before(e.ColdUntil) || isWithin(e.RebornAt, start, now) || isWithin(e.ReturnedAt, start, now)
+	return now.Before(e.ColdUntil) || isWithin(e.RestartedAt, start, now) || isWithin(e.ReturnedAt, start, now)
 }
 
 // isWithin reports whether a time lies less than the given length in the past; the zero time
--- a/fleet/relay/doubt/doubt.go
+++ b/fleet/relay/doubt/doubt.go
@@ -15,26 +15,28 @@
 
 // The outcomes.
 const (
-	Fine   Outcome = iota
-	Failed         // bad, partial or late answer: healthy endpoints have some, and the delay may be the node's own
-	Cut            // the endpoint closed the connection instead of answering: healthy ones hardly ever do
+	Succeeded   Outcome = iota
+	Failed              // bad, partial or late answer: healthy endpoints have some, and the delay may be the node's own
+	Interrupted         // the endpoint closed the connection instead of answering: healthy ones hardly ever do
 )
 
-// Word reports failures at one incarnation of an endpoint.
-type Word struct {
-	Endpoint string   `json:"e"`
-	Born     int64    `json:"b,omitempty"`
-	Tellers  []Teller `json:"t"` // nodes that observed them
+// Report reports failures at one incarnation of an endpoint.
+type Report struct {
+	Endpoint  string     `json:"e"`
+	Born      int64      `json:"b,omitempty"`
+	Reporters []Reporter `json:"t"` // nodes that observed them
 }
 
-// Teller is a node that observed failures lately.
-type Teller struct {
-	Node  string `json:"n"`
-	AgeMs int64  `json:"a"`           // since the last failure, when the message was sent
-	Cut   bool   `json:"c,omitempty"` // it was an interrupted call
+// Reporter is a node that observed failures lately.
+type Reporter struct {
+	Node        string `json:"n"`
+	AgeMs       int64  `json:"a"`           // since the last failure, when the message was sent
+	Interrupted bool   `json:"c,omitempty"` // it was an interrupted call
 }
 
-func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (w Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+}
 
 // Rule defines when reports count, and how long an endpoint is avoided.
 type Rule struct {
@@ -74,8 +76,8 @@
 
 // Avoided describes the start of a suspicion period.
 type Avoided struct {
-	Engine  engine.Engine
-	Tellers []Teller
-	For     time.Duration // until the first node uses the endpoint again
-	Again   bool          // it failed again soon after the previous period
+	Engine    engine.Engine
+	Reporters []Reporter
+	For       time.Duration // until the first node uses the endpoint again
+	Again     bool          // it failed again soon after the previous period
 }
--- a/fleet/relay/doubt/findings.go
+++ b/fleet/relay/doubt/findings.go
@@ -11,7 +11,7 @@
 
 // findings are the recent failures at an endpoint, as far as they count for this node.
 type findings struct {
-	reporters   []Teller        // latest first
+	reporters   []Reporter      // latest first
 	senders     map[string]bool // nodes whose messages contained them, including this one
 	interrupted int             // reporters with interrupted calls
 	last        time.Time
@@ -29,13 +29,13 @@
 }
 
 // findings collects the failures after a time.
-func (b *Book) findings(e engine.Engine, from, now time.Time) findings {
+func (b *Tracker) findings(e engine.Engine, from, now time.Time) findings {
 	f := findings{senders: map[string]bool{}}
-	if s, ok := b.ownSuspicion(e.Life(), now); ok && s.at.After(from) && !b.ownLinkFails(e, now) {
-		f.add(b.self, s.at, s.outcome == Cut, now)
+	if s, ok := b.ownSuspicion(e.Incarnation(), now); ok && s.at.After(from) && !b.ownLinkFails(e, now) {
+		f.add(b.self, s.at, s.outcome == Interrupted, now)
 		f.senders[b.self] = true
 	}
-	for reporter, v := range b.received[e.Life()] {
+	for reporter, v := range b.received[e.Incarnation()] {
 		if !v.last.After(from) || !b.fleet.isRelevant(b.zone, reporter, e) || b.fleet.exceedsLinkShare(b.suspectedBy(reporter, now), e, b.rule.LinkShare) {
 			continue
 		}
@@ -51,12 +51,12 @@
 }
 
 // byAge orders reporters by their latest failure, newest first.
-func byAge(a, b Teller) int {
+func byAge(a, b Reporter) int {
 	return cmp.Or(cmp.Compare(a.AgeMs, b.AgeMs), cmp.Compare(a.Node, b.Node))
 }
 
 func (f *findings) add(node string, at time.Time, interrupted bool, now time.Time) {
-	f.reporters = append(f.reporters, Teller{Node: node, AgeMs: now.Sub(at).Milliseconds(), Cut: interrupted})
+	f.reporters = append(f.reporters, Reporter{Node: node, AgeMs: now.Sub(at).Milliseconds(), Interrupted: interrupted})
 	if interrupted {
 		f.interrupted++
 	}
@@ -67,14 +67,14 @@
 
 // ownSuspicion returns the last failure of this node's calls at an endpoint, if enough of its
 // recent calls failed.
-func (b *Book) ownSuspicion(life engine.Life, now time.Time) (result, bool) {
+func (b *Tracker) ownSuspicion(life engine.Incarnation, now time.Time) (result, bool) {
 	calls, failures, last := b.own[life].since(now.Add(-b.rule.Window))
 	return last, failures > 0 && float64(failures) >= b.rule.FailureShare*float64(calls)
 }
 
 // ownLinkFails reports whether this node suspects so many endpoints that its own link has
 // probably failed.
-func (b *Book) ownLinkFails(e engine.Engine, now time.Time) bool {
+func (b *Tracker) ownLinkFails(e engine.Engine, now time.Time) bool {
 	var suspected []engine.Engine
 	for life := range b.own {
 		if _, ok := b.ownSuspicion(life, now); ok {
@@ -85,7 +85,7 @@
 }
 
 // suspectedBy returns the endpoints at which a node observed failures lately.
-func (b *Book) suspectedBy(reporter string, now time.Time) []engine.Engine {
+func (b *Tracker) suspectedBy(reporter string, now time.Time) []engine.Engine {
 	var suspected []engine.Engine
 	for life, of := range b.received {
 		if v, ok := of[reporter]; ok && now.Sub(v.last) < b.rule.Window {
--- a/fleet/relay/doubt/fleet.go
+++ b/fleet/relay/doubt/fleet.go
@@ -8,7 +8,7 @@
 
 // fleet holds the known endpoints and nodes. Only these may be suspected and may report.
 type fleet struct {
-	engines     map[engine.Life]engine.Engine
+	engines     map[engine.Incarnation]engine.Engine
 	perService  map[string]int      // ready endpoints of a service
 	perZone     map[serviceZone]int // ready endpoints of a service in a zone
 	zones       map[string]string   // of the nodes
@@ -19,14 +19,14 @@
 type serviceZone struct{ service, zone string }
 
 func newFleet() fleet {
-	return fleet{engines: map[engine.Life]engine.Engine{}, perService: map[string]int{}, perZone: map[serviceZone]int{}, zones: map[string]string{}, nodesInZone: map[string]int{}}
+	return fleet{engines: map[engine.Incarnation]engine.Engine{}, perService: map[string]int{}, perZone: map[serviceZone]int{}, zones: map[string]string{}, nodesInZone: map[string]int{}}
 }
 
 // withEngines returns the fleet with the endpoints replaced.
 func (f fleet) withEngines(all []engine.Engine) fleet {
-	f.engines, f.perService, f.perZone = make(map[engine.Life]engine.Engine, len(all)), map[string]int{}, map[serviceZone]int{}
+	f.engines, f.perService, f.perZone = make(map[engine.Incarnation]engine.Engine, len(all)), map[string]int{}, map[serviceZone]int{}
 	for _, e := range all {
-		f.engines[e.Life()] = e
+		f.engines[e.Incarnation()] = e
 		if e.State == engine.Ready {
 			f.perService[e.Service]++
 			f.perZone[serviceZone{e.Service, e.Zone}]++
--- a/fleet/relay/doubt/harness_test.go
+++ b/fleet/relay/doubt/harness_test.go
@@ -48,7 +48,7 @@
 	behave    behavior
 	seed      uint64
 	length    time.Duration
-	liars     func(now time.Time, send func(sender int, w Word)) // called in each interval
+	liars     func(now time.Time, send func(sender int, w Report)) // called in each interval
 }
 
 type losses struct {
@@ -60,7 +60,7 @@
 type modelNode struct {
 	name, zone   string
 	delegate     bool
-	book         *Book
+	book         *Tracker
 	suspected    []time.Time
 	failures     []int
 	counts       [][2]int // calls and failures of the window, for the method rates
@@ -87,7 +87,7 @@
 	}
 	for i := range all {
 		n := &modelNode{name: nodeName(i), zone: zoneName(i), delegate: i < 2*modelZones, suspected: make([]time.Time, m.endpoints), failures: make([]int, m.endpoints), counts: make([][2]int, m.endpoints), avoidedUntil: make([]time.Time, m.endpoints)}
-		n.book = NewBook(n.name, n.zone, m.rule, func(Avoided) {})
+		n.book = NewTracker(n.name, n.zone, m.rule, func(Avoided) {})
 		n.book.Engines(modelEngines(m.endpoints))
 		n.book.Nodes(zones)
 		all[i] = n
@@ -95,7 +95,9 @@
 	return all
 }
 
-func lifeOf(endpoint int) engine.Life { return engine.Life{ID: fmt.Sprint("e", endpoint), Born: 1} }
+func lifeOf(endpoint int) engine.Incarnation {
+	return engine.Incarnation{ID: fmt.Sprint("e", endpoint), Born: 1}
+}
 
 func (n *modelNode) avoids(w method, endpoint int, again bool, key uint64, now time.Time) bool {
 	if now.Before(n.suspected[endpoint]) {
@@ -112,9 +114,9 @@
 }
 
 func (n *modelNode) observe(endpoint int, o Outcome, now time.Time) {
-	n.book.Saw(lifeOf(endpoint), o, now)
+	n.book.Observe(lifeOf(endpoint), o, now)
 	n.counts[endpoint][0]++
-	if o == Fine {
+	if o == Succeeded {
 		n.failures[endpoint] = 0
 		return
 	}
@@ -170,7 +172,7 @@
 	}
 	o := m.behave(pick, at, r)
 	n.observe(pick, o, now)
-	if o != Fine && !again && pick == 0 {
+	if o != Succeeded && !again && pick == 0 {
 		return 1
 	}
 	return 0
@@ -190,19 +192,19 @@
 	for _, n := range all {
 		select {
 		case <-n.book.Urgent():
-			audience := n.book.News(n.delegate, now)
-			sent += sendTo(all, n, n.book.Words(n.delegate, now), n.audience(audience), now)
+			audience := n.book.Audience(n.delegate, now)
+			sent += sendTo(all, n, n.book.Reports(n.delegate, now), n.audience(audience), now)
 		default:
 		}
 	}
 	return sent
 }
 
-func sendTo(all []*modelNode, from *modelNode, reports []Word, to func(n *modelNode) bool, now time.Time) int {
+func sendTo(all []*modelNode, from *modelNode, reports []Report, to func(n *modelNode) bool, now time.Time) int {
 	sent := 0
 	for _, n := range all {
 		if n != from && len(reports) > 0 && to(n) {
-			n.book.Heard(from.name, reports, now.Add(modelTransit))
+			n.book.Receive(from.name, reports, now.Add(modelTransit))
 			sent++
 		}
 	}
@@ -213,13 +215,13 @@
 func (m model) exchange(all []*modelNode, round int, now time.Time) int {
 	sent := 0
 	if m.liars != nil {
-		m.liars(now, func(sender int, w Word) {
+		m.liars(now, func(sender int, w Report) {
 			for _, n := range all {
-				n.book.Heard(nodeName(sender), []Word{w}, now)
+				n.book.Receive(nodeName(sender), []Report{w}, now)
 			}
 		})
 	}
-	send := func(from *modelNode, reports []Word, to func(n *modelNode) bool) {
+	send := func(from *modelNode, reports []Report, to func(n *modelNode) bool) {
 		sent += sendTo(all, from, reports, to, now)
 	}
 	switch m.method {
@@ -228,13 +230,13 @@
 		return m.sendRates(all, round, now)
 	case direct:
 		for _, n := range all {
-			n.book.News(false, now)
-			send(n, n.book.Words(false, now), func(*modelNode) bool { return true })
+			n.book.Audience(false, now)
+			send(n, n.book.Reports(false, now), func(*modelNode) bool { return true })
 		}
 	case delegates:
 		for i, n := range all {
-			audience := n.book.News(n.delegate, now)
-			reports := n.book.Words(n.delegate, now)
+			audience := n.book.Audience(n.delegate, now)
+			reports := n.book.Reports(n.delegate, now)
 			sent += sendTo(all, n, reports, n.audience(audience), now)
 			digest := n.delegate || (round+i)%digestIntervals == 0
 			send(n, reports, func(to *modelNode) bool {
@@ -287,14 +289,14 @@
 	if r.Float64() < healthyFailureShare {
 		return Failed
 	}
-	return Fine
+	return Succeeded
 }
 
 // flapping alternates the first endpoint between down and up for eight seconds.
 func flapping(endpoint int, at time.Duration, r *rand.Rand) Outcome {
 	const from, until, period = time.Second, 9 * time.Second, 1400 * time.Millisecond
 	if endpoint == 0 && at >= from && at < until && (at-from)%period < period/2 {
-		return Cut
+		return Interrupted
 	}
 	return healthyOutcome(r)
 }
--- a/fleet/relay/doubt/outcomes.go
+++ b/fleet/relay/doubt/outcomes.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		calls++
-		if s.outcome != Fine {
+		if s.outcome != Succeeded {
 			failures++
 			last = s
 		}
--- a/fleet/relay/doubt/reports.go
+++ b/fleet/relay/doubt/reports.go
@@ -21,10 +21,10 @@
 	All                // nodes of the zone and the delegates of other zones: an endpoint is avoided
 )
 
-// News returns who is to be notified at once. Every node sends the failures that it observed. A
+// Audience returns who is to be notified at once. Every node sends the failures that it observed. A
 // node that forwards reports also sends that an endpoint is avoided, at most once per
 // minAnnounceInterval.
-func (b *Book) News(forward bool, now time.Time) Audience {
+func (b *Tracker) Audience(forward bool, now time.Time) Audience {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	failed := b.failed
@@ -39,29 +39,29 @@
 	return Nobody
 }
 
-// Words returns the reports that this node sends: failures that it observed and, if it forwards,
+// Reports returns the reports that this node sends: failures that it observed and, if it forwards,
 // those that others observed at endpoints that it avoids.
-func (b *Book) Words(forward bool, now time.Time) []Word {
+func (b *Tracker) Reports(forward bool, now time.Time) []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.noneAvoided(now) && now.Sub(b.last) > b.rule.Window {
 		return nil // the common case
 	}
-	var reports []Word
+	var reports []Report
 	for life, e := range b.reportable() {
-		if w := (Word{Endpoint: life.ID, Born: life.Born, Tellers: b.reporters(e, forward, now)}); len(w.Tellers) > 0 {
+		if w := (Report{Endpoint: life.ID, Born: life.Born, Reporters: b.reporters(e, forward, now)}); len(w.Reporters) > 0 {
 			reports = append(reports, w)
 		}
 	}
-	slices.SortFunc(reports, func(a, b Word) int {
-		return cmp.Or(cmp.Compare(len(b.Tellers), len(a.Tellers)), cmp.Compare(a.Endpoint, b.Endpoint))
+	slices.SortFunc(reports, func(a, b Report) int {
+		return cmp.Or(cmp.Compare(len(b.Reporters), len(a.Reporters)), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return reports[:min(len(reports), maxReports)]
 }
 
 // reportable returns the endpoints that may be reported.
-func (b *Book) reportable() map[engine.Life]engine.Engine {
-	incarnations := map[engine.Life]engine.Engine{}
+func (b *Tracker) reportable() map[engine.Incarnation]engine.Engine {
+	incarnations := map[engine.Incarnation]engine.Engine{}
 	for life := range b.own {
 		incarnations[life] = b.fleet.engines[life]
 	}
@@ -73,14 +73,14 @@
 
 // reporters returns the nodes that observed failures at an endpoint, as far as this node reports
 // them.
-func (b *Book) reporters(e engine.Engine, forward bool, now time.Time) []Teller {
+func (b *Tracker) reporters(e engine.Engine, forward bool, now time.Time) []Reporter {
 	f := findings{}
-	if s, ok := b.ownSuspicion(e.Life(), now); ok && !b.ownLinkFails(e, now) {
-		f.add(b.self, s.at, s.outcome == Cut, now)
+	if s, ok := b.ownSuspicion(e.Incarnation(), now); ok && !b.ownLinkFails(e, now) {
+		f.add(b.self, s.at, s.outcome == Interrupted, now)
 	}
-	if s, avoided := b.periods[e.Life()]; forward && avoided && now.Before(s.until) {
-		for _, reporter := range slices.Sorted(maps.Keys(b.received[e.Life()])) {
-			v := b.received[e.Life()][reporter]
+	if s, avoided := b.periods[e.Incarnation()]; forward && avoided && now.Before(s.until) {
+		for _, reporter := range slices.Sorted(maps.Keys(b.received[e.Incarnation()])) {
+			v := b.received[e.Incarnation()][reporter]
 			if b.mayForward(reporter, e, v) && now.Sub(v.last) < b.rule.Window && len(f.reporters) < maxReporters {
 				f.add(reporter, v.last, v.interrupted, now)
 			}
@@ -91,17 +91,17 @@
 
 // abridged returns the reporters that a report names. If enough of them had interrupted calls, a
 // few of these suffice for the receivers.
-func (f findings) abridged(r Rule) []Teller {
+func (f findings) abridged(r Rule) []Reporter {
 	slices.SortFunc(f.reporters, byAge)
 	if f.interrupted > r.MinReporters {
-		return lo.Filter(f.reporters, func(t Teller, _ int) bool { return t.Cut })[:r.MinReporters+1]
+		return lo.Filter(f.reporters, func(t Reporter, _ int) bool { return t.Interrupted })[:r.MinReporters+1]
 	}
 	return f.reporters
 }
 
 // mayForward reports whether this node forwards another node's observation: received first hand
 // from its own zone, or from the endpoint's zone if two delegates there sent it.
-func (b *Book) mayForward(reporter string, e engine.Engine, v observation) bool {
+func (b *Tracker) mayForward(reporter string, e engine.Engine, v observation) bool {
 	if from := b.fleet.zones[reporter]; from != b.zone {
 		return from == e.Zone && len(v.senders) >= b.rule.MinReporters
 	}
@@ -109,26 +109,26 @@
 	return firsthand
 }
 
-// Heard records another node's reports. Only known nodes and listed incarnations count.
-func (b *Book) Heard(sender string, reports []Word, now time.Time) {
+// Receive records another node's reports. Only known nodes and listed incarnations count.
+func (b *Tracker) Receive(sender string, reports []Report, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, listed := b.fleet.zones[sender]; !listed {
 		return
 	}
 	for _, w := range reports[:min(len(reports), maxReports)] {
-		if _, listed := b.fleet.engines[w.life()]; !listed {
+		if _, listed := b.fleet.engines[w.incarnation()]; !listed {
 			continue
 		}
-		for _, t := range w.Tellers[:min(len(w.Tellers), maxReporters)] {
-			b.record(w.life(), sender, t, now)
+		for _, t := range w.Reporters[:min(len(w.Reporters), maxReporters)] {
+			b.record(w.incarnation(), sender, t, now)
 		}
-		b.evaluate(w.life(), now)
+		b.evaluate(w.incarnation(), now)
 	}
 }
 
 // record stores the observation of one node.
-func (b *Book) record(life engine.Life, sender string, t Teller, now time.Time) {
+func (b *Tracker) record(life engine.Incarnation, sender string, t Reporter, now time.Time) {
 	age := time.Duration(t.AgeMs) * time.Millisecond
 	_, listed := b.fleet.zones[t.Node]
 	if !listed || t.Node == b.self || t.AgeMs < 0 || t.AgeMs > b.rule.Window.Milliseconds() {
@@ -146,7 +146,7 @@
 	}
 	v.senders[sender] = now
 	if at := now.Add(-age); at.After(v.last) {
-		v.last, v.interrupted = at, t.Cut
+		v.last, v.interrupted = at, t.Interrupted
 	}
 	of[t.Node] = v
 }
--- a/fleet/relay/doubt/tracker.go
+++ b/fleet/relay/doubt/tracker.go
@@ -11,9 +11,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Book tracks the failures that this node observed or received from others. It is safe for
+// Tracker tracks the failures that this node observed or received from others. It is safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	rule         Rule
 	self         string
 	zone         string
@@ -23,9 +23,9 @@
 
 	mu          sync.Mutex
 	fleet       fleet
-	own         map[engine.Life]outcomes
-	received    map[engine.Life]map[string]observation // by the node that observed the failures
-	periods     map[engine.Life]period
+	own         map[engine.Incarnation]outcomes
+	received    map[engine.Incarnation]map[string]observation // by the node that observed the failures
+	periods     map[engine.Incarnation]period
 	failed      bool      // this node observed a failure since its last announcement
 	last        time.Time // last failure observed by this node
 	started     bool      // a suspicion period began since the last announcement to all
@@ -50,21 +50,21 @@
 	recovered   bool      // ended early by own successes, or in favor of another endpoint
 }
 
-// NewBook returns the tracker of a node. It calls avoided at the start of each suspicion period.
-func NewBook(self, zone string, r Rule, avoided func(Avoided)) *Book {
-	b := &Book{
+// NewTracker returns the tracker of a node. It calls avoided at the start of each suspicion period.
+func NewTracker(self, zone string, r Rule, avoided func(Avoided)) *Tracker {
+	b := &Tracker{
 		rule: r, self: self, zone: zone, avoided: avoided, urgent: make(chan struct{}, 1), fleet: newFleet(),
-		own: map[engine.Life]outcomes{}, received: map[engine.Life]map[string]observation{}, periods: map[engine.Life]period{},
+		own: map[engine.Incarnation]outcomes{}, received: map[engine.Incarnation]map[string]observation{}, periods: map[engine.Incarnation]period{},
 	}
 	b.avoidedUntil.Store(&time.Time{})
 	return b
 }
 
 // noneAvoided reports whether no endpoint is avoided.
-func (b *Book) noneAvoided(now time.Time) bool { return !now.Before(*b.avoidedUntil.Load()) }
+func (b *Tracker) noneAvoided(now time.Time) bool { return !now.Before(*b.avoidedUntil.Load()) }
 
 // Engines sets the known endpoints. The state of other incarnations is dropped.
-func (b *Book) Engines(all []engine.Engine) {
+func (b *Tracker) Engines(all []engine.Engine) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fleet = b.fleet.withEngines(all)
@@ -73,7 +73,7 @@
 	dropGone(b.periods, b.fleet)
 }
 
-func dropGone[T any](of map[engine.Life]T, f fleet) {
+func dropGone[T any](of map[engine.Incarnation]T, f fleet) {
 	for life := range of {
 		if _, listed := f.engines[life]; !listed {
 			delete(of, life)
@@ -82,14 +82,14 @@
 }
 
 // Nodes sets the known nodes and their zones.
-func (b *Book) Nodes(zones map[string]string) {
+func (b *Tracker) Nodes(zones map[string]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fleet = b.fleet.withNodes(zones)
 }
 
-// Saw records the outcome of a call of this node.
-func (b *Book) Saw(life engine.Life, o Outcome, now time.Time) {
+// Observe records the outcome of a call of this node.
+func (b *Tracker) Observe(life engine.Incarnation, o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, listed := b.fleet.engines[life]; !listed {
@@ -101,7 +101,7 @@
 		s.probe = now
 		b.periods[life] = s
 	}
-	if o != Fine {
+	if o != Succeeded {
 		b.failed, b.last = true, now
 		if !suspected {
 			b.signalUrgent()
@@ -118,7 +118,7 @@
 // Avoids reports whether a call is to avoid the endpoint if others can take it. The key is a
 // hash of the call. Idempotent calls (again) probe the endpoint before the suspicion period
 // ends.
-func (b *Book) Avoids(life engine.Life, again bool, key uint64, now time.Time) bool {
+func (b *Tracker) Avoids(life engine.Incarnation, again bool, key uint64, now time.Time) bool {
 	if b.noneAvoided(now) {
 		return false
 	}
@@ -133,7 +133,7 @@
 }
 
 // slot returns how much later than the first node this one uses the endpoint again.
-func (b *Book) slot(life engine.Life, s period) time.Duration {
+func (b *Tracker) slot(life engine.Incarnation, s period) time.Duration {
 	if s.recovered {
 		return 0
 	}
@@ -149,7 +149,7 @@
 const sameFailure = 100 * time.Millisecond
 
 // evaluate starts or extends a suspicion period if enough nodes observed failures.
-func (b *Book) evaluate(life engine.Life, now time.Time) {
+func (b *Tracker) evaluate(life engine.Incarnation, now time.Time) {
 	e := b.fleet.engines[life]
 	before, known := b.periods[life]
 	running := known && now.Before(before.until)
@@ -180,20 +180,20 @@
 	if !running {
 		b.started = true
 		b.signalUrgent()
-		b.avoided(Avoided{Engine: e, Tellers: f.reporters, For: s.until.Sub(now), Again: repeated})
+		b.avoided(Avoided{Engine: e, Reporters: f.reporters, For: s.until.Sub(now), Again: repeated})
 	}
 }
 
 // hasRoom reports whether one more endpoint of a service may be avoided due to reports. If the
 // maximum is reached, an endpoint that interrupts calls replaces one that only fails some of
 // them.
-func (b *Book) hasRoom(service string, interrupted bool, now time.Time) bool {
+func (b *Tracker) hasRoom(service string, interrupted bool, now time.Time) bool {
 	listed := b.fleet.perService[service]
 	if listed < 2 {
 		return false
 	}
 	avoidedCount := 0
-	var replaceable *engine.Life
+	var replaceable *engine.Incarnation
 	for life, s := range b.periods {
 		if !now.Before(s.until) || b.fleet.engines[life].Service != service {
 			continue
@@ -217,9 +217,9 @@
 
 // Urgent is signaled when something should be sent before the next gossip interval: the first
 // recent failure at an endpoint, or the start of a suspicion period.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
 
-func (b *Book) signalUrgent() {
+func (b *Tracker) signalUrgent() {
 	select {
 	case b.urgent <- struct{}{}:
 	default: // a signal is pending
@@ -227,7 +227,7 @@
 }
 
 // healthyHere reports whether this node's own recent calls succeeded.
-func (b *Book) healthyHere(life engine.Life, now time.Time) bool {
+func (b *Tracker) healthyHere(life engine.Incarnation, now time.Time) bool {
 	calls, failures, _ := b.own[life].since(now.Add(-b.rule.Window))
 	return failures == 0 && calls >= b.rule.OwnSuccesses
 }
--- a/fleet/relay/doubt/tracker_test.go
+++ b/fleet/relay/doubt/tracker_test.go
@@ -14,8 +14,8 @@
 
 // newTestBook returns the tracker of node n-000 in zone z0, in a fleet of 60 nodes in three
 // zones, with the given number of endpoints; n-000 to n-005 are delegates.
-func newTestBook(endpoints int) *Book {
-	b := NewBook(nodeName(0), zoneName(0), DefaultRule(), func(Avoided) {})
+func newTestBook(endpoints int) *Tracker {
+	b := NewTracker(nodeName(0), zoneName(0), DefaultRule(), func(Avoided) {})
 	zones := map[string]string{}
 	for i := range 60 {
 		zones[nodeName(i)] = zoneName(i)
@@ -26,73 +26,73 @@
 }
 
 // interruptedReport is a node's report of its own call that an endpoint has just interrupted.
-func interruptedReport(reporter, endpoint int) Word {
-	return Word{Endpoint: lifeOf(endpoint).ID, Born: 1, Tellers: []Teller{{Node: nodeName(reporter), Cut: true}}}
+func interruptedReport(reporter, endpoint int) Report {
+	return Report{Endpoint: lifeOf(endpoint).ID, Born: 1, Reporters: []Reporter{{Node: nodeName(reporter), Interrupted: true}}}
 }
 
-func failedReport(reporter, endpoint int) Word {
+func failedReport(reporter, endpoint int) Report {
 	w := interruptedReport(reporter, endpoint)
-	w.Tellers[0].Cut = false
+	w.Reporters[0].Interrupted = false
 	return w
 }
 
-func (b *Book) avoidsOnce(endpoint int, now time.Time) bool {
+func (b *Tracker) avoidsOnce(endpoint int, now time.Time) bool {
 	return b.Avoids(lifeOf(endpoint), false, 0, now)
 }
 
 // An endpoint is avoided only if two nodes report failures, or one does beside an own failure. A
 // single node is never enough, however often it reports and whichever other nodes it names.
 func TestReportsThatSuffice(t *testing.T) {
-	receive := func(b *Book, from int, w Word) { b.Heard(nodeName(from), []Word{w}, testStart) }
+	receive := func(b *Tracker, from int, w Report) { b.Receive(nodeName(from), []Report{w}, testStart) }
 	cases := []struct {
 		name string
-		do   func(b *Book)
+		do   func(b *Tracker)
 		want bool
 	}{
-		{"two nodes", func(b *Book) { receive(b, 3, interruptedReport(3, 0)); receive(b, 6, interruptedReport(6, 0)) }, true},
-		{"one node", func(b *Book) { receive(b, 3, interruptedReport(3, 0)) }, false},
-		{"one node, again and again", func(b *Book) {
+		{"two nodes", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)); receive(b, 6, interruptedReport(6, 0)) }, true},
+		{"one node", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)) }, false},
+		{"one node, again and again", func(b *Tracker) {
 			for range 100 {
 				receive(b, 3, interruptedReport(3, 0))
 			}
 		}, false},
-		{"one node that names others", func(b *Book) {
+		{"one node that names others", func(b *Tracker) {
 			receive(b, 3, interruptedReport(3, 0))
 			receive(b, 3, interruptedReport(6, 0))
 			receive(b, 3, interruptedReport(9, 0))
 		}, false},
-		{"two nodes that name the same one", func(b *Book) { receive(b, 3, interruptedReport(6, 0)); receive(b, 9, interruptedReport(6, 0)) }, false},
-		{"two delegates that name two nodes", func(b *Book) {
+		{"two nodes that name the same one", func(b *Tracker) { receive(b, 3, interruptedReport(6, 0)); receive(b, 9, interruptedReport(6, 0)) }, false},
+		{"two delegates that name two nodes", func(b *Tracker) {
 			for _, from := range []int{3, 9} {
 				receive(b, from, interruptedReport(6, 0))
 				receive(b, from, interruptedReport(12, 0))
 			}
 		}, true},
-		{"an own failure", func(b *Book) { b.Saw(lifeOf(0), Cut, testStart) }, false},
-		{"an own failure and one node", func(b *Book) { b.Saw(lifeOf(0), Cut, testStart); receive(b, 3, interruptedReport(3, 0)) }, true},
-		{"one node and an own failure", func(b *Book) { receive(b, 3, interruptedReport(3, 0)); b.Saw(lifeOf(0), Cut, testStart) }, true},
-		{"others name this node", func(b *Book) { receive(b, 3, interruptedReport(0, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
-		{"another node names this one, and one reports", func(b *Book) { receive(b, 3, interruptedReport(3, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
-		{"unknown nodes", func(b *Book) { receive(b, 98, interruptedReport(98, 0)); receive(b, 99, interruptedReport(99, 0)) }, false},
-		{"failed answers of two nodes: healthy endpoints have some", func(b *Book) { receive(b, 3, failedReport(3, 0)); receive(b, 6, failedReport(6, 0)) }, false},
-		{"failed answers of a third of the zone", func(b *Book) {
+		{"an own failure", func(b *Tracker) { b.Observe(lifeOf(0), Interrupted, testStart) }, false},
+		{"an own failure and one node", func(b *Tracker) { b.Observe(lifeOf(0), Interrupted, testStart); receive(b, 3, interruptedReport(3, 0)) }, true},
+		{"one node and an own failure", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)); b.Observe(lifeOf(0), Interrupted, testStart) }, true},
+		{"others name this node", func(b *Tracker) { receive(b, 3, interruptedReport(0, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
+		{"another node names this one, and one reports", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
+		{"unknown nodes", func(b *Tracker) { receive(b, 98, interruptedReport(98, 0)); receive(b, 99, interruptedReport(99, 0)) }, false},
+		{"failed answers of two nodes: healthy endpoints have some", func(b *Tracker) { receive(b, 3, failedReport(3, 0)); receive(b, 6, failedReport(6, 0)) }, false},
+		{"failed answers of a third of the zone", func(b *Tracker) {
 			for _, from := range []int{3, 6, 9, 12, 15, 18, 21} {
 				receive(b, from, failedReport(from, 0))
 			}
 		}, true},
-		{"failed answers of a sixth of the zone", func(b *Book) {
+		{"failed answers of a sixth of the zone", func(b *Tracker) {
 			for _, from := range []int{3, 6, 9, 12} {
 				receive(b, from, failedReport(from, 0))
 			}
 		}, false},
-		{"two nodes, against own successes", func(b *Book) {
+		{"two nodes, against own successes", func(b *Tracker) {
 			for range 3 {
-				b.Saw(lifeOf(0), Fine, testStart)
+				b.Observe(lifeOf(0), Succeeded, testStart)
 			}
 			receive(b, 3, interruptedReport(3, 0))
 			receive(b, 6, interruptedReport(6, 0))
 		}, false},
-		{"two nodes of another zone than the endpoint and this node", func(b *Book) { receive(b, 1, interruptedReport(1, 0)); receive(b, 4, interruptedReport(4, 0)) }, false},
+		{"two nodes of another zone than the endpoint and this node", func(b *Tracker) { receive(b, 1, interruptedReport(1, 0)); receive(b, 4, interruptedReport(4, 0)) }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,8 +117,8 @@
 			b := newTestBook(3)
 			for _, from := range []int{3, 6} {
 				w := interruptedReport(from, 0)
-				w.Tellers[0].AgeMs = c.ageMs
-				b.Heard(nodeName(from), []Word{w}, testStart)
+				w.Reporters[0].AgeMs = c.ageMs
+				b.Receive(nodeName(from), []Report{w}, testStart)
 			}
 			assert.Equal(t, c.want, b.avoidsOnce(0, testStart))
 		})
@@ -129,22 +129,22 @@
 // reports nor own failures nor the suspicion period.
 func TestRestartedEndpointIsNotSuspected(t *testing.T) {
 	b := newTestBook(3)
-	b.Heard(nodeName(3), []Word{interruptedReport(3, 0)}, testStart)
-	b.Saw(lifeOf(0), Cut, testStart)
+	b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
+	b.Observe(lifeOf(0), Interrupted, testStart)
 	assert.True(t, b.avoidsOnce(0, testStart))
 	all := modelEngines(3)
 	all[0].Born = 2
 	b.Engines(all)
-	next := all[0].Life()
+	next := all[0].Incarnation()
 	assert.False(t, b.Avoids(next, false, 0, testStart))
-	b.Heard(nodeName(6), []Word{interruptedReport(6, 0)}, testStart) // late: of the old incarnation
-	b.Heard(nodeName(9), []Word{interruptedReport(9, 0)}, testStart)
+	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart) // late: of the old incarnation
+	b.Receive(nodeName(9), []Report{interruptedReport(9, 0)}, testStart)
 	assert.False(t, b.Avoids(next, false, 0, testStart))
 	assert.False(t, b.avoidsOnce(0, testStart))
-	assert.Empty(t, b.Words(true, testStart))
+	assert.Empty(t, b.Reports(true, testStart))
 	w := interruptedReport(3, 0)
 	w.Born = 2
-	b.Heard(nodeName(3), []Word{w}, testStart)
+	b.Receive(nodeName(3), []Report{w}, testStart)
 	assert.False(t, b.Avoids(next, false, 0, testStart), "one report on the new incarnation beside an own failure of the old one")
 }
 
@@ -155,13 +155,13 @@
 		t.Run(fmt.Sprint(endpoints, " endpoints"), func(t *testing.T) {
 			reporter := newTestBook(endpoints)
 			for e := range endpoints {
-				reporter.Saw(lifeOf(e), Cut, testStart)
+				reporter.Observe(lifeOf(e), Interrupted, testStart)
 			}
-			assert.Empty(t, reporter.Words(true, testStart))
+			assert.Empty(t, reporter.Reports(true, testStart))
 			b := newTestBook(endpoints)
 			for e := range endpoints {
 				for _, from := range []int{3, 6} { // two such nodes, whose reports arrive one after the other
-					b.Heard(nodeName(from), []Word{interruptedReport(from, e)}, testStart)
+					b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
 				}
 			}
 			avoidedCount := 0
@@ -175,7 +175,7 @@
 			for at := testStart; !at.After(later); at = at.Add(300 * time.Millisecond) { // the nodes go on reporting
 				for e := range endpoints {
 					for _, from := range []int{3, 6} {
-						b.Heard(nodeName(from), []Word{interruptedReport(from, e)}, at)
+						b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, at)
 					}
 				}
 			}
@@ -193,12 +193,12 @@
 	late.self = nodeName(6)
 	for at := testStart; at.Before(testStart.Add(5 * time.Second)); at = at.Add(100 * time.Millisecond) {
 		for e := range 3 {
-			late.Saw(lifeOf(e), Failed, at)
-			b.Saw(lifeOf(e), Fine, at)
-			b.Heard(nodeName(3), []Word{interruptedReport(3, e)}, at)
+			late.Observe(lifeOf(e), Failed, at)
+			b.Observe(lifeOf(e), Succeeded, at)
+			b.Receive(nodeName(3), []Report{interruptedReport(3, e)}, at)
 			assert.False(t, b.avoidsOnce(e, at))
 		}
-		b.Heard(nodeName(6), late.Words(false, at), at)
+		b.Receive(nodeName(6), late.Reports(false, at), at)
 	}
 }
 
@@ -210,7 +210,7 @@
 			for e := range endpoints { // different nodes, so that none of them suspects many
 				for i := range 2 {
 					from := 3 + 3*((2*e+i)%19)
-					b.Heard(nodeName(from), []Word{interruptedReport(from, e)}, testStart)
+					b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
 				}
 			}
 			avoidedCount := 0
@@ -233,12 +233,12 @@
 		for from := 1; from < 60; from++ {
 			for e := range endpoints {
 				if (zoneName(from) == zoneName(0)) != (zoneName(e) == zoneName(0)) {
-					b.Heard(nodeName(from), []Word{interruptedReport(from, e)}, testStart)
+					b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
 				}
 			}
 		}
 		for e := range endpoints {
-			b.Saw(lifeOf(e), map[bool]Outcome{true: Fine, false: Cut}[zoneName(e) == zoneName(0)], testStart)
+			b.Observe(lifeOf(e), map[bool]Outcome{true: Succeeded, false: Interrupted}[zoneName(e) == zoneName(0)], testStart)
 		}
 		for e := 0; e < endpoints; e += modelZones {
 			assert.False(t, b.avoidsOnce(e, testStart), "endpoint %d of the own zone, of %d", e, endpoints)
@@ -252,8 +252,8 @@
 	b := newTestBook(3)
 	b.rule.Spread = 0 // as the first of all nodes
 	avoidedFor := func(now time.Time) time.Duration {
-		b.Heard(nodeName(3), []Word{interruptedReport(3, 0)}, now)
-		b.Heard(nodeName(6), []Word{interruptedReport(6, 0)}, now)
+		b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, now)
+		b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, now)
 		lasted := time.Duration(0)
 		for b.avoidsOnce(0, now.Add(lasted)) {
 			lasted += 10 * time.Millisecond
@@ -276,8 +276,8 @@
 	for i := range 60 {
 		b := newTestBook(3)
 		b.self = fmt.Sprint("turn", i)
-		b.Heard(nodeName(3), []Word{interruptedReport(3, 0)}, testStart)
-		b.Heard(nodeName(6), []Word{interruptedReport(6, 0)}, testStart)
+		b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
+		b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
 		lasted := time.Duration(0)
 		for b.avoidsOnce(0, testStart.Add(lasted)) {
 			lasted += 10 * time.Millisecond
@@ -293,8 +293,8 @@
 // fail, it stays avoided.
 func TestFewIdempotentCallsProbe(t *testing.T) {
 	b := newTestBook(3)
-	b.Heard(nodeName(3), []Word{interruptedReport(3, 0)}, testStart)
-	b.Heard(nodeName(6), []Word{interruptedReport(6, 0)}, testStart)
+	b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
+	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
 	probes := func(now time.Time, again bool) int {
 		n := 0
 		for key := range uint64(100) {
@@ -308,7 +308,7 @@
 	assert.Zero(t, probes(testStart.Add(100*time.Millisecond), true))
 	assert.Zero(t, probes(late, false))
 	assert.Equal(t, 50, probes(late, true))
-	b.Saw(lifeOf(0), Cut, late)
+	b.Observe(lifeOf(0), Interrupted, late)
 	assert.Zero(t, probes(late.Add(400*time.Millisecond), true), "probes keep their interval")
 	assert.True(t, b.avoidsOnce(0, testStart.Add(1500*time.Millisecond)))
 }
@@ -318,13 +318,13 @@
 	b := newTestBook(140)
 	for e := range 60 {
 		for from := 3; from < 60; from += 3 {
-			b.Heard(nodeName(from), []Word{interruptedReport(from, e)}, testStart)
+			b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
 		}
 	}
-	reports := b.Words(true, testStart)
+	reports := b.Reports(true, testStart)
 	assert.LessOrEqual(t, len(reports), maxReports)
 	for _, w := range reports {
-		assert.LessOrEqual(t, len(w.Tellers), maxReporters)
+		assert.LessOrEqual(t, len(w.Reporters), maxReporters)
 	}
 }
 
@@ -332,31 +332,31 @@
 // forwards what two of that zone's delegates sent.
 func TestOnlyFirstHandReportsAreForwarded(t *testing.T) {
 	b := newTestBook(3)
-	b.Heard(nodeName(3), []Word{interruptedReport(3, 0), interruptedReport(9, 0)}, testStart)
-	b.Heard(nodeName(6), []Word{interruptedReport(6, 0)}, testStart)
-	b.Heard(nodeName(1), []Word{interruptedReport(1, 0)}, testStart)
-	assert.Equal(t, []Word{{Endpoint: "e0", Born: 1, Tellers: []Teller{{nodeName(3), 0, true}, {nodeName(6), 0, true}}}}, b.Words(true, testStart))
-	assert.Empty(t, b.Words(false, testStart))
-	far := []Word{interruptedReport(4, 1), interruptedReport(7, 1)}
-	b.Heard(nodeName(1), far, testStart)
-	b.Heard(nodeName(4), far[1:], testStart) // a second sender for one of them
-	reports := b.Words(true, testStart)
+	b.Receive(nodeName(3), []Report{interruptedReport(3, 0), interruptedReport(9, 0)}, testStart)
+	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
+	b.Receive(nodeName(1), []Report{interruptedReport(1, 0)}, testStart)
+	assert.Equal(t, []Report{{Endpoint: "e0", Born: 1, Reporters: []Reporter{{nodeName(3), 0, true}, {nodeName(6), 0, true}}}}, b.Reports(true, testStart))
+	assert.Empty(t, b.Reports(false, testStart))
+	far := []Report{interruptedReport(4, 1), interruptedReport(7, 1)}
+	b.Receive(nodeName(1), far, testStart)
+	b.Receive(nodeName(4), far[1:], testStart) // a second sender for one of them
+	reports := b.Reports(true, testStart)
 	assert.Len(t, reports, 1, "a third of three endpoints is avoided, and that is e0")
 	b = newTestBook(3)
-	b.Heard(nodeName(1), far, testStart)
-	b.Heard(nodeName(4), far[1:], testStart)
-	assert.Equal(t, []Word{{Endpoint: "e1", Born: 1, Tellers: []Teller{{nodeName(7), 0, true}}}}, b.Words(true, testStart))
+	b.Receive(nodeName(1), far, testStart)
+	b.Receive(nodeName(4), far[1:], testStart)
+	assert.Equal(t, []Report{{Endpoint: "e1", Born: 1, Reporters: []Reporter{{nodeName(7), 0, true}}}}, b.Reports(true, testStart))
 }
 
 // An endpoint that interrupts calls is avoided instead of one that only fails some of them.
 func TestInterruptingEndpointTakesPrecedence(t *testing.T) {
 	b := newTestBook(3)
 	for from := 3; from <= 24; from += 3 {
-		b.Heard(nodeName(from), []Word{failedReport(from, 0)}, testStart)
+		b.Receive(nodeName(from), []Report{failedReport(from, 0)}, testStart)
 	}
 	assert.True(t, b.avoidsOnce(0, testStart))
 	for _, from := range []int{27, 30} {
-		b.Heard(nodeName(from), []Word{interruptedReport(from, 1)}, testStart)
+		b.Receive(nodeName(from), []Report{interruptedReport(from, 1)}, testStart)
 	}
 	assert.True(t, b.avoidsOnce(1, testStart))
 	assert.False(t, b.avoidsOnce(0, testStart))
@@ -365,8 +365,8 @@
 // An unlisted endpoint is neither recorded nor reported.
 func TestUnlistedEndpointsAreDropped(t *testing.T) {
 	b := newTestBook(3)
-	b.Saw(engine.Life{ID: "gone", Born: 1}, Cut, testStart)
-	b.Heard(nodeName(3), []Word{{Endpoint: "gone", Born: 1, Tellers: []Teller{{Node: nodeName(3), Cut: true}}}}, testStart)
+	b.Observe(engine.Incarnation{ID: "gone", Born: 1}, Interrupted, testStart)
+	b.Receive(nodeName(3), []Report{{Endpoint: "gone", Born: 1, Reporters: []Reporter{{Node: nodeName(3), Interrupted: true}}}}, testStart)
 	assert.Empty(t, b.own)
 	assert.Empty(t, b.received)
 }
--- a/fleet/relay/engine/engine.go
+++ b/fleet/relay/engine/engine.go
@@ -23,9 +23,9 @@
 	Leaving   // signaled in its answers, whatever its entry says
 )
 
-// Life identifies one incarnation of an endpoint. An endpoint that restarts may keep its id but
+// Incarnation identifies one incarnation of an endpoint. An endpoint that restarts may keep its id but
 // not its start time. State that a node keeps of an endpoint belongs to one incarnation.
-type Life struct {
+type Incarnation struct {
 	ID   string
 	Born int64 // start time in Unix milliseconds, as reported by the endpoint; 0: unknown
 }
@@ -43,14 +43,14 @@
 	State   State
 	Hash    uint64 // of the id, for placement; set by the directory
 
-	ColdUntil  time.Time // the endpoint reports that it is slow until then; zero: it is not
-	RebornAt   time.Time // when this node learned that it had restarted under its id; zero: no earlier incarnation was known
-	LeavesBy   time.Time // in state Leaving: until then it may get calls that no other endpoint may take
-	ReturnedAt time.Time // when its zone was last given back after an evacuation; zero: never
+	ColdUntil   time.Time // the endpoint reports that it is slow until then; zero: it is not
+	RestartedAt time.Time // when this node learned that it had restarted under its id; zero: no earlier incarnation was known
+	LeavesBy    time.Time // in state Leaving: until then it may get calls that no other endpoint may take
+	ReturnedAt  time.Time // when its zone was last given back after an evacuation; zero: never
 }
 
-// Life returns the incarnation of the endpoint.
-func (e Engine) Life() Life { return Life{ID: e.ID, Born: e.Born} }
+// Incarnation returns the incarnation of the endpoint.
+func (e Engine) Incarnation() Incarnation { return Incarnation{ID: e.ID, Born: e.Born} }
 
 // Ends reports whether the endpoint signals that it is about to end.
 func (e Engine) Ends() bool { return e.State == Draining || e.State == Leaving }
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -123,7 +123,7 @@
 	engines     []engine.Engine
 	directory   atomic.Pointer[engine.Directory]
 	picker      *choice.Picker
-	notices     *notice.Book
+	notices     *notice.Tracker
 	connections *forward.Transport
 
 	mu   sync.Mutex
@@ -199,7 +199,7 @@
 	one := func() int { return 1 }
 	f.inForce.Store(f.policy.Indexed())
 	f.directory.Store(engine.NewDirectory(1, engines))
-	f.notices = notice.NewBook("n", notice.Rule{}, func(notice.Change) {})
+	f.notices = notice.NewTracker("n", notice.Rule{}, func(notice.Change) {})
 	f.notices.Engines(engines, time.Now())
 	f.picker, f.connections = choice.NewPicker("z", choice.DefaultTuning()).WithNotices(f.notices), f.transport(t)
 	f.places = distance.From("z", testRegions, distance.DefaultCosts())
--- a/fleet/relay/forward/incarnations_test.go
+++ b/fleet/relay/forward/incarnations_test.go
@@ -15,7 +15,7 @@
 func (f *fleet) restartEndpoint() {
 	e := f.engines[0]
 	e.Born++
-	f.picker.Begin(e.Life(), time.Now())
+	f.picker.Begin(e.Incarnation(), time.Now())
 	f.directory.Store(engine.NewDirectory(2, []engine.Engine{e}))
 }
 
--- a/fleet/relay/forward/options.go
+++ b/fleet/relay/forward/options.go
@@ -38,8 +38,8 @@
 	TokenSource TokenSource
 	Picker      *choice.Picker
 	Retries     *retry.Budget
-	Returns     *limit.Returns   // schedules the return of callers refused by limits
-	Quarantine  *quarantine.Book // nil: no request is quarantined
+	Returns     *limit.RetrySchedule // schedules the return of callers refused by limits
+	Quarantine  *quarantine.Book     // nil: no request is quarantined
 	Gate        Gate
 	Intake      Intake
 	Memory      *memory.Budget  // for calls in progress
--- a/fleet/relay/forward/quarantine_test.go
+++ b/fleet/relay/forward/quarantine_test.go
@@ -22,10 +22,10 @@
 
 func (a *endsAll) Verify(e engine.Engine) {
 	a.asked.Add(1)
-	go a.tracker.Ended(e.Life(), time.Now())
+	go a.tracker.Ended(e.Incarnation(), time.Now())
 }
 
-func (a *endsAll) EndSeen(_ engine.Life, under []quarantine.Suspect) {
+func (a *endsAll) EndSeen(_ engine.Incarnation, under []quarantine.Suspect) {
 	for _, s := range under {
 		a.under <- s
 	}
--- a/fleet/relay/forward/rest_test.go
+++ b/fleet/relay/forward/rest_test.go
@@ -40,7 +40,7 @@
 func TestCallIsRefusedAtOnceWhileAllEndpointsRest(t *testing.T) {
 	f := newFleet(t, 0, resting(3*time.Second), resting(3*time.Second))
 	for _, e := range f.engines {
-		f.notices.Saw(e, call.Rest{For: 3 * time.Second}, clock.Now())
+		f.notices.Observe(e, call.Rest{For: 3 * time.Second}, clock.Now())
 	}
 	got := f.do(t, f.request(t, "POST", "/stream/", "body", "Prompt", "900", "Output", "90"))
 	assert.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -77,7 +77,7 @@
 		c, err := dial(ctx, network, address)
 		if e, ok := lo.Find(f.engines, func(e engine.Engine) bool { return e.Address == address }); ok && asked == "" {
 			asked = e.ID
-			f.notices.Saw(e, call.Rest{For: time.Minute}, clock.Now())
+			f.notices.Observe(e, call.Rest{For: time.Minute}, clock.Now())
 		}
 		return c, err
 	}
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -22,7 +22,7 @@
 // on another connection, and no failure of the endpoint is reported.
 func TestResumeOnClosedConnectionUsesAnother(t *testing.T) {
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
-	tracker := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+	tracker := doubt.NewTracker("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
 	tracker.Engines(f.engines)
 	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
 	connects := 0
@@ -38,7 +38,7 @@
 		if connects > 1 {
 			assert.Contains(t, w.Body.String(), "id: 5\n")
 			assert.Equal(t, 3, connects, "another connection")
-			for _, report := range tracker.Words(false, clock.Now()) {
+			for _, report := range tracker.Reports(false, clock.Now()) {
 				assert.NotEqual(t, "e1", report.Endpoint)
 			}
 			return
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -32,7 +32,7 @@
 	defer j.returnProbe()
 	ctx, cancel := j.context()
 	defer cancel()
-	tried := map[engine.Life]bool{}
+	tried := map[engine.Incarnation]bool{}
 	unreached, dropped := 0, 0
 	for {
 		if j.quarantined() { // it may have been quarantined since it arrived or since its last attempt
@@ -44,7 +44,7 @@
 			j.refuse(j.refusalWithoutEndpoint(tried))
 			return
 		}
-		tried[placement.Engine.Life()] = true
+		tried[placement.Engine.Incarnation()] = true
 		j.engine, j.placed = placement.Engine.ID, placement
 		out := j.send(ctx, placement, j.call.LastEventID)
 		next, again := j.decide(ctx, placement, out)
@@ -52,7 +52,7 @@
 		if again {
 			switch lost, ok := out.(neverSent); {
 			case ok && lost.connected:
-				delete(tried, placement.Engine.Life()) // another connection to it may work
+				delete(tried, placement.Engine.Incarnation()) // another connection to it may work
 				dropped++
 			case ok:
 				unreached++
@@ -86,7 +86,7 @@
 	}
 }
 
-func (j *job) pick(tried map[engine.Life]bool) (*choice.Placement, bool) {
+func (j *job) pick(tried map[engine.Incarnation]bool) (*choice.Placement, bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return nil, false
@@ -102,7 +102,7 @@
 }
 
 // choiceRequest returns the input for the choice of an endpoint, without the candidates.
-func (j *job) choiceRequest(tried map[engine.Life]bool, now time.Time) choice.Request {
+func (j *job) choiceRequest(tried map[engine.Incarnation]bool, now time.Time) choice.Request {
 	return choice.Request{
 		Call: j.regionScopedCall(), Homes: j.regions.regions, Exclude: tried, Profile: profile(j.service),
 		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.connectionShare(), Now: now,
@@ -131,7 +131,7 @@
 	return min(max(j.service.MaxConnections/(max(j.Nodes(), 1)+2), 2), idlePerHost)
 }
 
-func (j *job) refusalWithoutEndpoint(tried map[engine.Life]bool) refusal {
+func (j *job) refusalWithoutEndpoint(tried map[engine.Incarnation]bool) refusal {
 	switch {
 	case j.noAllowedRegion():
 		return refuseNoRegion
@@ -150,7 +150,7 @@
 }
 
 // noteExcluded notes why no endpoint may take the call, for the log.
-func (j *job) noteExcluded(tried map[engine.Life]bool) {
+func (j *job) noteExcluded(tried map[engine.Incarnation]bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return
--- a/fleet/relay/forward/stream.go
+++ b/fleet/relay/forward/stream.go
@@ -67,7 +67,7 @@
 	if why := j.whyNotResume(ctx, s); why != "" {
 		return j.abandonResume(why)
 	}
-	tried := map[engine.Life]bool{broken.Engine.Life(): true}
+	tried := map[engine.Incarnation]bool{broken.Engine.Incarnation(): true}
 	for range maxUnreached {
 		if j.quarantined() {
 			return j.abandonResume("the request is quarantined")
@@ -82,7 +82,7 @@
 			return j.acceptResumed(t, o)
 		case neverSent:
 			j.close(t, resultOf(ctx, resultOfUnsent(o)), timing{})
-			tried[t.Engine.Life()] = !o.connected // another connection to it may work
+			tried[t.Engine.Incarnation()] = !o.connected // another connection to it may work
 		case rejected:
 			j.close(t, resultOfRejection(o), timing{})
 			return j.abandonResume("another endpoint rejected it")
--- a/fleet/relay/forward/suspicions_test.go
+++ b/fleet/relay/forward/suspicions_test.go
@@ -30,15 +30,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+			tracker := doubt.NewTracker("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
 			f := newFleet(t, 1000, c.script)
 			tracker.Engines(append([]engine.Engine{{ID: "other", Service: "s"}}, f.engines...))
 			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
 			require.NoError(t, f.do(t, f.request(t, "GET", c.path, "")).err)
-			reports := tracker.Words(false, time.Now())
+			reports := tracker.Reports(false, time.Now())
 			require.Equal(t, c.reported, len(reports) == 1)
 			if c.reported {
-				assert.Equal(t, c.interrupted, reports[0].Tellers[0].Cut)
+				assert.Equal(t, c.interrupted, reports[0].Reporters[0].Interrupted)
 			}
 		})
 	}
--- a/fleet/relay/incarnations.go
+++ b/fleet/relay/incarnations.go
@@ -19,11 +19,11 @@
 	lastBorn := t.births[e.ID]
 	t.births[e.ID] = lo.CoalesceOrEmpty(e.Born, lastBorn)
 	if known && (lastBorn == e.Born || e.Born == 0) {
-		e.RebornAt = before.RebornAt
+		e.RestartedAt = before.RestartedAt
 		return e
 	}
 	before.Born = lastBorn
-	dropped := t.picker.Begin(e.Life(), now)
+	dropped := t.picker.Begin(e.Incarnation(), now)
 	if !known && !dropped.Ended {
 		return e
 	}
@@ -32,7 +32,7 @@
 	}
 	change := birthChange(before, e)
 	if change != birthEarlier {
-		e.RebornAt = now
+		e.RestartedAt = now
 	}
 	t.bounds.Begin(e.ID, dropped.Placed, now)
 	idle := 0
--- a/fleet/relay/incarnations_test.go
+++ b/fleet/relay/incarnations_test.go
@@ -79,7 +79,7 @@
 func (n *Node) pickAfter(tried, id string) (*choice.Placement, bool) {
 	r := n.requestOf(id, 0, sharedParts)
 	e, _ := n.engines.Load().Get(tried)
-	r.Exclude = map[engine.Life]bool{e.Life(): true}
+	r.Exclude = map[engine.Incarnation]bool{e.Incarnation(): true}
 	return n.picker.Pick(r)
 }
 
@@ -124,20 +124,20 @@
 		{"another endpoint had its address", func(n *Node) func() { n.endCall(choice.Gone); return nil }},
 		{"it cached parts of prompts", func(n *Node) func() { n.endCall(choice.Good); return nil }},
 		{"a peer reported it", func(n *Node) func() {
-			n.picker.Heard("peer", was(firstBorn), time.Now())
-			n.picker.HeardReads(read(firstBorn), true, time.Now())
+			n.picker.ReceiveDigests("peer", was(firstBorn), time.Now())
+			n.picker.ReceiveReads(read(firstBorn), true, time.Now())
 			return nil
 		}},
 		{"a peer reports it late", func(n *Node) func() {
 			return func() {
-				n.picker.Heard("peer", was(firstBorn), time.Now())
-				n.picker.HeardReads(read(firstBorn), true, time.Now())
+				n.picker.ReceiveDigests("peer", was(firstBorn), time.Now())
+				n.picker.ReceiveReads(read(firstBorn), true, time.Now())
 			}
 		}},
 		{"a peer of an earlier version reports it late", func(n *Node) func() {
 			return func() {
-				n.picker.Heard("peer", was(0), time.Now())
-				n.picker.HeardReads(read(0), true, time.Now())
+				n.picker.ReceiveDigests("peer", was(0), time.Now())
+				n.picker.ReceiveReads(read(0), true, time.Now())
 			}
 		}},
 		{"a call there fails late", func(n *Node) func() {
@@ -172,7 +172,7 @@
 					late()
 				}
 				e, _ := n.engines.Load().Get("a")
-				assert.Equal(t, engine.Life{ID: "a", Born: laterBorn}, e.Life())
+				assert.Equal(t, engine.Incarnation{ID: "a", Born: laterBorn}, e.Incarnation())
 				assert.Equal(t, "z", e.Zone)
 				assert.Empty(t, n.picker.Digests(), "peers receive nothing of the last incarnation")
 				assert.Empty(t, n.picker.Reads("", time.Now()))
@@ -202,7 +202,7 @@
 			p.Close(choice.Good, time.Now())
 		},
 		"a peer's report": func(n *Node, id string) {
-			n.picker.HeardReads([]choice.Read{{Endpoint: id, Born: firstBorn, Parts: []string{"system"}, Tokens: []int64{5000}}}, false, time.Now())
+			n.picker.ReceiveReads([]choice.Read{{Endpoint: id, Born: firstBorn, Parts: []string{"system"}, Tokens: []int64{5000}}}, false, time.Now())
 		},
 	}
 	for name, known := range keeps {
@@ -313,7 +313,7 @@
 			id := lo.CoalesceOrEmpty(c.want.ID, "a")
 			e, ok := n.engines.Load().Get(id)
 			require.True(t, ok)
-			assert.Equal(t, c.reborn, !e.RebornAt.IsZero())
+			assert.Equal(t, c.reborn, !e.RestartedAt.IsZero())
 			assert.Equal(t, c.want, engine.Engine{ID: c.want.ID, Born: e.Born, Seen: e.Seen, Zone: e.Zone, State: e.State})
 		})
 	}
--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -9,18 +9,20 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Word reports an endpoint's limit to another node, or its end if it has no rate.
-type Word struct {
+// Report reports an endpoint's limit to another node, or its end if it has no rate.
+type Report struct {
 	Endpoint  string   `json:"e"`
 	Born      int64    `json:"b,omitempty"` // start of the incarnation
 	PerSecond *float64 `json:"r,omitempty"` // nil: the limit is over
 	AgeMs     int64    `json:"a"`           // of the answer that signaled it
 }
 
-func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (w Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+}
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Word) valid() bool {
+func (w Report) valid() bool {
 	return w.AgeMs >= 0 && w.AgeMs <= maxAge.Milliseconds() && (w.PerSecond == nil || *w.PerSecond >= 0 && !math.IsNaN(*w.PerSecond) && !math.IsInf(*w.PerSecond, 0))
 }
 
@@ -31,14 +33,14 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
 
-// News returns what this node learned since the last call: from its own answers and, if it
+// Updates returns what this node learned since the last call: from its own answers and, if it
 // forwards, from reports.
-func (b *Book) News(forward bool, now time.Time) []Word {
+func (b *Tracker) Updates(forward bool, now time.Time) []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var reports []Word
+	var reports []Report
 	for life, k := range b.known {
 		if k.due.TakeNews() && (k.own || forward) {
 			reports = append(reports, k.report(life, now))
@@ -47,14 +49,14 @@
 	return newest(reports)
 }
 
-// Words returns the reports to be sent along with the digests.
-func (b *Book) Words(forward bool, now time.Time) []Word {
+// Reports returns the reports to be sent along with the digests.
+func (b *Tracker) Reports(forward bool, now time.Time) []Report {
 	if b.count.Load() == 0 {
 		return nil // the common case
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var reports []Word
+	var reports []Report
 	for life, k := range b.known {
 		if k.due.Along(now) && (k.own || forward) {
 			reports = append(reports, k.report(life, now))
@@ -64,23 +66,23 @@
 }
 
 // newest returns the reports of the latest answers, as many as a message holds.
-func newest(reports []Word) []Word {
-	slices.SortFunc(reports, func(a, b Word) int {
+func newest(reports []Report) []Report {
+	slices.SortFunc(reports, func(a, b Report) int {
 		return cmp.Or(cmp.Compare(a.AgeMs, b.AgeMs), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return reports[:min(len(reports), maxReports)]
 }
 
-func (k *known) report(life engine.Life, now time.Time) Word {
-	w := Word{Endpoint: life.ID, Born: life.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
+func (k *known) report(life engine.Incarnation, now time.Time) Report {
+	w := Report{Endpoint: life.ID, Born: life.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
 	if k.named {
 		w.PerSecond = &k.perSecond
 	}
 	return w
 }
 
-// Heard records another node's reports on listed endpoints.
-func (b *Book) Heard(from string, reports []Word, now time.Time) {
+// Receive records another node's reports on listed endpoints.
+func (b *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if !w.valid() {
 			continue
@@ -89,6 +91,6 @@
 		if s.named {
 			s.perSecond = *w.PerSecond
 		}
-		b.record(w.life(), s, now)
+		b.record(w.incarnation(), s, now)
 	}
 }
--- a/fleet/relay/limit/returns.go
+++ b/fleet/relay/limit/returns.go
@@ -11,21 +11,21 @@
 	maxWait = 10 * time.Second
 )
 
-// Returns schedules the retries of callers that are refused due to the limits of a service's
+// RetrySchedule schedules the retries of callers that are refused due to the limits of a service's
 // endpoints. Each gets its own time, at the rate that the limits allow. It is safe for
 // concurrent use.
-type Returns struct {
+type RetrySchedule struct {
 	mu   sync.Mutex
 	next map[string]time.Time // by service
 }
 
 // NewReturns returns a schedule without pending retries.
-func NewReturns() *Returns { return &Returns{next: map[string]time.Time{}} }
+func NewReturns() *RetrySchedule { return &RetrySchedule{next: map[string]time.Time{}} }
 
 // After returns how long a caller is to wait, given the calls per second that the service
 // accepts from this node. Callers beyond the maximum delay get no slot of their own: more of
 // them wait than can be served.
-func (r *Returns) After(service string, perSecond float64, now time.Time) time.Duration {
+func (r *RetrySchedule) After(service string, perSecond float64, now time.Time) time.Duration {
 	if perSecond <= 0 {
 		return maxWait
 	}
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -11,16 +11,16 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Book tracks the limits that a node knows. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks the limits that a node knows. It is safe for concurrent use.
+type Tracker struct {
 	Rule
 	changed func(Change)
 	urgent  telling.Urgent
 	count   atomic.Int64 // of known entries; 0 skips the lock
 
 	mu     sync.Mutex
-	listed map[engine.Life]engine.Engine
-	known  map[engine.Life]*known
+	listed map[engine.Incarnation]engine.Engine
+	known  map[engine.Incarnation]*known
 }
 
 // Change is a limit that this node learned of, or its end.
@@ -54,17 +54,17 @@
 	perSecond float64
 }
 
-// NewBook returns an empty tracker. It calls changed on each change.
-func NewBook(r Rule, changed func(Change)) *Book {
-	return &Book{Rule: r, changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Life]engine.Engine{}, known: map[engine.Life]*known{}}
+// NewTracker returns an empty tracker. It calls changed on each change.
+func NewTracker(r Rule, changed func(Change)) *Tracker {
+	return &Tracker{Rule: r, changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
 }
 
 // Engines sets the listed endpoints. The state of all others, and of ended incarnations, is
 // dropped.
-func (b *Book) Engines(all []engine.Engine) {
-	listed := make(map[engine.Life]engine.Engine, len(all))
+func (b *Tracker) Engines(all []engine.Engine) {
+	listed := make(map[engine.Incarnation]engine.Engine, len(all))
 	for _, e := range all {
-		listed[e.Life()] = e
+		listed[e.Incarnation()] = e
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,13 +78,13 @@
 }
 
 // Named records that an answer to this node named a limit.
-func (b *Book) Named(life engine.Life, perSecond float64, now time.Time) {
+func (b *Tracker) Named(life engine.Incarnation, perSecond float64, now time.Time) {
 	b.record(life, signal{at: now, named: true, perSecond: perSecond}, now)
 }
 
 // Unnamed records that an answer named no limit. It ends a limit only if the call was sent after
 // this node knew of the limit: otherwise the answer may be older than the limit.
-func (b *Book) Unnamed(life engine.Life, sent, now time.Time) {
+func (b *Tracker) Unnamed(life engine.Incarnation, sent, now time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // record stores the signal of the latest answer, to this node or another one.
-func (b *Book) record(life engine.Life, s signal, now time.Time) {
+func (b *Tracker) record(life engine.Incarnation, s signal, now time.Time) {
 	b.mu.Lock()
 	c, changed := b.update(life, s, now)
 	b.mu.Unlock()
@@ -109,7 +109,7 @@
 	b.changed(c)
 }
 
-func (b *Book) update(life engine.Life, s signal, now time.Time) (Change, bool) {
+func (b *Tracker) update(life engine.Incarnation, s signal, now time.Time) (Change, bool) {
 	e, listed := b.listed[life]
 	k, ok := b.known[life]
 	if !listed || !ok && !s.named || ok && !s.at.After(k.observed) {
@@ -139,7 +139,7 @@
 }
 
 // Of returns the limit that an endpoint names, and false if it names none.
-func (b *Book) Of(life engine.Life) (perSecond float64, named bool) {
+func (b *Tracker) Of(life engine.Incarnation) (perSecond float64, named bool) {
 	if b.count.Load() == 0 {
 		return 0, false
 	}
@@ -157,13 +157,13 @@
 const confirmInterval = 3 * time.Second
 
 // Unconfirmed returns the endpoints whose limit needs confirmation.
-func (b *Book) Unconfirmed(now time.Time) []engine.Life {
+func (b *Tracker) Unconfirmed(now time.Time) []engine.Incarnation {
 	if b.count.Load() == 0 {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var incarnations []engine.Life
+	var incarnations []engine.Incarnation
 	for life, k := range b.known {
 		if k.named && now.Sub(k.observed) >= confirmInterval && now.Sub(k.placed) >= confirmInterval {
 			incarnations = append(incarnations, life)
@@ -180,7 +180,7 @@
 // MayProbe reports whether a node without a share may send one call to an endpoint whose limit
 // it received nothing about for long. The node may be partitioned from those with a share, and
 // the limit be over. The more nodes there are, the less often each probes.
-func (b *Book) MayProbe(life engine.Life, nodes int, now time.Time) bool {
+func (b *Tracker) MayProbe(life engine.Incarnation, nodes int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k, ok := b.known[life]
@@ -193,7 +193,7 @@
 }
 
 // Placed records a call to an endpoint, for MayProbe and Unconfirmed.
-func (b *Book) Placed(life engine.Life, now time.Time) {
+func (b *Tracker) Placed(life engine.Incarnation, now time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 func (l Listed) Engine() engine.Engine { return l.engine }
 
 // List returns the current limits, ordered by endpoint id.
-func (b *Book) List(now time.Time) []Listed {
+func (b *Tracker) List(now time.Time) []Listed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := []Listed{}
--- a/fleet/relay/limit/tracker_test.go
+++ b/fleet/relay/limit/tracker_test.go
@@ -23,8 +23,8 @@
 // at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func newBook(changes *[]limit.Change) *limit.Book {
-	b := limit.NewBook(testRule, func(c limit.Change) {
+func newBook(changes *[]limit.Change) *limit.Tracker {
+	b := limit.NewTracker(testRule, func(c limit.Change) {
 		if changes != nil {
 			*changes = append(*changes, c)
 		}
@@ -33,37 +33,37 @@
 	return b
 }
 
-func expectLimit(t *testing.T, b *limit.Book, perSecond float64) {
+func expectLimit(t *testing.T, b *limit.Tracker, perSecond float64) {
 	t.Helper()
-	got, ok := b.Of(first.Life())
+	got, ok := b.Of(first.Incarnation())
 	assert.True(t, ok)
 	assert.Equal(t, perSecond, got)
 }
 
-func expectNoLimit(t *testing.T, b *limit.Book) {
+func expectNoLimit(t *testing.T, b *limit.Tracker) {
 	t.Helper()
-	_, ok := b.Of(first.Life())
+	_, ok := b.Of(first.Incarnation())
 	assert.False(t, ok)
 }
 
 func TestLimitEndsWithAnAnswerToALaterCall(t *testing.T) {
 	var changes []limit.Change
 	b := newBook(&changes)
-	b.Unnamed(first.Life(), at(0), at(5))
+	b.Unnamed(first.Incarnation(), at(0), at(5))
 	assert.Empty(t, changes, "endpoints that name no limit are not tracked")
-	b.Named(first.Life(), 2, at(100))
+	b.Named(first.Incarnation(), 2, at(100))
 	expectLimit(t, b, 2)
-	_, ok := b.Of(other.Life())
+	_, ok := b.Of(other.Incarnation())
 	assert.False(t, ok)
-	b.Unnamed(first.Life(), at(90), at(150))
+	b.Unnamed(first.Incarnation(), at(90), at(150))
 	expectLimit(t, b, 2) // the answer may be from before the limit
-	b.Named(first.Life(), 2, at(200))
-	b.Named(first.Life(), 0.5, at(300))
+	b.Named(first.Incarnation(), 2, at(200))
+	b.Named(first.Incarnation(), 0.5, at(300))
 	expectLimit(t, b, 0.5)
-	b.Unnamed(first.Life(), at(250), at(400))
+	b.Unnamed(first.Incarnation(), at(250), at(400))
 	expectNoLimit(t, b)
-	b.Named(first.Life(), 1, at(500))
-	b.Unnamed(first.Life(), at(450), at(600))
+	b.Named(first.Incarnation(), 1, at(500))
+	b.Unnamed(first.Incarnation(), at(450), at(600))
 	expectLimit(t, b, 1) // sent before it named one again
 	assert.Equal(t, []bool{true, true, false, true}, lo.Map(changes, func(c limit.Change, _ int) bool { return c.Named }))
 	assert.Equal(t, []float64{0, 2, 0.5, 0}, lo.Map(changes, func(c limit.Change, _ int) float64 { return c.Before }))
@@ -71,15 +71,15 @@
 
 func TestLimitBelongsToOneIncarnation(t *testing.T) {
 	b := newBook(nil)
-	b.Named(engine.Life{ID: "unknown"}, 1, at(0))
-	b.Named(engine.Life{ID: first.ID, Born: 7}, 1, at(0))
+	b.Named(engine.Incarnation{ID: "unknown"}, 1, at(0))
+	b.Named(engine.Incarnation{ID: first.ID, Born: 7}, 1, at(0))
 	assert.Empty(t, b.List(at(1)))
-	b.Named(first.Life(), 1, at(0))
+	b.Named(first.Incarnation(), 1, at(0))
 	reborn := first
 	reborn.Born = 2
 	b.Engines([]engine.Engine{reborn, other})
 	assert.Empty(t, b.List(at(1)), "another incarnation is under no limit")
-	_, ok := b.Of(reborn.Life())
+	_, ok := b.Of(reborn.Incarnation())
 	assert.False(t, ok)
 }
 
@@ -87,12 +87,12 @@
 func rate(perSecond float64) *float64 { return &perSecond }
 
 func TestReportsOfOtherNodes(t *testing.T) {
-	reportOf := func(perSecond *float64, ageMs int64) []limit.Word {
-		return []limit.Word{{Endpoint: first.ID, Born: first.Born, PerSecond: perSecond, AgeMs: ageMs}}
+	reportOf := func(perSecond *float64, ageMs int64) []limit.Report {
+		return []limit.Report{{Endpoint: first.ID, Born: first.Born, PerSecond: perSecond, AgeMs: ageMs}}
 	}
 	cases := []struct {
 		name    string
-		reports []limit.Word
+		reports []limit.Report
 		want    float64 // below zero: none
 	}{
 		{"a lower limit", reportOf(rate(1), 0), 1},
@@ -105,14 +105,14 @@
 		{"infinite", reportOf(rate(math.Inf(1)), 0), 4},
 		{"from the future", reportOf(rate(1), -1), 4},
 		{"too old to count", reportOf(rate(1), math.MaxInt64), 4},
-		{"of another incarnation", []limit.Word{{Endpoint: first.ID, Born: 9, PerSecond: rate(1)}}, 4},
-		{"of an endpoint that is not listed", []limit.Word{{Endpoint: "x", PerSecond: rate(1)}}, 4},
+		{"of another incarnation", []limit.Report{{Endpoint: first.ID, Born: 9, PerSecond: rate(1)}}, 4},
+		{"of an endpoint that is not listed", []limit.Report{{Endpoint: "x", PerSecond: rate(1)}}, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBook(nil)
-			b.Named(first.Life(), 4, at(500))
-			b.Heard("peer", c.reports, at(1000))
+			b.Named(first.Incarnation(), 4, at(500))
+			b.Receive("peer", c.reports, at(1000))
 			if c.want < 0 {
 				expectNoLimit(t, b)
 				return
@@ -126,30 +126,30 @@
 // while. Only a node that forwards also sends what it received.
 func TestSentReports(t *testing.T) {
 	b := newBook(nil)
-	assert.Nil(t, b.Words(true, at(0)))
-	b.Named(first.Life(), 1.5, at(0))
+	assert.Nil(t, b.Reports(true, at(0)))
+	b.Named(first.Incarnation(), 1.5, at(0))
 	select {
 	case <-b.Urgent():
 	default:
 		assert.Fail(t, "updates are urgent")
 	}
-	want := []limit.Word{{Endpoint: "e", Born: 1, PerSecond: rate(1.5), AgeMs: 20}}
-	assert.Equal(t, want, b.News(false, at(20)))
-	assert.Empty(t, b.News(false, at(30)), "sent once")
-	assert.Equal(t, want, b.Words(false, at(20)))
-	assert.Len(t, b.Words(false, at(1000)), 1)
-	b.Named(first.Life(), 1.5, at(2000))
-	assert.Empty(t, b.Words(false, at(2000)), "nothing new")
-	assert.Empty(t, b.News(false, at(2000)))
-	b.Named(first.Life(), 1.5, at(11_000))
-	assert.Len(t, b.Words(false, at(11_000)), 1, "again, for nodes that received nothing")
+	want := []limit.Report{{Endpoint: "e", Born: 1, PerSecond: rate(1.5), AgeMs: 20}}
+	assert.Equal(t, want, b.Updates(false, at(20)))
+	assert.Empty(t, b.Updates(false, at(30)), "sent once")
+	assert.Equal(t, want, b.Reports(false, at(20)))
+	assert.Len(t, b.Reports(false, at(1000)), 1)
+	b.Named(first.Incarnation(), 1.5, at(2000))
+	assert.Empty(t, b.Reports(false, at(2000)), "nothing new")
+	assert.Empty(t, b.Updates(false, at(2000)))
+	b.Named(first.Incarnation(), 1.5, at(11_000))
+	assert.Len(t, b.Reports(false, at(11_000)), 1, "again, for nodes that received nothing")
 
 	listener := newBook(nil)
-	listener.Heard("n", want, at(50))
+	listener.Receive("n", want, at(50))
 	expectLimit(t, listener, 1.5)
-	assert.Empty(t, listener.Words(false, at(60)))
-	assert.Len(t, listener.Words(true, at(60)), 1)
-	assert.Len(t, listener.News(true, at(60)), 1)
+	assert.Empty(t, listener.Reports(false, at(60)))
+	assert.Len(t, listener.Reports(true, at(60)), 1)
+	assert.Len(t, listener.Updates(true, at(60)), 1)
 	data, err := json.Marshal(want)
 	require.NoError(t, err)
 	assert.JSONEq(t, `[{"e":"e","b":1,"r":1.5,"a":20}]`, string(data))
@@ -158,11 +158,11 @@
 // A node that missed the end of a limit learns of it from a later report.
 func TestMissedEndIsSentAgain(t *testing.T) {
 	b, listener := newBook(nil), newBook(nil)
-	b.Named(first.Life(), 1, at(0))
-	listener.Heard("n", b.Words(false, at(0)), at(0))
-	b.Unnamed(first.Life(), at(100), at(200))
-	b.Unnamed(first.Life(), at(11_000), at(11_010))
-	listener.Heard("n", b.Words(false, at(11_020)), at(11_020))
+	b.Named(first.Incarnation(), 1, at(0))
+	listener.Receive("n", b.Reports(false, at(0)), at(0))
+	b.Unnamed(first.Incarnation(), at(100), at(200))
+	b.Unnamed(first.Incarnation(), at(11_000), at(11_010))
+	listener.Receive("n", b.Reports(false, at(11_020)), at(11_020))
 	expectNoLimit(t, listener)
 }
 
@@ -176,11 +176,11 @@
 	}{{1, 8, 30 * time.Second}, {1, 300, 600 * time.Second}, {0, 4, 80 * time.Second}, {0.5, 60, 240 * time.Second}}
 	for _, c := range cases {
 		b := newBook(nil)
-		b.Named(first.Life(), c.perSecond, start)
-		assert.False(t, b.MayProbe(first.Life(), c.nodes, start.Add(c.after-time.Second)), "%+v", c)
-		assert.True(t, b.MayProbe(first.Life(), c.nodes, start.Add(c.after)), "%+v", c)
-		b.Placed(first.Life(), start.Add(c.after))
-		assert.False(t, b.MayProbe(first.Life(), c.nodes, start.Add(2*c.after-time.Second)), "%+v", c)
+		b.Named(first.Incarnation(), c.perSecond, start)
+		assert.False(t, b.MayProbe(first.Incarnation(), c.nodes, start.Add(c.after-time.Second)), "%+v", c)
+		assert.True(t, b.MayProbe(first.Incarnation(), c.nodes, start.Add(c.after)), "%+v", c)
+		b.Placed(first.Incarnation(), start.Add(c.after))
+		assert.False(t, b.MayProbe(first.Incarnation(), c.nodes, start.Add(2*c.after-time.Second)), "%+v", c)
 		if c.perSecond > 0 {
 			assert.LessOrEqual(t, float64(c.nodes)/c.after.Seconds(), max(c.perSecond/2, 8.0/30), "%+v", c)
 		}
--- a/fleet/relay/limits.go
+++ b/fleet/relay/limits.go
@@ -20,7 +20,7 @@
 	if !n.settings.Enabled(limitsMechanism) {
 		return
 	}
-	n.limits = limit.NewBook(n.settings.Limit.Rule(), n.logLimit)
+	n.limits = limit.NewTracker(n.settings.Limit.Rule(), n.logLimit)
 	n.picker.WithLimits(n.limits)
 	g.WithLimits(n.limits)
 }
@@ -50,7 +50,7 @@
 		now := clock.Now()
 		all = lo.Map(n.limits.List(now), func(l limit.Listed, _ int) limit.Listed {
 			b := n.limits.Bound(l.PerSecond)
-			l.Part, l.Sent = n.bounds.Part(l.Engine(), b, now)
+			l.Part, l.Sent = n.bounds.Share(l.Engine(), b, now)
 			l.WindowMs = b.Window.Milliseconds()
 			l.From = lo.CoalesceOrEmpty(l.From, n.settings.Node)
 			return l
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -59,7 +59,7 @@
 
 // Leaves reports whether an endpoint is about to end, and until when it may get calls that no
 // other endpoint may take.
-func (b *Book) Leaves(life engine.Life, now time.Time) (until time.Time, leaves bool) {
+func (b *Tracker) Leaves(life engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k, ok := b.find(life)
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -12,15 +12,17 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Word reports an endpoint's notices to another node.
-type Word struct {
+// Report reports an endpoint's notices to another node.
+type Report struct {
 	Endpoint  string `json:"e"`
 	Born      int64  `json:"b,omitempty"` // start of the incarnation
 	LeavingMs *int64 `json:"l,omitempty"` // since the latest answer with a leaving notice; nil: none
 	RestMs    int64  `json:"r,omitempty"` // remaining rest; 0: none was requested
 }
 
-func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (w Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+}
 
 // Bounds of the reports that are sent.
 const (
@@ -29,26 +31,26 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
 
-// News returns what this node learned since the last call: from answers and, if it forwards,
+// Updates returns what this node learned since the last call: from answers and, if it forwards,
 // from reports.
-func (b *Book) News(forward bool, now time.Time) []Word {
+func (b *Tracker) Updates(forward bool, now time.Time) []Report {
 	return b.reports(forward, now, func(d *telling.Due) bool { return d.TakeNews() })
 }
 
-// Words returns the reports to be sent along with the digests.
-func (b *Book) Words(forward bool, now time.Time) []Word {
+// Reports returns the reports to be sent along with the digests.
+func (b *Tracker) Reports(forward bool, now time.Time) []Report {
 	return b.reports(forward, now, func(d *telling.Due) bool { return d.Along(now) })
 }
 
-func (b *Book) reports(forward bool, now time.Time, due func(*telling.Due) bool) []Word {
+func (b *Tracker) reports(forward bool, now time.Time, due func(*telling.Due) bool) []Report {
 	if b.count.Load() == 0 {
 		return nil // the common case
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var reports []Word
+	var reports []Report
 	for life, k := range b.known {
 		k.expire(now)
 		b.dropEmpty(life, k)
@@ -56,7 +58,7 @@
 			reports = append(reports, w)
 		}
 	}
-	slices.SortFunc(reports, func(a, b Word) int {
+	slices.SortFunc(reports, func(a, b Report) int {
 		return cmp.Or(-cmp.Compare(a.priority(), b.priority()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return reports[:min(len(reports), maxReports)]
@@ -74,8 +76,8 @@
 }
 
 // report returns what is due to be sent of one incarnation.
-func (k *known) report(life engine.Life, forward bool, now time.Time, due func(*telling.Due) bool) Word {
-	w := Word{Endpoint: life.ID, Born: life.Born}
+func (k *known) report(life engine.Incarnation, forward bool, now time.Time, due func(*telling.Due) bool) Report {
+	w := Report{Endpoint: life.ID, Born: life.Born}
 	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
 		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
 	}
@@ -90,19 +92,19 @@
 }
 
 // hasContent reports whether the report holds any notice.
-func (w Word) hasContent() bool { return w.LeavingMs != nil || w.RestMs > 0 }
+func (w Report) hasContent() bool { return w.LeavingMs != nil || w.RestMs > 0 }
 
 // priority orders reports when a message can't hold all: leaving notices first, the latest ones
 // before others, and then long rests.
-func (w Word) priority() int64 {
+func (w Report) priority() int64 {
 	if w.LeavingMs != nil {
 		return maxRest.Milliseconds() + Believed.Milliseconds() - *w.LeavingMs
 	}
 	return w.RestMs
 }
 
-// Heard records another node's reports on listed endpoints.
-func (b *Book) Heard(from string, reports []Word, now time.Time) {
+// Receive records another node's reports on listed endpoints.
+func (b *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if w.valid() {
 			b.record(from, w, now)
@@ -111,15 +113,15 @@
 }
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Word) valid() bool {
+func (w Report) valid() bool {
 	leaving := w.LeavingMs == nil || *w.LeavingMs >= 0 && *w.LeavingMs < Believed.Milliseconds()
 	return w.hasContent() && leaving && w.RestMs >= 0 && w.RestMs <= maxRest.Milliseconds()
 }
 
-func (b *Book) record(from string, w Word, now time.Time) {
+func (b *Tracker) record(from string, w Report, now time.Time) {
 	var began []Change
 	b.mu.Lock()
-	if e, listed := b.listed[w.life()]; listed {
+	if e, listed := b.listed[w.incarnation()]; listed {
 		k := b.get(e, now)
 		if w.LeavingMs != nil {
 			age := time.Duration(*w.LeavingMs) * time.Millisecond
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -109,13 +109,13 @@
 
 // spreadPosition returns this node's position among those that return to an endpoint, from 0 to
 // 1.
-func (b *Book) spreadPosition(life engine.Life) float64 {
+func (b *Tracker) spreadPosition(life engine.Incarnation) float64 {
 	const shift = 11 // leaves as many bits of a hash as a float64 has in its fraction
 	return float64(ident.Mix(b.self^xxhash.Sum64String(life.ID))>>shift) / (1 << (64 - shift))
 }
 
 // Use returns how far this node uses an endpoint now.
-func (b *Book) Use(life engine.Life, now time.Time) Use {
+func (b *Tracker) Use(life engine.Incarnation, now time.Time) Use {
 	if b.count.Load() == 0 {
 		return Free
 	}
@@ -130,7 +130,7 @@
 
 // Resting reports whether an endpoint wants nothing from this node now, until when, and the
 // length of the whole rest.
-func (b *Book) Resting(life engine.Life, now time.Time) (until time.Time, length time.Duration, resting bool) {
+func (b *Tracker) Resting(life engine.Incarnation, now time.Time) (until time.Time, length time.Duration, resting bool) {
 	if b.count.Load() == 0 {
 		return time.Time{}, 0, false
 	}
@@ -144,7 +144,7 @@
 }
 
 // Placed records a call to an endpoint. After a rest the first call is sent alone.
-func (b *Book) Placed(life engine.Life, now time.Time) {
+func (b *Tracker) Placed(life engine.Incarnation, now time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 
 // Took records that an endpoint accepted a call that was sent at the given time. If that was
 // after a rest, the endpoint is used as before.
-func (b *Book) Took(life engine.Life, sent time.Time) {
+func (b *Tracker) Took(life engine.Incarnation, sent time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
--- a/fleet/relay/notice/rest_test.go
+++ b/fleet/relay/notice/rest_test.go
@@ -12,23 +12,23 @@
 )
 
 // askForRest lets the first endpoint ask this node for rest.
-func askForRest(b *notice.Book, length time.Duration, ms int) {
-	b.Saw(first, call.Rest{For: length}, at(ms))
+func askForRest(b *notice.Tracker, length time.Duration, ms int) {
+	b.Observe(first, call.Rest{For: length}, at(ms))
 }
 
 // restReport is another node's report of a rest that it was asked for.
-func restReport(ms int64) notice.Word {
-	return notice.Word{Endpoint: first.ID, Born: first.Born, RestMs: ms}
+func restReport(ms int64) notice.Report {
+	return notice.Report{Endpoint: first.ID, Born: first.Born, RestMs: ms}
 }
 
 // A node that was asked for rest sends nothing until the latest end, and then one call at a time
 // until one is accepted. A node that received a report of the rest uses the endpoint last.
 func TestUseOfARestingEndpoint(t *testing.T) {
-	none := func(*notice.Book) {}
-	three := func(b *notice.Book) { askForRest(b, 3*time.Second, 0) }
+	none := func(*notice.Tracker) {}
+	three := func(b *notice.Tracker) { askForRest(b, 3*time.Second, 0) }
 	cases := []struct {
 		name string
-		then func(b *notice.Book)
+		then func(b *notice.Tracker)
 		of   engine.Engine
 		now  time.Time
 		use  notice.Use
@@ -41,35 +41,35 @@
 		{"at the end: the slots of other nodes", three, first, at(3_000), notice.LastResort},
 		{"after all slots: a probe", three, first, at(5_000), notice.Probe},
 		{"without a probe", three, first, at(6_500), notice.Free},
-		{"the first call is pending", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_000)) }, first, at(5_500), notice.LastResort},
-		{"the first call was not answered in time", func(b *notice.Book) { three(b); b.Placed(first.Life(), at(5_500)) }, first, at(6_600), notice.Free},
-		{"the first call was accepted", func(b *notice.Book) { three(b); b.Took(first.Life(), at(5_000)) }, first, at(5_100), notice.Free},
-		{"a call sent before the rest was accepted", func(b *notice.Book) { three(b); b.Took(first.Life(), at(-10)) }, first, at(20), notice.Closed},
-		{"asked again, for less", func(b *notice.Book) { three(b); askForRest(b, time.Second, 10) }, first, at(2_000), notice.Closed},
-		{"asked again, for longer", func(b *notice.Book) { three(b); askForRest(b, 5*time.Second, 10) }, first, at(5_000), notice.Closed},
-		{"asked again by the first call after it", func(b *notice.Book) { three(b); askForRest(b, 3*time.Second, 5_000) }, first, at(7_900), notice.Closed},
-		{"its entry lapses, and is back", func(b *notice.Book) {
+		{"the first call is pending", func(b *notice.Tracker) { three(b); b.Placed(first.Incarnation(), at(5_000)) }, first, at(5_500), notice.LastResort},
+		{"the first call was not answered in time", func(b *notice.Tracker) { three(b); b.Placed(first.Incarnation(), at(5_500)) }, first, at(6_600), notice.Free},
+		{"the first call was accepted", func(b *notice.Tracker) { three(b); b.Took(first.Incarnation(), at(5_000)) }, first, at(5_100), notice.Free},
+		{"a call sent before the rest was accepted", func(b *notice.Tracker) { three(b); b.Took(first.Incarnation(), at(-10)) }, first, at(20), notice.Closed},
+		{"asked again, for less", func(b *notice.Tracker) { three(b); askForRest(b, time.Second, 10) }, first, at(2_000), notice.Closed},
+		{"asked again, for longer", func(b *notice.Tracker) { three(b); askForRest(b, 5*time.Second, 10) }, first, at(5_000), notice.Closed},
+		{"asked again by the first call after it", func(b *notice.Tracker) { three(b); askForRest(b, 3*time.Second, 5_000) }, first, at(7_900), notice.Closed},
+		{"its entry lapses, and is back", func(b *notice.Tracker) {
 			three(b)
 			b.Engines([]engine.Engine{other}, at(100))
 			b.Engines([]engine.Engine{first, other}, at(1_000))
 		}, first, at(1_100), notice.Closed},
-		{"another node was asked", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(3_000)}, at(0)) }, first, at(100), notice.LastResort},
-		{"another node was asked, and its rest is over", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(3_000)}, at(0)) }, first, at(6_500), notice.Free},
-		{"another node was asked for a day: counts for half a minute", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(86_400_000)}, at(0)) }, first, at(33_500), notice.Free},
-		{"both were asked, the other node for longer", func(b *notice.Book) {
+		{"another node was asked", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(3_000)}, at(0)) }, first, at(100), notice.LastResort},
+		{"another node was asked, and its rest is over", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(3_000)}, at(0)) }, first, at(6_500), notice.Free},
+		{"another node was asked for a day: counts for half a minute", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(86_400_000)}, at(0)) }, first, at(33_500), notice.Free},
+		{"both were asked, the other node for longer", func(b *notice.Tracker) {
 			askForRest(b, time.Second, 0)
-			b.Heard("n", []notice.Word{restReport(3_000)}, at(0))
+			b.Receive("n", []notice.Report{restReport(3_000)}, at(0))
 		}, first, at(2_000), notice.LastResort},
-		{"a report on another incarnation", func(b *notice.Book) {
-			b.Heard("n", []notice.Word{{Endpoint: first.ID, Born: 9, RestMs: 3_000}}, at(0))
+		{"a report on another incarnation", func(b *notice.Tracker) {
+			b.Receive("n", []notice.Report{{Endpoint: first.ID, Born: 9, RestMs: 3_000}}, at(0))
 		}, first, at(100), notice.Free},
-		{"an invalid report", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(-1)}, at(0)) }, first, at(100), notice.Free},
-		{"a report beyond the maximum rest", func(b *notice.Book) { b.Heard("n", []notice.Word{restReport(1e12)}, at(0)) }, first, at(100), notice.Free},
+		{"an invalid report", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(-1)}, at(0)) }, first, at(100), notice.Free},
+		{"a report beyond the maximum rest", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(1e12)}, at(0)) }, first, at(100), notice.Free},
 	}
 	for _, c := range cases {
 		b := newBook(nil)
 		c.then(b)
-		assert.Equal(t, c.use, b.Use(c.of.Life(), c.now), c.name)
+		assert.Equal(t, c.use, b.Use(c.of.Incarnation(), c.now), c.name)
 	}
 }
 
@@ -80,20 +80,20 @@
 	askForRest(b, 3*time.Second, 0)
 	askForRest(b, 3*time.Second, 10)
 	assert.Len(t, changes, 1, "it began once")
-	assert.Equal(t, []notice.Word{restReport(2_990)}, b.News(false, at(20)))
-	assert.Empty(t, b.News(false, at(30)))
-	assert.Equal(t, []notice.Word{restReport(2_810)}, b.Words(false, at(200)))
-	assert.Empty(t, b.Words(false, at(2_000)))
-	b.Took(first.Life(), at(3_500))
+	assert.Equal(t, []notice.Report{restReport(2_990)}, b.Updates(false, at(20)))
+	assert.Empty(t, b.Updates(false, at(30)))
+	assert.Equal(t, []notice.Report{restReport(2_810)}, b.Reports(false, at(200)))
+	assert.Empty(t, b.Reports(false, at(2_000)))
+	b.Took(first.Incarnation(), at(3_500))
 	assert.Equal(t, notice.Ended{Engine: first}, changes[1])
 	assert.Empty(t, b.List(at(3_600)))
 
 	receiver := newBook(nil)
-	receiver.Heard("n", []notice.Word{restReport(3_000)}, at(0))
-	assert.Equal(t, []notice.Word{restReport(3_000)}, receiver.News(true, at(0)), "a delegate forwards")
+	receiver.Receive("n", []notice.Report{restReport(3_000)}, at(0))
+	assert.Equal(t, []notice.Report{restReport(3_000)}, receiver.Updates(true, at(0)), "a delegate forwards")
 	askForRest(receiver, time.Second, 100)
-	assert.Empty(t, receiver.News(false, at(100)), "the others know of the longer one")
-	until, length, resting := receiver.Resting(first.Life(), at(200))
+	assert.Empty(t, receiver.Updates(false, at(100)), "the others know of the longer one")
+	until, length, resting := receiver.Resting(first.Incarnation(), at(200))
 	assert.True(t, resting)
 	assert.Equal(t, at(1_100), until)
 	assert.Equal(t, time.Second, length)
@@ -104,10 +104,10 @@
 	const nodes = 60
 	waiting := map[int]int{} // by tenth of a second after the end
 	for i := range nodes {
-		b := notice.NewBook(string(rune('a'+i)), rule, func(notice.Change) {})
+		b := notice.NewTracker(string(rune('a'+i)), rule, func(notice.Change) {})
 		b.Engines([]engine.Engine{first}, start)
-		b.Saw(first, call.Rest{For: 3 * time.Second}, at(0))
-		for ms := 3_000; b.Use(first.Life(), at(ms)) > notice.Probe; ms += 100 {
+		b.Observe(first, call.Rest{For: 3 * time.Second}, at(0))
+		for ms := 3_000; b.Use(first.Incarnation(), at(ms)) > notice.Probe; ms += 100 {
 			waiting[(ms-3_000)/100]++
 		}
 	}
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -15,8 +15,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Book tracks the notices that a node knows. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks the notices that a node knows. It is safe for concurrent use.
+type Tracker struct {
 	rule    Rule
 	self    uint64 // hash of this node's name
 	changed func(Change)
@@ -24,8 +24,8 @@
 	count   atomic.Int64 // of known incarnations; 0 skips the lock
 
 	mu     sync.Mutex
-	listed map[engine.Life]engine.Engine
-	known  map[engine.Life]*known
+	listed map[engine.Incarnation]engine.Engine
+	known  map[engine.Incarnation]*known
 }
 
 // Change is a change due to a notice: Began or Ended.
@@ -53,14 +53,14 @@
 	rest    rest
 }
 
-// NewBook returns an empty tracker of a node. It calls changed on each change.
-func NewBook(self string, r Rule, changed func(Change)) *Book {
-	return &Book{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Life]engine.Engine{}, known: map[engine.Life]*known{}}
+// NewTracker returns an empty tracker of a node. It calls changed on each change.
+func NewTracker(self string, r Rule, changed func(Change)) *Tracker {
+	return &Tracker{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
 }
 
 // Engines sets the listed endpoints. The state of others is dropped after entryRetention.
-func (b *Book) Engines(all []engine.Engine, now time.Time) {
-	listed := lo.KeyBy(all, engine.Engine.Life)
+func (b *Tracker) Engines(all []engine.Engine, now time.Time) {
+	listed := lo.KeyBy(all, engine.Engine.Incarnation)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.listed = listed
@@ -78,8 +78,8 @@
 	b.count.Store(int64(len(b.known)))
 }
 
-// Saw records a notice in an answer to this node.
-func (b *Book) Saw(e engine.Engine, n call.Notice, now time.Time) {
+// Observe records a notice in an answer to this node.
+func (b *Tracker) Observe(e engine.Engine, n call.Notice, now time.Time) {
 	b.mu.Lock()
 	k := b.get(e, now)
 	var began bool
@@ -97,8 +97,8 @@
 }
 
 // get returns the state of an endpoint, creating it if necessary.
-func (b *Book) get(e engine.Engine, now time.Time) *known {
-	life := e.Life()
+func (b *Tracker) get(e engine.Engine, now time.Time) *known {
+	life := e.Incarnation()
 	k, ok := b.known[life]
 	if !ok {
 		k = &known{engine: e}
@@ -112,7 +112,7 @@
 }
 
 // dropEmpty drops an incarnation without any notice.
-func (b *Book) dropEmpty(life engine.Life, k *known) {
+func (b *Tracker) dropEmpty(life engine.Incarnation, k *known) {
 	if k.leaving.observed.IsZero() && k.rest.end().IsZero() {
 		delete(b.known, life)
 		b.count.Store(int64(len(b.known)))
@@ -120,7 +120,7 @@
 }
 
 // find returns the state of an incarnation, and false if there is none.
-func (b *Book) find(life engine.Life) (*known, bool) {
+func (b *Tracker) find(life engine.Incarnation) (*known, bool) {
 	if b.count.Load() == 0 {
 		return nil, false
 	}
@@ -140,7 +140,7 @@
 }
 
 // List returns the notices of listed endpoints, ordered by id.
-func (b *Book) List(now time.Time) []Listed {
+func (b *Tracker) List(now time.Time) []Listed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := []Listed{}
--- a/fleet/relay/notices.go
+++ b/fleet/relay/notices.go
@@ -28,7 +28,7 @@
 	if !n.settings.Enabled(noticesMechanism) {
 		return
 	}
-	n.notices = notice.NewBook(n.settings.Node, notice.Rule{Serves: fraction(servesShare, n.settings.EndpointDrain())}, n.onNotice)
+	n.notices = notice.NewTracker(n.settings.Node, notice.Rule{Serves: fraction(servesShare, n.settings.EndpointDrain())}, n.onNotice)
 	n.picker.WithNotices(n.notices)
 	g.WithNotices(n.notices)
 }
@@ -68,7 +68,7 @@
 	if t.notices == nil || e.State != engine.Ready {
 		return e
 	}
-	if until, leaves := t.notices.Leaves(e.Life(), clock.Now()); leaves {
+	if until, leaves := t.notices.Leaves(e.Incarnation(), clock.Now()); leaves {
 		e.State, e.LeavesBy = engine.Leaving, until
 	}
 	return e
--- a/fleet/relay/notices_test.go
+++ b/fleet/relay/notices_test.go
@@ -14,12 +14,12 @@
 // noticeNode returns a node with two endpoints, of which some announced that they leave.
 func noticeNode(ids ...string) *Node {
 	n := incarnationNode(entry("a", firstBorn, 1), entry("b", firstBorn, 2))
-	n.notices = notice.NewBook("n", notice.Rule{Serves: time.Minute}, func(notice.Change) { n.engineTable.refresh() })
+	n.notices = notice.NewTracker("n", notice.Rule{Serves: time.Minute}, func(notice.Change) { n.engineTable.refresh() })
 	n.picker.WithNotices(n.notices)
 	n.engineTable.refresh()
 	for _, id := range ids {
 		e, _ := n.engines.Load().Get(id)
-		n.notices.Saw(e, call.Leaving{}, time.Now())
+		n.notices.Observe(e, call.Leaving{}, time.Now())
 	}
 	return n
 }
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -42,20 +42,20 @@
 		gossip, err := Listen("127.0.0.1:0", registry, choice.NewPicker("z", choice.DefaultTuning()), allowance, func() bool { return false })
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
-		suspicions := doubt.NewBook("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+		suspicions := doubt.NewTracker("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
 		gossip.WithRollouts(&fakeTalk{}).WithDoubts(suspicions)
 		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
 		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
 		suspicions.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
-		limits := limit.NewBook(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
+		limits := limit.NewTracker(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
 		limits.Engines([]engine.Engine{suspect})
 		gossip.WithLimits(limits)
 		gossip.receive(m, "127.0.0.1:9")
-		if perSecond, named := limits.Of(suspect.Life()); named {
+		if perSecond, named := limits.Of(suspect.Incarnation()); named {
 			assert.GreaterOrEqual(t, perSecond, 0.0)
 			assert.Positive(t, limits.Bound(perSecond).Calls, "a limited endpoint is still used at times, whatever is reported of it")
 		}
-		assert.False(t, suspicions.Avoids(suspect.Life(), false, 0, time.Now()), "one datagram removes no endpoint")
+		assert.False(t, suspicions.Avoids(suspect.Incarnation(), false, 0, time.Now()), "one datagram removes no endpoint")
 		free := allowance.State(tenant).Free
 		assert.GreaterOrEqual(t, free, int64(0))
 		assert.LessOrEqual(t, free, int64(100))
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -52,13 +52,13 @@
 	elsewhere   atomic.Bool // a writer of another zone reported that it reaches the store
 	sources     atomic.Pointer[[]store.Source]
 	client      *http.Client
-	rollouts    RolloutTalk  // nil: no orders on this node
-	busy        func() bool  // reports whether this node's link is busy
-	suspicions  *doubt.Book  // nil: no reports on endpoints that fail
-	quarantine  Quarantine   // nil: no reports on requests under which endpoints end
-	limits      *limit.Book  // nil: no reports on limits that endpoints name
-	notices     *notice.Book // nil: no reports on signals of endpoints in answers
-	eras        *store.Eras  // known to this node
+	rollouts    RolloutTalk     // nil: no orders on this node
+	busy        func() bool     // reports whether this node's link is busy
+	suspicions  *doubt.Tracker  // nil: no reports on endpoints that fail
+	quarantine  Quarantine      // nil: no reports on requests under which endpoints end
+	limits      *limit.Tracker  // nil: no reports on limits that endpoints name
+	notices     *notice.Tracker // nil: no reports on signals of endpoints in answers
+	eras        *store.Eras     // known to this node
 
 	chooseMu  sync.Mutex // guards the choice of writers and what follows from it
 	delegates *delegates
@@ -176,7 +176,7 @@
 	}
 	self := g.registry.self
 	for at, members := range lo.GroupBy(to, func(m Member) place { return place{m.Zone == self.Zone, g.places.Region(m.Zone)} }) {
-		m.Reads = g.picker.News(at.region, now)
+		m.Reads = g.picker.RareReads(at.region, now)
 		if at.near {
 			m.Reads = g.picker.Reads(at.region, now)
 		}
@@ -323,8 +323,8 @@
 	g.receiveQuarantine(m)
 	g.receiveLimits(m)
 	g.receiveNotices(m)
-	g.picker.Heard(m.Node, m.Digests, now)
-	g.picker.HeardReads(m.Reads, g.passesOn(), now)
+	g.picker.ReceiveDigests(m.Node, m.Digests, now)
+	g.picker.ReceiveReads(m.Reads, g.passesOn(), now)
 	if m.HasBudgets {
 		g.transfers.recordFrom(from, g.classOf(m.Node), m.BudgetReports, now)
 	}
--- a/fleet/relay/peer/limits.go
+++ b/fleet/relay/peer/limits.go
@@ -15,7 +15,7 @@
 // it is sent again with the digests.
 
 // WithLimits exchanges the limits that endpoints name. It must be called before Run.
-func (g *Gossip) WithLimits(b *limit.Book) *Gossip {
+func (g *Gossip) WithLimits(b *limit.Tracker) *Gossip {
 	g.limits = b
 	return g
 }
@@ -30,7 +30,7 @@
 
 // sendLimits sends what can't wait for the digests.
 func (g *Gossip) sendLimits(delegates map[string]bool) {
-	reports := g.limits.News(g.passesOn(), clock.Now())
+	reports := g.limits.Updates(g.passesOn(), clock.Now())
 	if len(reports) == 0 {
 		return
 	}
@@ -54,16 +54,16 @@
 }
 
 // limitReports returns the reports on limits for the digest.
-func (g *Gossip) limitReports() []limit.Word {
+func (g *Gossip) limitReports() []limit.Report {
 	if g.limits == nil {
 		return nil
 	}
-	return g.limits.Words(g.passesOn(), clock.Now())
+	return g.limits.Reports(g.passesOn(), clock.Now())
 }
 
 // receiveLimits processes a peer's reports on limits.
 func (g *Gossip) receiveLimits(m message) {
 	if g.limits != nil && len(m.Limits) > 0 {
-		g.limits.Heard(m.Node, m.Limits, clock.Now())
+		g.limits.Receive(m.Node, m.Limits, clock.Now())
 	}
 }
--- a/fleet/relay/peer/limits_test.go
+++ b/fleet/relay/peer/limits_test.go
@@ -42,20 +42,20 @@
 }
 
 // limitFleet returns a fleet of size nodes in three zones.
-func limitFleet(size int, engines []engine.Engine) ([]*Gossip, []*limit.Book, *traffic) {
+func limitFleet(size int, engines []engine.Engine) ([]*Gossip, []*limit.Tracker, *traffic) {
 	all := members(size)
 	for i := range all {
 		all[i].Zone, all[i].Address = fmt.Sprint("z", i%3), fmt.Sprint("10.0.0.1:", 1000+i)
 	}
 	at, total := map[string]*Gossip{}, &traffic{}
 	var gossips []*Gossip
-	var trackers []*limit.Book
+	var trackers []*limit.Tracker
 	for _, m := range all {
 		g, _ := trafficGossipOf(all, nil, m)
 		g.socket = limitPort{at: at, address: m.Address, traffic: total}
-		b := limit.NewBook(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
+		b := limit.NewTracker(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
 		b.Engines(engines)
-		g.WithLimits(b).WithNotices(notice.NewBook("n", notice.Rule{}, func(notice.Change) {}))
+		g.WithLimits(b).WithNotices(notice.NewTracker("n", notice.Rule{}, func(notice.Change) {}))
 		g.notices.Engines(engines, clock.Now())
 		g.choose()
 		at[m.Address] = g
@@ -82,20 +82,20 @@
 					}
 				}
 				first := trackers[c.size-1]
-				first.Named(e.Life(), 1.5, clock.Now())
+				first.Named(e.Incarnation(), 1.5, clock.Now())
 				exchange()
 				for i, b := range trackers {
-					got, named := b.Of(e.Life())
+					got, named := b.Of(e.Incarnation())
 					assert.True(t, named, "node %d", i)
 					assert.Equal(t, 1.5, got)
 				}
 				t.Logf("%d nodes: %d datagrams, %d bytes of reports", c.size, total.datagrams, total.bytes)
 				assert.LessOrEqual(t, total.datagrams, c.maxDatagrams)
 				time.Sleep(time.Second)
-				trackers[0].Unnamed(e.Life(), clock.Now(), clock.Now())
+				trackers[0].Unnamed(e.Incarnation(), clock.Now(), clock.Now())
 				exchange()
 				for i, b := range trackers {
-					_, named := b.Of(e.Life())
+					_, named := b.Of(e.Incarnation())
 					assert.False(t, named, "node %d", i)
 				}
 			})
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -30,10 +30,10 @@
 	Requests      []transferRequest               `json:"requests,omitempty"`
 	Grants        []grant                         `json:"grants,omitempty"`
 	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // open orders
-	Suspicions    []doubt.Word                    `json:"doubts,omitempty"`     // endpoints at which calls failed recently
+	Suspicions    []doubt.Report                  `json:"doubts,omitempty"`     // endpoints at which calls failed recently
 	Quarantine    *quarantine.Words               `json:"quarantine,omitempty"` // requests under which endpoints end
-	Limits        []limit.Word                    `json:"limits,omitempty"`     // limits that endpoints name
-	Notices       []notice.Word                   `json:"notices,omitempty"`    // signals of endpoints in their answers
+	Limits        []limit.Report                  `json:"limits,omitempty"`     // limits that endpoints name
+	Notices       []notice.Report                 `json:"notices,omitempty"`    // signals of endpoints in their answers
 	Ledger        int64                           `json:"ledger,omitempty"`     // revision number of a ledger that the node wrote
 	Era           int64                           `json:"era,omitempty"`        // newest era that the node knows of; with Ledger, the era of its revision
 }
--- a/fleet/relay/peer/notices.go
+++ b/fleet/relay/peer/notices.go
@@ -9,7 +9,7 @@
 // digests.
 
 // WithNotices exchanges signals of endpoints in answers. It must be called before Run.
-func (g *Gossip) WithNotices(b *notice.Book) *Gossip {
+func (g *Gossip) WithNotices(b *notice.Tracker) *Gossip {
 	g.notices = b
 	return g
 }
@@ -24,22 +24,22 @@
 
 // sendNotices sends what can't wait for the digests.
 func (g *Gossip) sendNotices(delegates map[string]bool) {
-	if reports := g.notices.News(g.passesOn(), clock.Now()); len(reports) > 0 {
+	if reports := g.notices.Updates(g.passesOn(), clock.Now()); len(reports) > 0 {
 		g.send(g.withSender(message{Notices: reports}), g.audience(delegates)...)
 	}
 }
 
 // noticeReports returns the reports on signals for the digest.
-func (g *Gossip) noticeReports() []notice.Word {
+func (g *Gossip) noticeReports() []notice.Report {
 	if g.notices == nil {
 		return nil
 	}
-	return g.notices.Words(g.passesOn(), clock.Now())
+	return g.notices.Reports(g.passesOn(), clock.Now())
 }
 
 // receiveNotices processes a peer's reports on signals.
 func (g *Gossip) receiveNotices(m message) {
 	if g.notices != nil && len(m.Notices) > 0 {
-		g.notices.Heard(m.Node, m.Notices, clock.Now())
+		g.notices.Receive(m.Node, m.Notices, clock.Now())
 	}
 }
--- a/fleet/relay/peer/notices_test.go
+++ b/fleet/relay/peer/notices_test.go
@@ -21,7 +21,7 @@
 		t.Run(fmt.Sprint(c.size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gossips, _, total := limitFleet(c.size, []engine.Engine{e})
-				gossips[c.size-1].notices.Saw(e, call.Leaving{}, clock.Now())
+				gossips[c.size-1].notices.Observe(e, call.Leaving{}, clock.Now())
 				for range 3 { // the first sender, the nodes that pass it on, and those that receive it from them
 					for _, g := range gossips {
 						writers, _ := g.currentChoice()
@@ -29,7 +29,7 @@
 					}
 				}
 				for i, g := range gossips {
-					_, leaves := g.notices.Leaves(e.Life(), clock.Now())
+					_, leaves := g.notices.Leaves(e.Incarnation(), clock.Now())
 					assert.True(t, leaves, "node %d", i)
 				}
 				t.Logf("%d nodes: %d datagrams, %d bytes of reports", c.size, total.datagrams, total.bytes)
--- a/fleet/relay/peer/quarantine_test.go
+++ b/fleet/relay/peer/quarantine_test.go
@@ -24,7 +24,7 @@
 }
 
 func (r *recorder) Verify(engine.Engine)                              {}
-func (r *recorder) EndSeen(engine.Life, []quarantine.Suspect)         {}
+func (r *recorder) EndSeen(engine.Incarnation, []quarantine.Suspect)  {}
 func (r *recorder) Judged(quarantine.Held)                            { r.judged++ }
 func (r *recorder) Heard(_ string, w quarantine.Words, now time.Time) { r.Book.Heard(w, now) }
 
@@ -127,7 +127,7 @@
 							}
 							tracker.Cut(e, quarantine.Suspect{Print: quarantine.PrintOf("customer", "POST", "host", "/", []byte(body)), Customer: "customer", Route: "route"}, clock.Now())
 						}
-						tracker.Ended(e.Life(), clock.Now())
+						tracker.Ended(e.Incarnation(), clock.Now())
 					}
 					exchange(3)
 				}
--- a/fleet/relay/peer/suspicions.go
+++ b/fleet/relay/peer/suspicions.go
@@ -16,7 +16,7 @@
 // costs a second at most. In a fleet where all nodes write, each sends to all others.
 
 // WithDoubts exchanges reports on endpoints that fail. It must be called before Run.
-func (g *Gossip) WithDoubts(b *doubt.Book) *Gossip {
+func (g *Gossip) WithDoubts(b *doubt.Tracker) *Gossip {
 	g.suspicions = b
 	g.registry.OnChange(func(members []Member) {
 		b.Nodes(lo.SliceToMap(members, func(m Member) (string, string) { return m.Name, m.Zone }))
@@ -38,7 +38,7 @@
 		return
 	}
 	now := clock.Now()
-	audience := g.suspicions.News(g.passesOn(), now)
+	audience := g.suspicions.Audience(g.passesOn(), now)
 	if audience == doubt.Nobody {
 		return
 	}
@@ -59,16 +59,16 @@
 }
 
 // suspicionReports returns the reports on endpoints that fail.
-func (g *Gossip) suspicionReports(now time.Time) []doubt.Word {
+func (g *Gossip) suspicionReports(now time.Time) []doubt.Report {
 	if g.suspicions == nil {
 		return nil
 	}
-	return g.suspicions.Words(g.passesOn(), now)
+	return g.suspicions.Reports(g.passesOn(), now)
 }
 
 // receiveSuspicions processes a peer's reports on endpoints that fail.
 func (g *Gossip) receiveSuspicions(m message) {
 	if g.suspicions != nil && len(m.Suspicions) > 0 {
-		g.suspicions.Heard(m.Node, m.Suspicions, clock.Now())
+		g.suspicions.Receive(m.Node, m.Suspicions, clock.Now())
 	}
 }
--- a/fleet/relay/peer/suspicions_test.go
+++ b/fleet/relay/peer/suspicions_test.go
@@ -47,7 +47,7 @@
 }
 
 // suspicionFleet returns a fleet of size nodes in three zones that track failing endpoints.
-func suspicionFleet(size, endpoints int) (*network, []*Gossip, []*doubt.Book) {
+func suspicionFleet(size, endpoints int) (*network, []*Gossip, []*doubt.Tracker) {
 	all := members(size)
 	for i := range all {
 		all[i].Zone, all[i].Address = fmt.Sprint("z", i%3), fmt.Sprint("10.0.0.1:", 1000+i)
@@ -58,11 +58,11 @@
 	}
 	wire := &network{at: map[string]*Gossip{}}
 	var gossips []*Gossip
-	var trackers []*doubt.Book
+	var trackers []*doubt.Tracker
 	for _, m := range all {
 		g, _ := trafficGossipOf(all, nil, m)
 		g.socket = port{network: wire, address: m.Address}
-		b := doubt.NewBook(m.Name, m.Zone, doubt.DefaultRule(), func(doubt.Avoided) {})
+		b := doubt.NewTracker(m.Name, m.Zone, doubt.DefaultRule(), func(doubt.Avoided) {})
 		g.number = 1 // the next two beats send no digest to all
 		g.WithDoubts(b)
 		b.Engines(engines)
@@ -86,12 +86,12 @@
 		t.Run(fmt.Sprintf("%d of %d nodes", c.failing, c.size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				_, gossips, trackers := suspicionFleet(c.size, 3)
-				unhealthy := engine.Life{ID: "i-0000000000", Born: 1_764_722_185_123}
+				unhealthy := engine.Incarnation{ID: "i-0000000000", Born: 1_764_722_185_123}
 				self := gossips[0].registry.self
 				failing := lo.Filter(lo.Range(c.size), func(i int, _ int) bool { return gossips[i].registry.self.Zone == self.Zone })
 				for _, i := range failing[len(failing)-c.failing:] {
 					for range 5 {
-						trackers[i].Saw(unhealthy, doubt.Cut, time.Now())
+						trackers[i].Observe(unhealthy, doubt.Interrupted, time.Now())
 					}
 				}
 				for range 2 {
@@ -117,11 +117,11 @@
 		wire, gossips, trackers := suspicionFleet(60, 3)
 		gossips[1].suspicions = nil
 		for i := range gossips {
-			trackers[i].Saw(engine.Life{ID: "i-0000000001", Born: 1_764_722_185_123}, doubt.Fine, time.Now())
+			trackers[i].Observe(engine.Incarnation{ID: "i-0000000001", Born: 1_764_722_185_123}, doubt.Succeeded, time.Now())
 			gossips[i].broadcast()
 		}
 		assert.Zero(t, wire.reports)
-		gossips[1].receive(message{Node: "b", Suspicions: []doubt.Word{{Endpoint: "i-0000000001", Tellers: []doubt.Teller{{Node: "b", Cut: true}}}}}, "10.0.0.1:1000")
+		gossips[1].receive(message{Node: "b", Suspicions: []doubt.Report{{Endpoint: "i-0000000001", Reporters: []doubt.Reporter{{Node: "b", Interrupted: true}}}}}, "10.0.0.1:1000")
 	})
 }
 
@@ -140,7 +140,7 @@
 				for n := range seconds * beatsPerSecond {
 					for i, g := range gossips {
 						if i%3 == 0 && (i/3)%5 == n%5 {
-							trackers[i].Saw(engine.Life{ID: "i-0000000000", Born: 1_764_722_185_123}, doubt.Cut, time.Now())
+							trackers[i].Observe(engine.Incarnation{ID: "i-0000000000", Born: 1_764_722_185_123}, doubt.Interrupted, time.Now())
 						}
 						from := wire.bytes
 						g.broadcast()
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -84,7 +84,7 @@
 			c, err := net.DialTimeout("tcp4", e.Address, endCheckTimeout)
 			switch {
 			case errors.Is(err, syscall.ECONNREFUSED):
-				q.Ended(e.Life(), clock.Now())
+				q.Ended(e.Incarnation(), clock.Now())
 				return
 			case err == nil:
 				_ = c.Close()
@@ -94,7 +94,7 @@
 }
 
 // EndSeen implements quarantine.Observer.
-func (q *quarantineManager) EndSeen(incarnation engine.Life, under []quarantine.Suspect) {
+func (q *quarantineManager) EndSeen(incarnation engine.Incarnation, under []quarantine.Suspect) {
 	some := under[:min(len(under), maxLoggedFingerprints)]
 	q.log.WithFields(log.Fields{
 		"endpoint": incarnation.ID, "born": incarnation.Born, "calls": len(under), "unanswered": lo.CountBy(under, func(s quarantine.Suspect) bool { return s.Progress == quarantine.Nothing }),
--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -38,7 +38,7 @@
 
 // end is the end of one endpoint, with the calls that ran there as far as nodes reported them.
 type end struct {
-	incarnation engine.Life
+	incarnation engine.Incarnation
 	at          time.Time // when it was first observed
 	suspects    map[Print]Suspect
 }
@@ -48,7 +48,7 @@
 const sameEndWindow = time.Second
 
 // matches reports whether e is the end of an incarnation reported for a given time.
-func (e *end) matches(incarnation engine.Life, at time.Time) bool {
+func (e *end) matches(incarnation engine.Incarnation, at time.Time) bool {
 	return e.incarnation == incarnation && (incarnation.Born != 0 || at.Sub(e.at).Abs() < sameEndWindow)
 }
 
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -42,7 +42,7 @@
 	for _, s := range under {
 		j.Cut(of, s, now)
 	}
-	j.Ended(of.Life(), now)
+	j.Ended(of.Incarnation(), now)
 }
 func (j trackerStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
 func (j trackerStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -27,7 +27,9 @@
 	Suspects []Suspect `json:"s"`
 }
 
-func (w EndWord) incarnation() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (w EndWord) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+}
 
 // ServedReport reports a suspect that the sender served.
 type ServedReport struct {
@@ -101,7 +103,7 @@
 	at     time.Time
 }
 
-func newTimedEnd(incarnation engine.Life, at time.Time, suspects []Suspect) timedEnd {
+func newTimedEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect) timedEnd {
 	return timedEnd{EndWord{Endpoint: incarnation.ID, Born: incarnation.Born, Suspects: suspects}, at}
 }
 
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -18,7 +18,7 @@
 	// endpoint has ended, the check calls Ended.
 	Verify(e engine.Engine)
 	// EndSeen is called when an endpoint has ended while calls of this node ran on it.
-	EndSeen(incarnation engine.Life, under []Suspect)
+	EndSeen(incarnation engine.Incarnation, under []Suspect)
 	// Judged is called when this node itself quarantines or releases a request.
 	Judged(h Held)
 }
@@ -34,8 +34,8 @@
 	urgent   chan struct{}
 
 	mu           sync.Mutex
-	registered   map[engine.Life]bool // registered endpoints
-	pending      map[engine.Life]*interruption
+	registered   map[engine.Incarnation]bool // registered endpoints
+	pending      map[engine.Incarnation]*interruption
 	ends         []*end                // oldest first
 	near         map[Print]nearSuspect // suspects one end short of quarantine, as announced by judges
 	served       map[Print]time.Time   // when each suspect was last served
@@ -70,7 +70,7 @@
 func NewBook(r Rule, observer Observer, role func() Role) *Book {
 	b := &Book{
 		rule: r, observer: observer, role: role, urgent: make(chan struct{}, 1),
-		registered: map[engine.Life]bool{}, pending: map[engine.Life]*interruption{}, near: map[Print]nearSuspect{}, served: map[Print]time.Time{}, servedLately: map[Print]time.Time{}, held: map[Print]Held{}, outbox: newOutbox(),
+		registered: map[engine.Incarnation]bool{}, pending: map[engine.Incarnation]*interruption{}, near: map[Print]nearSuspect{}, served: map[Print]time.Time{}, servedLately: map[Print]time.Time{}, held: map[Print]Held{}, outbox: newOutbox(),
 	}
 	b.watched.Store(&map[string]bool{})
 	return b
@@ -107,18 +107,18 @@
 	s.Answered = b.history.contains(s.Print)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if ended := b.findEnd(e.Life(), now); ended != nil {
+	if ended := b.findEnd(e.Incarnation(), now); ended != nil {
 		b.addSuspect(ended, s, now)
 		return
 	}
 	b.expirePending(now)
-	interrupted, known := b.pending[e.Life()]
+	interrupted, known := b.pending[e.Incarnation()]
 	if !known && len(b.pending) >= maxPending {
 		return
 	}
 	if !known {
 		interrupted = &interruption{}
-		b.pending[e.Life()] = interrupted
+		b.pending[e.Incarnation()] = interrupted
 	}
 	if len(interrupted.suspects) < maxSuspects {
 		interrupted.suspects = append(interrupted.suspects, s)
@@ -128,8 +128,8 @@
 		interrupted.checkedAt = now
 	}
 	switch {
-	case !b.registered[e.Life()]:
-		b.confirmEnd(e.Life(), now)
+	case !b.registered[e.Incarnation()]:
+		b.confirmEnd(e.Incarnation(), now)
 	case !checked:
 		b.observer.Verify(e)
 	}
@@ -145,25 +145,25 @@
 }
 
 // findEnd returns the recorded end of an incarnation, or nil.
-func (b *Book) findEnd(incarnation engine.Life, at time.Time) *end {
+func (b *Book) findEnd(incarnation engine.Incarnation, at time.Time) *end {
 	e, _ := lo.Find(b.ends, func(e *end) bool { return e.matches(incarnation, at) })
 	return e
 }
 
 // expirePending removes interrupted calls whose endpoints are still running.
 func (b *Book) expirePending(now time.Time) {
-	maps.DeleteFunc(b.pending, func(_ engine.Life, c *interruption) bool { return now.Sub(c.checkedAt) > b.rule.Doubted })
+	maps.DeleteFunc(b.pending, func(_ engine.Incarnation, c *interruption) bool { return now.Sub(c.checkedAt) > b.rule.Doubted })
 }
 
 // Ended records that an incarnation of an endpoint has ended. It has no effect where no call
 // was interrupted there.
-func (b *Book) Ended(incarnation engine.Life, now time.Time) {
+func (b *Book) Ended(incarnation engine.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.confirmEnd(incarnation, now)
 }
 
-func (b *Book) confirmEnd(incarnation engine.Life, now time.Time) {
+func (b *Book) confirmEnd(incarnation engine.Incarnation, now time.Time) {
 	c, ok := b.pending[incarnation]
 	if !ok {
 		return
@@ -177,7 +177,7 @@
 }
 
 // recordEnd records an end, or adds suspects to a known one. It reports whether that changed anything.
-func (b *Book) recordEnd(incarnation engine.Life, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
+func (b *Book) recordEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
 	e := b.findEnd(incarnation, at)
 	if e == nil {
 		e = &end{incarnation: incarnation, at: at, suspects: map[Print]Suspect{}}
@@ -202,7 +202,7 @@
 func (b *Book) Engines(all []engine.Engine, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.registered = lo.SliceToMap(all, func(e engine.Engine) (engine.Life, bool) { return e.Life(), true })
+	b.registered = lo.SliceToMap(all, func(e engine.Engine) (engine.Incarnation, bool) { return e.Incarnation(), true })
 	b.expirePending(now)
 	for _, incarnation := range lo.Keys(b.pending) {
 		if !b.registered[incarnation] {
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -23,9 +23,9 @@
 	judged       []Held
 }
 
-func (o *notifications) Verify(e engine.Engine)         { o.verified = append(o.verified, e) }
-func (o *notifications) EndSeen(engine.Life, []Suspect) { o.endsObserved++ }
-func (o *notifications) Judged(h Held)                  { o.judged = append(o.judged, h) }
+func (o *notifications) Verify(e engine.Engine)                { o.verified = append(o.verified, e) }
+func (o *notifications) EndSeen(engine.Incarnation, []Suspect) { o.endsObserved++ }
+func (o *notifications) Judged(h Held)                         { o.judged = append(o.judged, h) }
 
 func fixedRole(r Role) func() Role { return func() Role { return r } }
 
@@ -79,7 +79,7 @@
 	for _, s := range under {
 		n.Cut(e, s, n.now)
 	}
-	n.Ended(e.Life(), n.now)
+	n.Ended(e.Incarnation(), n.now)
 }
 
 func (n *node) serve(name string) {
@@ -211,7 +211,7 @@
 	n.Cut(endpointOf(0, 1), deadly, n.now)
 	assert.Len(t, n.verified, 1, "one check for calls that were interrupted together")
 	assert.Zero(t, n.endsObserved)
-	n.Ended(endpointOf(0, 1).Life(), n.now)
+	n.Ended(endpointOf(0, 1).Incarnation(), n.now)
 	assert.Equal(t, 1, n.endsObserved)
 	n.now = n.now.Add(time.Second)
 	n.Cut(endpointOf(1, 1), deadly, n.now)
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -89,12 +89,12 @@
 	evacuationsRefresh store.Again
 	faults             *store.Faults // logs entries that can't be read
 	bounds             *bound.Gate
-	limits             *limit.Book  // nil: limits of endpoints are ignored
-	notices            *notice.Book // nil: notices in answers of endpoints are ignored
+	limits             *limit.Tracker  // nil: limits of endpoints are ignored
+	notices            *notice.Tracker // nil: notices in answers of endpoints are ignored
 	allowance          *account.Allowance
 	syncer             *account.Syncer
 	picker             *choice.Picker
-	suspicions         *doubt.Book        // nil: failures that other nodes report are ignored
+	suspicions         *doubt.Tracker     // nil: failures that other nodes report are ignored
 	quarantine         *quarantineManager // nil: no request is quarantined
 	places             distance.Places
 	registry           *peer.Registry
--- a/fleet/relay/restored_engines.go
+++ b/fleet/relay/restored_engines.go
@@ -29,7 +29,7 @@
 }
 
 type incarnationInEra struct {
-	engine.Life
+	engine.Incarnation
 	era int64
 	at  time.Time
 }
@@ -42,7 +42,7 @@
 func (l eraRecords) ended(e engine.Engine, now time.Time) {
 	delete(l.unused, e.ID)
 	delete(l.unlisted, e.ID)
-	l.gone[e.ID] = incarnationInEra{Life: e.Life(), era: e.Seen.Era(), at: now}
+	l.gone[e.ID] = incarnationInEra{Incarnation: e.Incarnation(), era: e.Seen.Era(), at: now}
 	if last, ok := l.leaving[e.ID]; ok {
 		last.at = now
 		l.leaving[e.ID] = last
@@ -54,15 +54,15 @@
 // predates reports whether the record is of the same incarnation as an entry, and from an earlier
 // era.
 func (l incarnationInEra) predates(e engine.Engine) bool {
-	return l.Life == e.Life() && l.era < e.Seen.Era()
+	return l.Incarnation == e.Incarnation() && l.era < e.Seen.Era()
 }
 
 // reconciled returns an entry corrected by what is known of its incarnation from an earlier era.
 func (t *engineTable) reconciled(e engine.Engine, known, fromCopy bool) engine.Engine {
 	delete(t.eras.unused, e.ID)
 	if e.State == engine.Draining {
-		if t.eras.leaving[e.ID].Life != e.Life() {
-			t.eras.leaving[e.ID] = incarnationInEra{Life: e.Life(), era: e.Seen.Era(), at: clock.Now()}
+		if t.eras.leaving[e.ID].Incarnation != e.Incarnation() {
+			t.eras.leaving[e.ID] = incarnationInEra{Incarnation: e.Incarnation(), era: e.Seen.Era(), at: clock.Now()}
 		}
 		return e
 	}
@@ -74,7 +74,7 @@
 		t.logUnused(e, "its entry was gone")
 		e.State = engine.Draining
 		t.eras.unused[e.ID] = true
-		time.AfterFunc(relapseWindow, func() { t.useAgain(e.Life()) })
+		time.AfterFunc(relapseWindow, func() { t.useAgain(e.Incarnation()) })
 	}
 	return e
 }
@@ -84,11 +84,11 @@
 }
 
 // useAgain uses an endpoint whose entry returned with a copy and did not lapse.
-func (t *engineTable) useAgain(incarnation engine.Life) {
+func (t *engineTable) useAgain(incarnation engine.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, known := t.byName[incarnation.ID]
-	if !known || e.Life() != incarnation || !t.eras.unused[incarnation.ID] {
+	if !known || e.Incarnation() != incarnation || !t.eras.unused[incarnation.ID] {
 		return
 	}
 	delete(t.eras.unused, incarnation.ID)
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -14,7 +14,7 @@
 	if !n.settings.Enabled(failureReportsMechanism) {
 		return
 	}
-	n.suspicions = doubt.NewBook(n.settings.Node, n.settings.Zone, doubt.DefaultRule(), n.logAvoided)
+	n.suspicions = doubt.NewTracker(n.settings.Node, n.settings.Zone, doubt.DefaultRule(), n.logAvoided)
 	n.picker.WithDoubts(n.suspicions)
 	g.WithDoubts(n.suspicions)
 }
@@ -23,8 +23,8 @@
 func (n *Node) logAvoided(a doubt.Avoided) {
 	fields := log.Fields{
 		"endpoint": a.Engine.ID, "born": a.Engine.Born, "service": a.Engine.Service, "zone": a.Engine.Zone, "forMs": a.For.Milliseconds(), "again": a.Again,
-		"tellers": lo.Map(a.Tellers, func(t doubt.Teller, _ int) string { return t.Node }),
-		"ageMs":   lo.Map(a.Tellers, func(t doubt.Teller, _ int) int64 { return t.AgeMs }),
+		"tellers": lo.Map(a.Reporters, func(t doubt.Reporter, _ int) string { return t.Node }),
+		"ageMs":   lo.Map(a.Reporters, func(t doubt.Reporter, _ int) int64 { return t.AgeMs }),
 	}
 	n.log.WithFields(fields).Info("endpoint avoided: nodes report failures")
 }
--- a/fleet/relay/suspicions_test.go
+++ b/fleet/relay/suspicions_test.go
@@ -35,8 +35,8 @@
 		all := []engine.Engine{{ID: "e", Born: 7, Service: "s", Zone: "z"}, {ID: "f", Service: "s", Zone: "z"}}
 		n.suspicions.Engines(all)
 		n.suspicions.Nodes(map[string]string{"a": "z", "b": "z"})
-		n.suspicions.Saw(all[0].Life(), doubt.Cut, now)
-		n.suspicions.Heard("b", []doubt.Word{{Endpoint: "e", Born: 7, Tellers: []doubt.Teller{{Node: "b", AgeMs: 300, Cut: true}}}}, now)
+		n.suspicions.Observe(all[0].Incarnation(), doubt.Interrupted, now)
+		n.suspicions.Receive("b", []doubt.Report{{Endpoint: "e", Born: 7, Reporters: []doubt.Reporter{{Node: "b", AgeMs: 300, Interrupted: true}}}}, now)
 		require.Len(t, lines.Entries, 1)
 		fields := lines.Entries[0].Fields
 		assert.Equal(t, "e", fields["endpoint"])
