--- a/ctl/client/relay.go
+++ b/ctl/client/relay.go
@@ -25,17 +25,17 @@
 }
 
 // Quarantine lists the quarantined requests known to the first node that responds.
-func (c *RelayClient) Quarantine(ctx context.Context) ([]quarantine.HeldWord, error) {
+func (c *RelayClient) Quarantine(ctx context.Context) ([]quarantine.QuarantineReport, error) {
 	data, err := c.send(ctx, http.MethodGet, relay.QuarantinePath)
 	if err != nil {
 		return nil, err
 	}
-	var quarantined []quarantine.HeldWord
+	var quarantined []quarantine.QuarantineReport
 	return quarantined, errors.Wrap(json.Unmarshal(data, &quarantined), "requests that are held back")
 }
 
 // Release releases a request from quarantine on all nodes.
-func (c *RelayClient) Release(ctx context.Context, print quarantine.Print) error {
+func (c *RelayClient) Release(ctx context.Context, print quarantine.Fingerprint) error {
 	_, err := c.send(ctx, http.MethodDelete, relay.QuarantinePath+"/"+print.String())
 	return err
 }
--- a/ctl/command/quarantine.go
+++ b/ctl/command/quarantine.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	lines := lo.Map(quarantined, func(h quarantine.HeldWord, _ int) []string {
+	lines := lo.Map(quarantined, func(h quarantine.QuarantineReport, _ int) []string {
 		since, left := roundedSeconds(h.AgeMs), roundedSeconds(h.ForMs-h.AgeMs)
 		return []string{h.Print.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
 	})
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	var print quarantine.Print
+	var print quarantine.Fingerprint
 	if err := print.UnmarshalText([]byte(a.flags.argument)); err != nil {
 		return usage("%v", err)
 	}
--- a/fleet/relay/account/encode.go
+++ b/fleet/relay/account/encode.go
@@ -107,7 +107,7 @@
 			if r.Drawn == 0 && r.Spent == 0 && r.Granted == 0 {
 				continue
 			}
-			incarnation := [2]string{r.Node, r.Life}
+			incarnation := [2]string{r.Node, r.Incarnation}
 			at, ok := index[incarnation]
 			if !ok {
 				at = int64(len(form.Lives))
@@ -144,7 +144,7 @@
 				return errors.Newf("ledger: a row of %s names life %d of %d", f.Tenant, r[0], len(form.Lives))
 			}
 			incarnation := form.Lives[r[0]]
-			a.Rows = append(a.Rows, Row{Node: incarnation[0], Life: incarnation[1], Drawn: r[1], Spent: r[2], Granted: r[3]})
+			a.Rows = append(a.Rows, Row{Node: incarnation[0], Incarnation: incarnation[1], Drawn: r[1], Spent: r[2], Granted: r[3]})
 		}
 		accounts = append(accounts, a)
 	}
--- a/fleet/relay/account/encode_test.go
+++ b/fleet/relay/account/encode_test.go
@@ -11,11 +11,11 @@
 
 func TestLedgerRoundTrip(t *testing.T) {
 	full := Ledger{Accounts: []Account{
-		{Tenant: "a", ClosedDrawn: 5, ClosedSpent: 3, ClosedGranted: -1, Rows: []Row{{Node: "n", Life: "l1", Drawn: 9, Spent: 4, Granted: 2}, {Node: "m", Life: "l2", Drawn: 1}}},
-		{Tenant: "b", Rows: []Row{{Node: "n", Life: "l1", Drawn: 7}}},
+		{Tenant: "a", ClosedDrawn: 5, ClosedSpent: 3, ClosedGranted: -1, Rows: []Row{{Node: "n", Incarnation: "l1", Drawn: 9, Spent: 4, Granted: 2}, {Node: "m", Incarnation: "l2", Drawn: 1}}},
+		{Tenant: "b", Rows: []Row{{Node: "n", Incarnation: "l1", Drawn: 7}}},
 		{Tenant: "c"},
 	}}
-	empty := Ledger{Accounts: []Account{{Tenant: "a", Rows: []Row{{Node: "n", Life: "l1"}}}}}
+	empty := Ledger{Accounts: []Account{{Tenant: "a", Rows: []Row{{Node: "n", Incarnation: "l1"}}}}}
 	cases := []struct {
 		name     string
 		in, want Ledger
@@ -90,7 +90,7 @@
 	for i := range 24 {
 		a := Account{Tenant: fmt.Sprint("tenant", i)}
 		for n := range 16 {
-			a.Rows = append(a.Rows, Row{Node: fmt.Sprint("edge-zone-", n), Life: "4e6562df-87ec-4098-b210-0ec94e3290ce", Drawn: 1_234_567, Spent: 987_654, Granted: 54_321})
+			a.Rows = append(a.Rows, Row{Node: fmt.Sprint("edge-zone-", n), Incarnation: "4e6562df-87ec-4098-b210-0ec94e3290ce", Drawn: 1_234_567, Spent: 987_654, Granted: 54_321})
 		}
 		ledger = ledger.WithAccount(a)
 	}
--- a/fleet/relay/account/fleet.go
+++ b/fleet/relay/account/fleet.go
@@ -36,21 +36,21 @@
 
 // Fleet is what a node knows of the other nodes' share in one budget. Rates are tokens a second.
 type Fleet struct {
-	Others  float64 // demand on the other nodes, by the reports received here
-	All     float64 // demand on all nodes, as reported by nodes that receive all reports
-	Clients float64 // share of Others for which this node draws
-	Fast    float64 // same as Clients, over about the last second
-	Left    int64   // upper bound of the whole budget's remainder, by a reader of the ledger; 0 is unknown
+	Others     float64 // demand on the other nodes, by the reports received here
+	All        float64 // demand on all nodes, as reported by nodes that receive all reports
+	Dependents float64 // share of Others for which this node draws
+	Fast       float64 // same as Clients, over about the last second
+	Left       int64   // upper bound of the whole budget's remainder, by a reader of the ledger; 0 is unknown
 }
 
-// Fleets sets what is known of the other nodes, by tenant.
-func (p *Allowance) Fleets(fleets map[string]Fleet, now time.Time) {
+// SetFleets sets what is known of the other nodes, by tenant.
+func (p *Allowance) SetFleets(fleets map[string]Fleet, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for tenant, q := range p.quotas {
 		f := fleets[tenant]
 		own := q.demand.steady(now)
-		q.others, q.dependents, q.dependentsFast = max(f.Others, f.All-own), f.Clients, f.Fast
+		q.others, q.dependents, q.dependentsFast = max(f.Others, f.All-own), f.Dependents, f.Fast
 		if f.Left > 0 && p.revision == 0 {
 			q.left, q.estimate = f.Left, f.Left
 		}
@@ -65,8 +65,8 @@
 // lacks, so that a node with much demand does not send a request for each call.
 const aheadPeriod = 250 * time.Millisecond
 
-// Ahead returns what the calls of the next 250 ms will need of a budget.
-func (p *Allowance) Ahead(tenant string, now time.Time) int64 {
+// UpcomingDemand returns what the calls of the next 250 ms will need of a budget.
+func (p *Allowance) UpcomingDemand(tenant string, now time.Time) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return int64(p.quota(tenant).demand.rate(now) * aheadPeriod.Seconds())
--- a/fleet/relay/account/fleet_test.go
+++ b/fleet/relay/account/fleet_test.go
@@ -25,12 +25,12 @@
 	assert.False(t, worth, "a node that does not draw has no row")
 	assert.Zero(t, ledger.Account(modelTenant).Drawn())
 	ledger, _ = p.Propose(ledger, Round{Nodes: 8, Now: now, Draws: true})
-	p.Saw(ledger, 1)
+	p.Apply(ledger, 1)
 	p.ShortfallProposed()
 	assert.True(t, p.HoldsRow())
 	ledger, worth = p.Propose(ledger, Round{Nodes: 8, Now: now})
 	assert.True(t, worth)
-	p.Saw(ledger, 2)
+	p.Apply(ledger, 2)
 	assert.Zero(t, ledger.Account(modelTenant).Drawn())
 	assert.False(t, p.HoldsRow())
 }
@@ -46,7 +46,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p, now := allowanceWithDemand(int64(c.own))
-			p.Fleets(map[string]Fleet{modelTenant: {All: 1000}}, now)
+			p.SetFleets(map[string]Fleet{modelTenant: {All: 1000}}, now)
 			got := p.tuning.share(p.quotas[modelTenant], 10_000, 4, 1_000_000, now)
 			assert.InDelta(t, c.share*10_000, float64(got), 100)
 		})
@@ -58,8 +58,8 @@
 func TestGrantedTokensReduceOnlyTheEstimate(t *testing.T) {
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	p.Budget(map[string]int64{modelTenant: 10_000})
-	ledger := Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Life: "n/1", Drawn: 9000, Spent: 1000, Granted: 6000}}}}}
-	p.Saw(ledger, 1)
+	ledger := Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Incarnation: "n/1", Drawn: 9000, Spent: 1000, Granted: 6000}}}}}
+	p.Apply(ledger, 1)
 	assert.Equal(t, int64(9000), p.State(modelTenant).Left)
 	assert.Equal(t, int64(3000), p.quotas[modelTenant].estimate)
 	closed := ledger.Account(modelTenant).WithClosed(func(Row) bool { return true })
@@ -69,7 +69,7 @@
 // Guards against holding more because tokens lost with ended incarnations count as remaining:
 // those holdings would be lost with the next ones.
 func TestLostTokensReduceTheEstimate(t *testing.T) {
-	live := Row{Node: "n", Life: "n/1", Drawn: 3000, Spent: 500, Granted: 1500}
+	live := Row{Node: "n", Incarnation: "n/1", Drawn: 3000, Spent: 500, Granted: 1500}
 	cases := []struct {
 		name    string
 		account Account
@@ -87,7 +87,7 @@
 			c.account.Tenant = modelTenant
 			p := NewAllowance("n", "n/1", DefaultTuning())
 			p.Budget(map[string]int64{modelTenant: 10000})
-			p.Saw(Ledger{Accounts: []Account{c.account}}, 1)
+			p.Apply(Ledger{Accounts: []Account{c.account}}, 1)
 			assert.Equal(t, c.want, p.quotas[modelTenant].estimate)
 		})
 	}
@@ -108,7 +108,7 @@
 	for _, c := range cases {
 		p := NewAllowance("n", "n/1", DefaultTuning())
 		p.Budget(map[string]int64{modelTenant: 10000})
-		p.Saw(Ledger{Accounts: []Account{{Tenant: modelTenant, ClosedDrawn: c.closed, ClosedSpent: c.closed / 2}}}, 1)
+		p.Apply(Ledger{Accounts: []Account{{Tenant: modelTenant, ClosedDrawn: c.closed, ClosedSpent: c.closed / 2}}}, 1)
 		assert.Equal(t, c.want, p.tuning.target(p.quotas[modelTenant], 1, 0, time.Unix(1000, 0)), c.name)
 	}
 }
--- a/fleet/relay/account/forms_test.go
+++ b/fleet/relay/account/forms_test.go
@@ -10,7 +10,7 @@
 // ledger while VMs are replaced.
 func TestFormsBetweenBuilds(t *testing.T) {
 	formtest.Check(t, "ledger", &Ledger{}, Ledger{Accounts: []Account{
-		{Tenant: "a", ClosedDrawn: 5, ClosedSpent: 3, ClosedGranted: 1, Rows: []Row{{Node: "n", Life: "l1", Drawn: 9, Spent: 4, Granted: 2}, {Node: "m", Life: "l2", Drawn: 1}}},
-		{Tenant: "b", Rows: []Row{{Node: "n", Life: "l1", Drawn: 7}}},
+		{Tenant: "a", ClosedDrawn: 5, ClosedSpent: 3, ClosedGranted: 1, Rows: []Row{{Node: "n", Incarnation: "l1", Drawn: 9, Spent: 4, Granted: 2}, {Node: "m", Incarnation: "l2", Drawn: 1}}},
+		{Tenant: "b", Rows: []Row{{Node: "n", Incarnation: "l1", Drawn: 7}}},
 	}})
 }
--- a/fleet/relay/account/ledger.go
+++ b/fleet/relay/account/ledger.go
@@ -31,11 +31,11 @@
 // Row is what one incarnation of a node has drawn. Only that incarnation writes it, until it
 // has ended.
 type Row struct {
-	Node    string
-	Life    string
-	Drawn   int64
-	Spent   int64 // as of the last report; at most Drawn
-	Granted int64 // granted to other nodes, less those received from them, as of the last report
+	Node        string
+	Incarnation string
+	Drawn       int64
+	Spent       int64 // as of the last report; at most Drawn
+	Granted     int64 // granted to other nodes, less those received from them, as of the last report
 }
 
 // Account returns a tenant's account, or an empty one if there is none.
@@ -62,13 +62,13 @@
 
 // Row returns the row of an incarnation.
 func (a Account) Row(incarnation string) (Row, bool) {
-	return lo.Find(a.Rows, func(r Row) bool { return r.Life == incarnation })
+	return lo.Find(a.Rows, func(r Row) bool { return r.Incarnation == incarnation })
 }
 
 // WithRow returns the account with one row replaced or added.
 func (a Account) WithRow(r Row) Account {
 	rows := slices.Clone(a.Rows)
-	i := slices.IndexFunc(rows, func(x Row) bool { return x.Life == r.Life })
+	i := slices.IndexFunc(rows, func(x Row) bool { return x.Incarnation == r.Incarnation })
 	if i < 0 {
 		rows = append(rows, r)
 	} else {
--- a/fleet/relay/account/model_test.go
+++ b/fleet/relay/account/model_test.go
@@ -142,7 +142,7 @@
 
 func (w *world) read(n *modelNode) {
 	n.read, n.revision = w.ledger, w.revision
-	n.allowance.Saw(w.ledger, w.revision)
+	n.allowance.Apply(w.ledger, w.revision)
 }
 
 // write makes a conditional write. The write may be lost or delayed, or its answer lost.
@@ -295,9 +295,9 @@
 func (w *world) closedShort(p delayedPut, before, after Account) int64 {
 	taken := int64(0)
 	for _, r := range before.Rows {
-		if _, open := after.Row(r.Life); !open {
-			taken += w.busyOf(r.Life)
-			w.closed[r.Life] = true
+		if _, open := after.Row(r.Incarnation); !open {
+			taken += w.busyOf(r.Incarnation)
+			w.closed[r.Incarnation] = true
 		}
 	}
 	if p.closes != "" && !w.closed[p.closes] {
--- a/fleet/relay/account/outages_test.go
+++ b/fleet/relay/account/outages_test.go
@@ -15,7 +15,7 @@
 func allowanceAtRate(perSecond, prepaid int64, now time.Time) *Allowance {
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	p.Budget(map[string]int64{modelTenant: prepaid})
-	p.Saw(Ledger{}, 1)
+	p.Apply(Ledger{}, 1)
 	for i := range 40 {
 		p.Reserve(modelTenant, perSecond/4, now.Add(time.Duration(i-40)*250*time.Millisecond))
 	}
@@ -98,15 +98,15 @@
 		fleet Fleet
 		want  int64
 	}{
-		{"steady", Fleet{Others: 1000, Clients: 1000, Fast: 1000}, 10_000},
-		{"rising", Fleet{Others: 1000, Clients: 1000, Fast: 1800}, 18_000},
-		{"falling", Fleet{Others: 1000, Clients: 1000, Fast: 100}, 10_000},
+		{"steady", Fleet{Others: 1000, Dependents: 1000, Fast: 1000}, 10_000},
+		{"rising", Fleet{Others: 1000, Dependents: 1000, Fast: 1800}, 18_000},
+		{"falling", Fleet{Others: 1000, Dependents: 1000, Fast: 100}, 10_000},
 	}
 	for _, c := range cases {
 		p := NewAllowance("n", "n/1", DefaultTuning())
 		p.Budget(map[string]int64{modelTenant: 1_000_000})
-		p.Saw(Ledger{}, 1)
-		p.Fleets(map[string]Fleet{modelTenant: c.fleet}, testStart)
+		p.Apply(Ledger{}, 1)
+		p.SetFleets(map[string]Fleet{modelTenant: c.fleet}, testStart)
 		assert.InDelta(t, c.want, drawn(p, testStart), 10, c.name)
 	}
 }
@@ -115,11 +115,11 @@
 func TestLowHoldingIsDetected(t *testing.T) {
 	p := allowanceAtRate(1000, 30_000, testStart)
 	assert.True(t, p.Low(1, testStart))
-	p.Saw(Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Life: "n/1", Drawn: 7500}}}}}, 2)
+	p.Apply(Ledger{Accounts: []Account{{Tenant: modelTenant, Rows: []Row{{Node: "n", Incarnation: "n/1", Drawn: 7500}}}}}, 2)
 	assert.False(t, p.Low(1, testStart))
 	idle := NewAllowance("n", "n/1", DefaultTuning())
 	idle.Budget(map[string]int64{modelTenant: 30_000})
-	idle.Saw(Ledger{}, 1)
+	idle.Apply(Ledger{}, 1)
 	assert.False(t, idle.Low(1, testStart), "no demand")
 }
 
--- a/fleet/relay/account/propose.go
+++ b/fleet/relay/account/propose.go
@@ -7,9 +7,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Saw applies the ledger that the store holds. Only a newer revision shows the outcome of
+// Apply applies the ledger that the store holds. Only a newer revision shows the outcome of
 // proposals: until then the lowest of them bounds what may be spent.
-func (p *Allowance) Saw(l Ledger, revision store.Revision) {
+func (p *Allowance) Apply(l Ledger, revision store.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if revision <= p.revision {
@@ -48,7 +48,7 @@
 		if q.closed && !known || !r.Draws && !known {
 			continue
 		}
-		after := Row{Node: p.node, Life: p.incarnation, Spent: q.spent, Granted: q.granted}
+		after := Row{Node: p.node, Incarnation: p.incarnation, Spent: q.spent, Granted: q.granted}
 		after.Drawn = p.wantedDrawn(q, a, before.Drawn, r)
 		worthIt := p.worthWriting(q, before, after)
 		if after == before && !r.Leaving || !known && after.Drawn == 0 {
@@ -60,7 +60,7 @@
 		a.Rate = q.fleetRate(r.Now)
 		if r.Leaving && q.reserved == 0 {
 			q.closed = true
-			a = a.WithClosed(func(r Row) bool { return r.Life == p.incarnation })
+			a = a.WithClosed(func(r Row) bool { return r.Incarnation == p.incarnation })
 		}
 		l = l.WithAccount(a)
 	}
@@ -95,7 +95,7 @@
 // isEarlierIncarnation reports whether a row belongs to an earlier incarnation on this VM. Those have
 // ended, since a VM runs one process at a time.
 func (p *Allowance) isEarlierIncarnation(r Row) bool {
-	return r.Node == p.node && r.Life != p.incarnation
+	return r.Node == p.node && r.Incarnation != p.incarnation
 }
 
 // wantedDrawn returns the amount drawn that the row should show.
--- a/fleet/relay/account/restore.go
+++ b/fleet/relay/account/restore.go
@@ -104,7 +104,7 @@
 	a.ClosedDrawn, a.ClosedSpent = max(a.ClosedDrawn, other.ClosedDrawn), max(a.ClosedSpent, other.ClosedSpent)
 	a.ClosedGranted = max(a.ClosedGranted, other.ClosedGranted)
 	for _, r := range other.Rows {
-		if own, ok := a.Row(r.Life); ok {
+		if own, ok := a.Row(r.Incarnation); ok {
 			r.Drawn = max(r.Drawn, own.Drawn)
 			if own.Spent > r.Spent {
 				r.Spent, r.Granted = own.Spent, own.Granted
@@ -124,7 +124,7 @@
 		if row.shows(limits[tenant], known) {
 			continue
 		}
-		row.Node, row.Life, row.Drawn = node, incarnation, limits[tenant]
+		row.Node, row.Incarnation, row.Drawn = node, incarnation, limits[tenant]
 		l = l.WithAccount(a.WithRow(row))
 	}
 	return l
--- a/fleet/relay/account/restore_test.go
+++ b/fleet/relay/account/restore_test.go
@@ -22,7 +22,7 @@
 	a := Account{Tenant: modelTenant, ClosedDrawn: closed}
 	for _, incarnation := range []string{"a", "b", "c"} {
 		if tokens, ok := drawn[incarnation]; ok {
-			a = a.WithRow(Row{Node: incarnation, Life: incarnation, Drawn: tokens})
+			a = a.WithRow(Row{Node: incarnation, Incarnation: incarnation, Drawn: tokens})
 		}
 	}
 	return Ledger{Accounts: []Account{a}, Origin: o}
@@ -31,7 +31,7 @@
 // inOrder returns the ledger with its rows sorted by incarnation.
 func inOrder(ledger Ledger) Ledger {
 	for _, a := range ledger.Accounts {
-		slices.SortFunc(a.Rows, func(x, y Row) int { return strings.Compare(x.Life, y.Life) })
+		slices.SortFunc(a.Rows, func(x, y Row) int { return strings.Compare(x.Incarnation, y.Incarnation) })
 	}
 	return ledger
 }
--- a/fleet/relay/account/restoring.go
+++ b/fleet/relay/account/restoring.go
@@ -45,7 +45,7 @@
 	}
 	s.ledger, s.revision, s.fresh = l, at, true
 	s.lastRead.Store(int64(at))
-	s.allowance.Saw(l, at)
+	s.allowance.Apply(l, at)
 }
 
 // firstRead delays draws where the first ledger that this node reads went through a copy, so that
--- a/fleet/relay/account/slots.go
+++ b/fleet/relay/account/slots.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Turn is the slot in which a writer of the ledger writes. All writers write one object, and a
+// Slot is the slot in which a writer of the ledger writes. All writers write one object, and a
 // write that another one overtakes is refused but still costs a call. After each write the other
 // writers follow in order, each relative to when it was notified, so no shared clock is needed.
-type Turn struct {
-	Word   time.Time     // when this writer made the last write or was notified of it; zero: never
-	After  int           // position of this writer behind the one that wrote; 0 is the next
-	Of     int           // number of writers; 1 or less: no other writers
-	Length time.Duration // covers a write, the notification of the others, and their fetch of the result
+type Slot struct {
+	LastWrite time.Time     // when this writer made the last write or was notified of it; zero: never
+	After     int           // position of this writer behind the one that wrote; 0 is the next
+	Of        int           // number of writers; 1 or less: no other writers
+	Length    time.Duration // covers a write, the notification of the others, and their fetch of the result
 }
 
 // cycle returns the time in which each writer has one slot.
-func (t Turn) cycle() time.Duration {
+func (t Slot) cycle() time.Duration {
 	if t.Of <= 1 {
 		return 0
 	}
@@ -25,13 +25,13 @@
 
 // wait returns the time until this writer's slot: 0 during the slot, or if no write is known.
 // Slots rotate while nobody writes.
-func (t Turn) wait(now time.Time) time.Duration {
+func (t Slot) wait(now time.Time) time.Duration {
 	cycle := t.cycle()
-	if cycle <= 0 || t.Word.IsZero() {
+	if cycle <= 0 || t.LastWrite.IsZero() {
 		return 0
 	}
 	begins := time.Duration(t.After) * t.Length
-	into := (now.Sub(t.Word)%cycle - begins + cycle) % cycle
+	into := (now.Sub(t.LastWrite)%cycle - begins + cycle) % cycle
 	if into < time.Duration(slotShare*float64(t.Length)) {
 		return 0
 	}
--- a/fleet/relay/account/slots_test.go
+++ b/fleet/relay/account/slots_test.go
@@ -20,7 +20,7 @@
 				now := testStart.Add(at)
 				begun := 0
 				for i := range c.of {
-					slot := Turn{Word: testStart, After: i, Of: c.of, Length: length}
+					slot := Slot{LastWrite: testStart, After: i, Of: c.of, Length: length}
 					wait := slot.wait(now)
 					assert.LessOrEqual(t, wait, time.Duration(c.of)*length)
 					if wait == 0 {
@@ -32,6 +32,6 @@
 			}
 		})
 	}
-	assert.Zero(t, Turn{}.wait(testStart))
-	assert.Zero(t, Turn{After: 5, Of: 12, Length: length}.wait(testStart), "no write yet")
+	assert.Zero(t, Slot{}.wait(testStart))
+	assert.Zero(t, Slot{After: 5, Of: 12, Length: length}.wait(testStart), "no write yet")
 }
--- a/fleet/relay/account/syncer.go
+++ b/fleet/relay/account/syncer.go
@@ -65,7 +65,7 @@
 	nodes       func() int
 	writes      func() bool // whether this node draws from the ledger or acquires from nodes that do
 	writers     Writers
-	slot        func() Turn
+	slot        func() Slot
 	written     <-chan struct{} // signals that another writer wrote, which resets the slots
 	retryWithin atomic.Int64    // ns from its start within which a round may retry after a conflict
 	health      *store.Health
@@ -97,7 +97,7 @@
 func NewSyncer(backend store.Store, p *Allowance, nodes func() int, writes func() bool, health *store.Health, l log.Interface) *Syncer {
 	stop, cancel := context.WithCancel(context.Background())
 	s := &Syncer{
-		store: backend, allowance: p, nodes: nodes, writes: writes, writers: noWriters{}, slot: func() Turn { return Turn{} }, health: health, log: l, faults: store.NewFaults(l, nil),
+		store: backend, allowance: p, nodes: nodes, writes: writes, writers: noWriters{}, slot: func() Slot { return Slot{} }, health: health, log: l, faults: store.NewFaults(l, nil),
 		draws: make(chan chan struct{}, maxWaiting), stop: stop, cancel: cancel, answered: clock.Now(), dropped: store.Dropped{Log: l}, era: func() int64 { return 0 },
 	}
 	s.retryWithin.Store(int64(noLimit))
@@ -123,9 +123,9 @@
 	return s
 }
 
-// WithTurns restricts writes to this node's slots, unless a request waits. The channel written
+// WithSlots restricts writes to this node's slots, unless a request waits. The channel written
 // signals that the slots have changed.
-func (s *Syncer) WithTurns(slot func() Turn, written <-chan struct{}) *Syncer {
+func (s *Syncer) WithSlots(slot func() Slot, written <-chan struct{}) *Syncer {
 	s.slot, s.written = slot, written
 	return s
 }
@@ -189,7 +189,7 @@
 // draws them, the store answers and the pool is not empty. It returns when the write is done, or
 // after a short timeout.
 func (s *Syncer) Draw(ctx context.Context, tenant string) {
-	if s.Out() || s.allowance.State(tenant).Pool <= 0 || !s.writes() {
+	if s.Unavailable() || s.allowance.State(tenant).Pool <= 0 || !s.writes() {
 		return
 	}
 	done := make(chan struct{})
@@ -244,7 +244,7 @@
 	s.rounds.Lock()
 	defer s.rounds.Unlock()
 	// A node that gets no answer goes on, to notice the end of the outage.
-	if s.leaving || !s.writes() && !s.allowance.HoldsRow() && !s.Out() {
+	if s.leaving || !s.writes() && !s.allowance.HoldsRow() && !s.Unavailable() {
 		s.answered = now // a node without requests can't observe an outage
 		return 0
 	}
@@ -265,8 +265,8 @@
 	return min(max(2*backoff, urgentInterval), maxBackoff)
 }
 
-// Out reports whether the store did not answer the last time.
-func (s *Syncer) Out() bool { return s.unavailable.Load() }
+// Unavailable reports whether the store did not answer the last time.
+func (s *Syncer) Unavailable() bool { return s.unavailable.Load() }
 
 // setUnavailable records whether the store is unavailable, and logs changes.
 func (s *Syncer) setUnavailable(unavailable bool, err error) {
--- a/fleet/relay/account/syncer_test.go
+++ b/fleet/relay/account/syncer_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	var ledger Ledger
 	require.NoError(t, json.Unmarshal(s.object.Data, &ledger))
-	data, err := json.Marshal(ledger.WithAccount(ledger.Account(modelTenant).WithRow(Row{Node: "other", Life: "other/1", Drawn: drawn})))
+	data, err := json.Marshal(ledger.WithAccount(ledger.Account(modelTenant).WithRow(Row{Node: "other", Incarnation: "other/1", Drawn: drawn})))
 	require.NoError(t, err)
 	s.object = store.Object{Kind: Kind, Name: ledgerName, Revision: s.object.Revision + 1, Data: data}
 }
@@ -106,7 +106,7 @@
 	s.before = func() { s.changedByAnother(t, 300) }
 	p.Reserve(modelTenant, 500, testStart)
 	assert.Zero(t, syncer.round(t.Context(), testStart, 0), "no backoff")
-	assert.False(t, syncer.Out())
+	assert.False(t, syncer.Unavailable())
 	assert.True(t, p.HasShortfall(), "the shortfall is still to be drawn")
 	s.before = nil
 	syncer.round(t.Context(), testStart, 0)
@@ -254,7 +254,7 @@
 				assert.Equal(t, unreadablePause, syncer.round(t.Context(), testStart, 0))
 			}
 			assert.Equal(t, bad, s.object, "it is not overwritten")
-			assert.False(t, syncer.Out(), "the store answers")
+			assert.False(t, syncer.Unavailable(), "the store answers")
 			assert.LessOrEqual(t, p.State(modelTenant).Free, held)
 			good.Revision += 2
 			s.hidden = false
--- a/fleet/relay/account/writers_test.go
+++ b/fleet/relay/account/writers_test.go
@@ -185,10 +185,10 @@
 	return w.all.Newer(ctx, revision)
 }
 
-func (w *remoteWriter) slot(length time.Duration, of int) Turn {
+func (w *remoteWriter) slot(length time.Duration, of int) Slot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Turn{Word: w.at, After: (w.own - w.writer - 1 + of) % of, Of: of, Length: length}
+	return Slot{LastWrite: w.at, After: (w.own - w.writer - 1 + of) % of, Of: of, Length: length}
 }
 
 // Guards against conflicts of twelve writers that are short of tokens, also 12 ms from the store and
@@ -231,7 +231,7 @@
 					p.Budget(map[string]int64{modelTenant: 1 << 40})
 					syncer := NewSyncer(s, p, func() int { return writers }, func() bool { return true }, store.NewHealth(), quiet()).WithWriters(remotes[i])
 					if c.slot > 0 {
-						syncer.WithTurns(func() Turn { return remotes[i].slot(c.slot, writers) }, remotes[i].updates)
+						syncer.WithSlots(func() Slot { return remotes[i].slot(c.slot, writers) }, remotes[i].updates)
 					}
 					go syncer.Run(ctx)
 					go func() {
--- a/fleet/relay/forward/handler.go
+++ b/fleet/relay/forward/handler.go
@@ -66,12 +66,12 @@
 	note              string // what decided the outcome, for the log
 	notResumed        string // why a broken stream was not resumed, for the log
 	placed            *choice.Placement
-	reported          reported         // what was reported of the last attempt
-	limit             call.Limit       // in the last answer
-	notices           []call.Notice    // in the last answer
-	cachedFingerprint quarantine.Print // of the request; zero until computed
-	probeRound        int              // quarantine round that this call probes; 0 if it is no probe
-	pace              pace             // of the last stream
+	reported          reported               // what was reported of the last attempt
+	limit             call.Limit             // in the last answer
+	notices           []call.Notice          // in the last answer
+	cachedFingerprint quarantine.Fingerprint // of the request; zero until computed
+	probeRound        int                    // quarantine round that this call probes; 0 if it is no probe
+	pace              pace                   // of the last stream
 }
 
 // maxDeadline bounds every call, including those without a deadline on routes without a timeout.
@@ -90,7 +90,7 @@
 	}
 	defer j.releaseMemory()
 	refused, ok := j.admit()
-	if j.Intake.Send(j.tenant.Name) {
+	if j.Intake.ShouldClose(j.tenant.Name) {
 		w.Header().Set("Connection", "close")
 	}
 	if !ok {
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -92,7 +92,7 @@
 // intake closes the connections of one customer.
 type intake struct{ reconnects string }
 
-func (i *intake) Send(customer string) bool { return customer != "" && customer == i.reconnects }
+func (i *intake) ShouldClose(customer string) bool { return customer != "" && customer == i.reconnects }
 
 // run is one call as an endpoint received it.
 type run struct {
@@ -169,7 +169,7 @@
 	t.Helper()
 	f := &fleet{policy: testPolicy(), network: network, allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
 	f.allowance.Budget(map[string]int64{"t": 1000})
-	f.allowance.Saw(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Life: "n/1", Drawn: held}}}}}, 1)
+	f.allowance.Apply(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Incarnation: "n/1", Drawn: held}}}}}, 1)
 	for i, s := range scripts {
 		f.engines = append(f.engines, f.startEngine(t, "e"+strconv.Itoa(i), s))
 	}
--- a/fleet/relay/forward/options.go
+++ b/fleet/relay/forward/options.go
@@ -39,7 +39,7 @@
 	Picker      *choice.Picker
 	Retries     *retry.Budget
 	Returns     *limit.RetrySchedule // schedules the return of callers refused by limits
-	Quarantine  *quarantine.Book     // nil: no request is quarantined
+	Quarantine  *quarantine.Tracker  // nil: no request is quarantined
 	Gate        Gate
 	Intake      Intake
 	Memory      *memory.Budget  // for calls in progress
@@ -68,7 +68,7 @@
 // Intake decides whether the connection of a customer's call is closed after the answer, so
 // that the customer's next connection reaches another node.
 type Intake interface {
-	Send(customer string) bool
+	ShouldClose(customer string) bool
 }
 
 // Metrics records calls and their durations.
--- a/fleet/relay/forward/quarantine.go
+++ b/fleet/relay/forward/quarantine.go
@@ -18,9 +18,9 @@
 
 // fingerprint identifies the call's request under any call id. It is computed once and on demand,
 // since it reads the whole body.
-func (j *job) fingerprint() quarantine.Print {
-	if j.cachedFingerprint == (quarantine.Print{}) {
-		j.cachedFingerprint = quarantine.PrintOf(j.tenant.Name, j.r.Method, j.r.Host, j.r.RequestURI, j.body)
+func (j *job) fingerprint() quarantine.Fingerprint {
+	if j.cachedFingerprint == (quarantine.Fingerprint{}) {
+		j.cachedFingerprint = quarantine.FingerprintOf(j.tenant.Name, j.r.Method, j.r.Host, j.r.RequestURI, j.body)
 	}
 	return j.cachedFingerprint
 }
@@ -45,7 +45,7 @@
 }
 
 func (j *job) inQuarantine() bool {
-	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.Holds(j.fingerprint(), clock.Now())
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.IsQuarantined(j.fingerprint(), clock.Now())
 }
 
 // isProbe reports whether this call probes whether endpoints survive a quarantined request.
@@ -64,13 +64,13 @@
 // returnProbe lets another call be the probe if this one reached no endpoint.
 func (j *job) returnProbe() {
 	if j.probeRound > 0 && j.attempts == 0 {
-		j.Quarantine.Unsent(j.fingerprint(), j.probeRound)
+		j.Quarantine.ReturnProbe(j.fingerprint(), j.probeRound)
 	}
 }
 
 // nearQuarantine reports whether the end of one more endpoint would quarantine the request.
 func (j *job) nearQuarantine() bool {
-	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.Wary(j.fingerprint(), clock.Now())
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.ForbidsRetry(j.fingerprint(), clock.Now())
 }
 
 // recordInterrupted records a call that its endpoint interrupted, possibly by ending.
@@ -79,7 +79,7 @@
 		return
 	}
 	s := quarantine.Suspect{Print: j.fingerprint(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
-	j.Quarantine.Cut(t.Engine, s, clock.Now())
+	j.Quarantine.Interrupted(t.Engine, s, clock.Now())
 }
 
 // isInterrupted reports whether a failed attempt may have ended with its endpoint: there was no
--- a/fleet/relay/forward/quarantine_test.go
+++ b/fleet/relay/forward/quarantine_test.go
@@ -15,7 +15,7 @@
 
 // endsAll regards each endpoint that interrupted a call as ended.
 type endsAll struct {
-	tracker *quarantine.Book
+	tracker *quarantine.Tracker
 	asked   atomic.Int32
 	under   chan quarantine.Suspect
 }
@@ -25,7 +25,7 @@
 	go a.tracker.Ended(e.Incarnation(), time.Now())
 }
 
-func (a *endsAll) EndSeen(_ engine.Incarnation, under []quarantine.Suspect) {
+func (a *endsAll) EndObserved(_ engine.Incarnation, under []quarantine.Suspect) {
 	for _, s := range under {
 		a.under <- s
 	}
@@ -35,11 +35,11 @@
 
 // withQuarantine gives the handler a quarantine that holds a request after the given number of
 // endpoint ends, however close together.
-func (f *fleet) withQuarantine(count int) (*quarantine.Book, *endsAll) {
+func (f *fleet) withQuarantine(count int) (*quarantine.Tracker, *endsAll) {
 	rule := quarantine.DefaultRule()
 	rule.Ends, rule.Apart = count, 0
 	recorder := &endsAll{under: make(chan quarantine.Suspect, 100)}
-	recorder.tracker = quarantine.NewBook(rule, recorder, func() quarantine.Role { return quarantine.Peer })
+	recorder.tracker = quarantine.NewTracker(rule, recorder, func() quarantine.Role { return quarantine.Peer })
 	recorder.tracker.Engines(f.engines, time.Now())
 	f.handler.Quarantine = recorder.tracker
 	return recorder.tracker, recorder
@@ -107,8 +107,8 @@
 	tracker, _ := f.withQuarantine(3)
 	f.do(t, f.request(t, "GET", "/repeat/", ""))
 	assert.Len(t, f.received(), 2, "there was no suspicion yet")
-	fingerprint := quarantine.PrintOf("t", "GET", "h", "/repeat/", nil)
-	require.Eventually(t, func() bool { return tracker.Wary(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+	fingerprint := quarantine.FingerprintOf("t", "GET", "h", "/repeat/", nil)
+	require.Eventually(t, func() bool { return tracker.ForbidsRetry(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 	f.do(t, f.request(t, "GET", "/repeat/", "", "Call", "c2"))
 	assert.Len(t, f.received(), 3)
 }
@@ -117,13 +117,13 @@
 func TestAnswerClearsASuspectRequest(t *testing.T) {
 	f := newFleet(t, 1000, reset)
 	tracker, _ := f.withQuarantine(2)
-	fingerprint := quarantine.PrintOf("t", "GET", "h", "/single/", nil)
+	fingerprint := quarantine.FingerprintOf("t", "GET", "h", "/single/", nil)
 	f.do(t, f.request(t, "GET", "/single/", ""))
-	require.Eventually(t, func() bool { return tracker.Wary(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return tracker.ForbidsRetry(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 	f.engines = []engine.Engine{f.startEngine(t, "healthy", good("x"))}
 	f.directory.Store(engine.NewDirectory(2, f.engines))
 	require.Equal(t, http.StatusOK, f.do(t, f.request(t, "GET", "/single/", "", "Call", "c2")).status)
-	assert.False(t, tracker.Wary(fingerprint, time.Now()))
+	assert.False(t, tracker.ForbidsRetry(fingerprint, time.Now()))
 }
 
 // A probe must reach only one endpoint, whatever that answers.
@@ -144,20 +144,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, reset, reset)
 			tracker, _ := f.withQuarantine(2)
-			fingerprint := quarantine.PrintOf("t", "GET", "h", c.path, nil)
+			fingerprint := quarantine.FingerprintOf("t", "GET", "h", c.path, nil)
 			for _, id := range []string{"c1", "c2"} {
 				f.do(t, f.request(t, "GET", c.path, "", "Call", id))
 			}
-			require.Eventually(t, func() bool { return tracker.Holds(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return tracker.IsQuarantined(fingerprint, time.Now()) }, time.Second, time.Millisecond)
 			f.engines = []engine.Engine{f.startEngine(t, "probed", c.script), f.startEngine(t, "another", c.script)}
 			f.directory.Store(engine.NewDirectory(2, f.engines))
-			h, _ := tracker.Of(fingerprint)
+			h, _ := tracker.Lookup(fingerprint)
 			tracker.Arm(h)
 			ran := len(f.received())
 			f.do(t, f.request(t, "GET", c.path, "", "Call", "c3"))
 			assert.Len(t, f.received(), ran+1)
 			assert.False(t, tracker.Armed(fingerprint, time.Now()))
-			assert.Equal(t, c.heldAfter, tracker.Holds(fingerprint, time.Now()))
+			assert.Equal(t, c.heldAfter, tracker.IsQuarantined(fingerprint, time.Now()))
 		})
 	}
 }
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -91,7 +91,7 @@
 	f.policy.Services[0].KVCapacity = 1000
 	const tokens = 1 << 20
 	f.allowance.Budget(map[string]int64{"t": tokens})
-	f.allowance.Saw(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Life: "n/1", Drawn: tokens}}}}}, 1)
+	f.allowance.Apply(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Incarnation: "n/1", Drawn: tokens}}}}}, 1)
 	e := f.startEngine(t, "old", old)
 	e.Version = "v1"
 	engines := []engine.Engine{e}
--- a/fleet/relay/intake_test.go
+++ b/fleet/relay/intake_test.go
@@ -38,7 +38,7 @@
 	n.engineTable.apply(store.Snapshot{Objects: named("a1"), Revision: 1})
 	assert.True(t, n.Ready())
 	for range 10 {
-		n.intake.Read(overload.Load{Used: 1, OfCalls: 1, Others: true})
+		n.intake.Read(overload.Load{Used: 1, CallShare: 1, Others: true})
 	}
 	assert.False(t, n.Ready())
 	for range 2 * overload.DefaultIntakeRule().Stay {
--- a/fleet/relay/operators.go
+++ b/fleet/relay/operators.go
@@ -25,9 +25,9 @@
 }
 
 func (n *Node) listQuarantine(w http.ResponseWriter, _ *http.Request) {
-	held := []quarantine.HeldWord{}
+	held := []quarantine.QuarantineReport{}
 	if tracker, now := n.quarantineTracker(), clock.Now(); tracker != nil {
-		held = lo.Map(tracker.List(now), func(h quarantine.Held, _ int) quarantine.HeldWord { return quarantine.WordOf(h, now) })
+		held = lo.Map(tracker.List(now), func(h quarantine.Held, _ int) quarantine.QuarantineReport { return quarantine.ReportOf(h, now) })
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(held); err != nil {
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) releaseQuarantined(w http.ResponseWriter, r *http.Request) {
-	var print quarantine.Print
+	var print quarantine.Fingerprint
 	if err := print.UnmarshalText([]byte(r.PathValue("print"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/fleet/relay/overload/intake.go
+++ b/fleet/relay/overload/intake.go
@@ -57,11 +57,11 @@
 	return i.share
 }
 
-// Send reports whether a connection with a call of a customer is to be closed with its answer, so
+// ShouldClose reports whether a connection with a call of a customer is to be closed with its answer, so
 // that the next call arrives at another node. This applies to the heaviest customer only, and only
 // after the balancer must have noticed that the intake is closed: before, it would send the next
 // connection here again.
-func (i *Intake) Send(customer string) bool {
+func (i *Intake) ShouldClose(customer string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.closed || i.unchanged < i.rule.Stay || customer == "" || customer != i.customer || i.closable == 0 {
@@ -73,10 +73,10 @@
 
 // Load is the input of one reading.
 type Load struct {
-	Used     float64 // share of the link in use since the last reading
-	Customer string  // customer with the most calls; empty if there were too few
-	OfCalls  float64 // its share of the calls
-	Others   bool    // other nodes of the zone can take its callers
+	Used      float64 // share of the link in use since the last reading
+	Customer  string  // customer with the most calls; empty if there were too few
+	CallShare float64 // its share of the calls
+	Others    bool    // other nodes of the zone can take its callers
 }
 
 // Read processes a reading and reports whether the intake opened or closed.
@@ -100,7 +100,7 @@
 	case wasClosed:
 		closed = i.share > i.rule.OpenBelow
 	default:
-		closed = i.share > i.rule.CloseAbove && l.OfCalls >= i.rule.HeavyShare
+		closed = i.share > i.rule.CloseAbove && l.CallShare >= i.rule.HeavyShare
 	}
 	if closed == wasClosed {
 		return false
--- a/fleet/relay/overload/intake_test.go
+++ b/fleet/relay/overload/intake_test.go
@@ -36,7 +36,7 @@
 			i := NewIntake(DefaultIntakeRule())
 			for _, r := range c.readings {
 				for range r.times {
-					i.Read(Load{Used: r.used, OfCalls: r.heaviest, Others: r.others})
+					i.Read(Load{Used: r.used, CallShare: r.heaviest, Others: r.others})
 				}
 			}
 			assert.Equal(t, c.open, i.Open())
@@ -51,7 +51,7 @@
 	closed, times := 0, 0
 	for at := range 2000 {
 		used := lo.Ternary(at%23 < 8, 1.0, 0.0)
-		switch changed := i.Read(Load{Used: used, OfCalls: 1, Others: true}); {
+		switch changed := i.Read(Load{Used: used, CallShare: 1, Others: true}); {
 		case changed && i.Open():
 			assert.GreaterOrEqual(t, at-closed, rule.Stay)
 			times++
@@ -66,10 +66,10 @@
 // connection would still reach this node.
 func TestOnlyConnectionsOfTheHeaviestCustomerAreClosed(t *testing.T) {
 	rule := DefaultIntakeRule()
-	full := Load{Used: 1, Customer: "a", OfCalls: 0.9, Others: true}
+	full := Load{Used: 1, Customer: "a", CallShare: 0.9, Others: true}
 	i := NewIntake(rule)
 	closed := func(customer string) int {
-		return lo.CountBy(lo.Range(100), func(int) bool { return i.Send(customer) })
+		return lo.CountBy(lo.Range(100), func(int) bool { return i.ShouldClose(customer) })
 	}
 	assert.Zero(t, closed("a"), "calm")
 	for i.Open() {
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -59,7 +59,7 @@
 		free := allowance.State(tenant).Free
 		assert.GreaterOrEqual(t, free, int64(0))
 		assert.LessOrEqual(t, free, int64(100))
-		allowance.Fleets(gossip.transfers.fleets(nil, 1, time.Now()), time.Now())
+		allowance.SetFleets(gossip.transfers.fleets(nil, 1, time.Now()), time.Now())
 		allowance.Deficits(3, refillBelow, time.Now())
 	})
 }
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -31,7 +31,7 @@
 	Grants        []grant                         `json:"grants,omitempty"`
 	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // open orders
 	Suspicions    []doubt.Report                  `json:"doubts,omitempty"`     // endpoints at which calls failed recently
-	Quarantine    *quarantine.Words               `json:"quarantine,omitempty"` // requests under which endpoints end
+	Quarantine    *quarantine.Report              `json:"quarantine,omitempty"` // requests under which endpoints end
 	Limits        []limit.Report                  `json:"limits,omitempty"`     // limits that endpoints name
 	Notices       []notice.Report                 `json:"notices,omitempty"`    // signals of endpoints in their answers
 	Ledger        int64                           `json:"ledger,omitempty"`     // revision number of a ledger that the node wrote
--- a/fleet/relay/peer/quarantine.go
+++ b/fleet/relay/peer/quarantine.go
@@ -20,9 +20,9 @@
 // Quarantine tracks requests under which endpoints end.
 type Quarantine interface {
 	Urgent() <-chan struct{}
-	News(now time.Time) (judges, all quarantine.Words)
-	Digest(now time.Time) quarantine.Words
-	Heard(from string, w quarantine.Words, now time.Time)
+	Updates(now time.Time) (judges, all quarantine.Report)
+	Digest(now time.Time) quarantine.Report
+	Receive(from string, w quarantine.Report, now time.Time)
 }
 
 // WithQuarantine exchanges reports on quarantined requests. It must be called before Run.
@@ -44,7 +44,7 @@
 	if g.quarantine == nil {
 		return
 	}
-	judges, all := g.quarantine.News(clock.Now())
+	judges, all := g.quarantine.Updates(clock.Now())
 	if judges.None() && all.None() {
 		return // the usual case at a beat
 	}
@@ -60,7 +60,7 @@
 }
 
 // quarantineDigest returns what the digest says about quarantined requests; nil if nothing.
-func (g *Gossip) quarantineDigest(now time.Time) *quarantine.Words {
+func (g *Gossip) quarantineDigest(now time.Time) *quarantine.Report {
 	if g.quarantine == nil {
 		return nil
 	}
@@ -73,7 +73,7 @@
 // receiveQuarantine processes a peer's reports on requests.
 func (g *Gossip) receiveQuarantine(m message) {
 	if g.quarantine != nil && m.Quarantine != nil {
-		g.quarantine.Heard(m.Node, *m.Quarantine, clock.Now())
+		g.quarantine.Receive(m.Node, *m.Quarantine, clock.Now())
 	}
 }
 
--- a/fleet/relay/peer/quarantine_test.go
+++ b/fleet/relay/peer/quarantine_test.go
@@ -19,14 +19,14 @@
 
 // recorder is a node's tracker of requests and its own observer.
 type recorder struct {
-	*quarantine.Book
+	*quarantine.Tracker
 	judged int
 }
 
-func (r *recorder) Verify(engine.Engine)                              {}
-func (r *recorder) EndSeen(engine.Incarnation, []quarantine.Suspect)  {}
-func (r *recorder) Judged(quarantine.Held)                            { r.judged++ }
-func (r *recorder) Heard(_ string, w quarantine.Words, now time.Time) { r.Book.Heard(w, now) }
+func (r *recorder) Verify(engine.Engine)                                 {}
+func (r *recorder) EndObserved(engine.Incarnation, []quarantine.Suspect) {}
+func (r *recorder) Judged(quarantine.Held)                               { r.judged++ }
+func (r *recorder) Receive(_ string, w quarantine.Report, now time.Time) { r.Tracker.Receive(w, now) }
 
 // quarantinePort is a node's socket that counts reports on requests, and delivers them.
 type quarantinePort struct {
@@ -68,7 +68,7 @@
 		g, _ := trafficGossipOf(all, nil, m)
 		g.socket = quarantinePort{at: at, address: m.Address, traffic: total}
 		r := &recorder{}
-		r.Book = quarantine.NewBook(quarantine.DefaultRule(), r, func() quarantine.Role {
+		r.Tracker = quarantine.NewTracker(quarantine.DefaultRule(), r, func() quarantine.Role {
 			switch {
 			case !g.Writes():
 				return quarantine.Witness
@@ -99,7 +99,7 @@
 	cases := []struct{ size, ends, all int }{ // maximum datagrams: until the third end, and in total
 		{10, 400, 500}, {60, 400, 600}, {300, 900, 1_700}, {1000, 2_500, 5_000},
 	}
-	harmful := quarantine.PrintOf("customer", "POST", "host", "/", []byte("deadly"))
+	harmful := quarantine.FingerprintOf("customer", "POST", "host", "/", []byte("deadly"))
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,14 +125,14 @@
 							if w+call == 0 {
 								body = "deadly"
 							}
-							tracker.Cut(e, quarantine.Suspect{Print: quarantine.PrintOf("customer", "POST", "host", "/", []byte(body)), Customer: "customer", Route: "route"}, clock.Now())
+							tracker.Interrupted(e, quarantine.Suspect{Print: quarantine.FingerprintOf("customer", "POST", "host", "/", []byte(body)), Customer: "customer", Route: "route"}, clock.Now())
 						}
 						tracker.Ended(e.Incarnation(), clock.Now())
 					}
 					exchange(3)
 				}
 				for i, b := range trackers {
-					assert.True(t, b.Holds(harmful, clock.Now()), "node %d", i)
+					assert.True(t, b.IsQuarantined(harmful, clock.Now()), "node %d", i)
 					assert.Len(t, b.List(clock.Now()), 1)
 				}
 				exchange(3)
--- a/fleet/relay/peer/roles.go
+++ b/fleet/relay/peer/roles.go
@@ -40,12 +40,12 @@
 	g.sources.Store(g.sourcesOf(writers, watchers, near, all))
 	g.elsewhere.Store(g.reachedElsewhere(writers, all))
 	if !writers[self.Name] {
-		g.transfers.allowance.Fleets(g.transfers.fleets(nil, 1, now), now)
+		g.transfers.allowance.SetFleets(g.transfers.fleets(nil, 1, now), now)
 		g.requestAhead(lo.Ternary(len(near) > 0, near, all))
 		return g.transfers.allowance.BudgetReports(now)
 	}
 	fleets := g.transfers.fleets(dependents, len(near)+1, now)
-	g.transfers.allowance.Fleets(fleets, now)
+	g.transfers.allowance.SetFleets(fleets, now)
 	reports := g.transfers.allowance.BudgetReports(now)
 	if len(dependents) > 0 {
 		g.reportForDependents(reports, fleets)
@@ -59,7 +59,7 @@
 	for tenant, fleet := range fleets {
 		r := reports[tenant]
 		r.All = math.Round(fleet.Others + r.Rate)
-		r.Rate = math.Round(r.Rate + fleet.Clients)
+		r.Rate = math.Round(r.Rate + fleet.Dependents)
 		r.Left = g.transfers.allowance.State(tenant).Left
 		reports[tenant] = r
 	}
--- a/fleet/relay/peer/transfer.go
+++ b/fleet/relay/peer/transfer.go
@@ -22,10 +22,10 @@
 	Grant(tenant string, need, want int64) int64
 	Receive(tenant string, tokens int64)
 	BudgetReports(now time.Time) map[string]account.BudgetReport
-	Fleets(fleets map[string]account.Fleet, now time.Time)
+	SetFleets(fleets map[string]account.Fleet, now time.Time)
 	Deficits(nodes int, fraction float64, now time.Time) map[string]int64
 	State(tenant string) account.Holding
-	Ahead(tenant string, now time.Time) int64
+	UpcomingDemand(tenant string, now time.Time) int64
 	Expected(now time.Time) *account.Outage
 	Expect(o account.Outage, now time.Time)
 }
@@ -143,7 +143,7 @@
 			case dependents == nil && b.All > 0: // a writer's report, which includes this node's own demand
 				f.All = max(f.All, b.All)
 			case dependents[peer]:
-				f.Clients += b.Rate / float64(max(writers, 1))
+				f.Dependents += b.Rate / float64(max(writers, 1))
 				f.Fast += max(b.Rate, b.Fast) / float64(max(writers, 1))
 			default:
 				f.Others += b.Rate
@@ -152,7 +152,7 @@
 		}
 	}
 	for tenant, f := range fleets {
-		f.Others += f.Clients
+		f.Others += f.Dependents
 		fleets[tenant] = f
 	}
 	return fleets
@@ -339,7 +339,7 @@
 		if need == 0 {
 			return true
 		}
-		want := need + g.transfers.allowance.Ahead(tenant, clock.Now())
+		want := need + g.transfers.allowance.UpcomingDemand(tenant, clock.Now())
 		if g.Writes() {
 			want = max(want, need+wantFactor*tokens)
 		}
--- a/fleet/relay/peer/transfer_test.go
+++ b/fleet/relay/peer/transfer_test.go
@@ -17,7 +17,7 @@
 func allowanceWith(node string, held int64) *account.Allowance {
 	p := account.NewAllowance(node, node+"/1", account.DefaultTuning())
 	p.Budget(map[string]int64{tenant: 1000})
-	p.Saw(account.Ledger{Accounts: []account.Account{{Tenant: tenant, Rows: []account.Row{{Node: node, Life: node + "/1", Drawn: held}}}}}, 1)
+	p.Apply(account.Ledger{Accounts: []account.Account{{Tenant: tenant, Rows: []account.Row{{Node: node, Incarnation: node + "/1", Drawn: held}}}}}, 1)
 	return p
 }
 
--- a/fleet/relay/peer/writers.go
+++ b/fleet/relay/peer/writers.go
@@ -83,17 +83,17 @@
 // Heard returns a channel that receives a value when a writer's slot has ended with a write.
 func (g *Gossip) Heard() <-chan struct{} { return g.ledgers.wrote }
 
-// Turn returns this node's slot for writing the ledger.
-func (g *Gossip) Turn() account.Turn {
+// Slot returns this node's slot for writing the ledger.
+func (g *Gossip) Slot() account.Slot {
 	order, last := g.slots.Load(), g.ledgers.lastWritten()
 	if order == nil || !g.Writes() {
-		return account.Turn{}
+		return account.Slot{}
 	}
 	own, writes := slices.BinarySearch(order.names, g.registry.self.Name)
 	before, known := slices.BinarySearch(order.names, last.writer)
 	if !writes || !known {
-		return account.Turn{}
+		return account.Slot{}
 	}
 	n := len(order.names)
-	return account.Turn{Word: last.at, After: (own - before - 1 + n) % n, Of: n, Length: order.length}
+	return account.Slot{LastWrite: last.at, After: (own - before - 1 + n) % n, Of: n, Length: order.length}
 }
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -44,7 +44,7 @@
 // log.
 type quarantineManager struct {
 	*Node
-	*quarantine.Book
+	*quarantine.Tracker
 	slot func(key string) int // the slot of this node among the judging nodes, for work that one of them does
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	q := &quarantineManager{Node: n, slot: g.TurnFor}
-	q.Book = quarantine.NewBook(quarantine.DefaultRule(), q, func() quarantine.Role {
+	q.Tracker = quarantine.NewTracker(quarantine.DefaultRule(), q, func() quarantine.Role {
 		switch {
 		case !g.Writes():
 			return quarantine.Witness
@@ -68,11 +68,11 @@
 }
 
 // quarantineTracker returns the tracker that calls consult; nil: no request is quarantined.
-func (n *Node) quarantineTracker() *quarantine.Book {
+func (n *Node) quarantineTracker() *quarantine.Tracker {
 	if n.quarantine == nil {
 		return nil
 	}
-	return n.quarantine.Book
+	return n.quarantine.Tracker
 }
 
 // Verify implements quarantine.Observer: an endpoint that refuses connections has ended. One that
@@ -93,8 +93,8 @@
 	}()
 }
 
-// EndSeen implements quarantine.Observer.
-func (q *quarantineManager) EndSeen(incarnation engine.Incarnation, under []quarantine.Suspect) {
+// EndObserved implements quarantine.Observer.
+func (q *quarantineManager) EndObserved(incarnation engine.Incarnation, under []quarantine.Suspect) {
 	some := under[:min(len(under), maxLoggedFingerprints)]
 	q.log.WithFields(log.Fields{
 		"endpoint": incarnation.ID, "born": incarnation.Born, "calls": len(under), "unanswered": lo.CountBy(under, func(s quarantine.Suspect) bool { return s.Progress == quarantine.Nothing }),
@@ -111,9 +111,9 @@
 	go q.persist(h)
 }
 
-// Heard implements peer.Quarantine.
-func (q *quarantineManager) Heard(from string, w quarantine.Words, now time.Time) {
-	for _, h := range q.Book.Heard(w, now) {
+// Receive implements peer.Quarantine.
+func (q *quarantineManager) Receive(from string, w quarantine.Report, now time.Time) {
+	for _, h := range q.Tracker.Receive(w, now) {
 		q.onChange(h, from)
 	}
 }
@@ -137,7 +137,7 @@
 
 // expire deletes an expired request from the store; one node does it.
 func (q *quarantineManager) expire(h quarantine.Held) {
-	now, known := q.Of(h.Print)
+	now, known := q.Lookup(h.Print)
 	if !known || now.Round != h.Round || now.Released {
 		return
 	}
@@ -178,7 +178,7 @@
 func (q *quarantineManager) persistInSlot(h quarantine.Held, slot int, done func(now quarantine.Held) bool) {
 	time.Sleep(time.Duration(slot) * writeSlot)
 	for attempt := 0; ; attempt++ {
-		now, known := q.Of(h.Print)
+		now, known := q.Lookup(h.Print)
 		over := !now.Released && clock.Since(now.Since) >= now.For
 		if !known || now.Round != h.Round || now.Released != h.Released || over || done(now) {
 			return
@@ -235,8 +235,8 @@
 }
 
 // decodeHeld decodes a stored request.
-func decodeHeld(o store.Object) (quarantine.HeldWord, error) {
-	var k quarantine.HeldWord
+func decodeHeld(o store.Object) (quarantine.QuarantineReport, error) {
+	var k quarantine.QuarantineReport
 	if err := o.Readable(); err != nil {
 		return k, err
 	}
--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -8,11 +8,11 @@
 
 // Suspect is a call that was interrupted by the end of its endpoint.
 type Suspect struct {
-	Print    Print    `json:"p"`
-	Progress Progress `json:"a,omitempty"`
-	Customer string   `json:"c,omitempty"`
-	Route    string   `json:"r,omitempty"`
-	Answered bool     `json:"w,omitempty"` // the reporting node had answered the request before
+	Print    Fingerprint `json:"p"`
+	Progress Progress    `json:"a,omitempty"`
+	Customer string      `json:"c,omitempty"`
+	Route    string      `json:"r,omitempty"`
+	Answered bool        `json:"w,omitempty"` // the reporting node had answered the request before
 }
 
 // Progress is how much of its answer a call had received when it was interrupted.
@@ -40,7 +40,7 @@
 type end struct {
 	incarnation engine.Incarnation
 	at          time.Time // when it was first observed
-	suspects    map[Print]Suspect
+	suspects    map[Fingerprint]Suspect
 }
 
 // sameEndWindow is how far apart reports on one end may lie if the endpoint does not announce its
@@ -80,8 +80,8 @@
 
 // primeSuspects returns the suspects the end may be attributed to: of those not served since, the ones
 // with the least progress.
-func (e *end) primeSuspects(served map[Print]time.Time) []Print {
-	var byProgress [Underway + 1][]Print
+func (e *end) primeSuspects(served map[Fingerprint]time.Time) []Fingerprint {
+	var byProgress [Underway + 1][]Fingerprint
 	for p, s := range e.suspects {
 		if served[p].Before(e.at) {
 			byProgress[s.Progress] = append(byProgress[s.Progress], p)
@@ -118,7 +118,7 @@
 )
 
 // weight returns the total weight of the ends attributed to a request.
-func weight(p Print, ends []*end, apart time.Duration) int {
+func weight(p Fingerprint, ends []*end, apart time.Duration) int {
 	sum := 0
 	for _, e := range distinct(ends, apart) {
 		if e.suspects[p].Progress == Underway {
--- a/fleet/relay/quarantine/fingerprint.go
+++ b/fleet/relay/quarantine/fingerprint.go
@@ -10,37 +10,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Print is the fingerprint of a request. It stays the same when the caller sends the request
+// Fingerprint is the fingerprint of a request. It stays the same when the caller sends the request
 // again under another id. It is a cryptographic hash, so that nobody can make another customer's
 // request look like this one, and no part of a body is kept or sent.
-type Print [printBytes]byte
+type Fingerprint [printBytes]byte
 
 // printBytes is the length of the truncated hash: 128 bits are too many for a search.
 const printBytes = 16
 
-// PrintOf returns the fingerprint of a request: its customer, method, host, target and body.
-func PrintOf(customer, method, host, target string, body []byte) Print {
+// FingerprintOf returns the fingerprint of a request: its customer, method, host, target and body.
+func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{customer, method, host, target} {
 		_ = binary.Write(h, binary.BigEndian, uint64(len(field))) // a hash's Write never fails
 		h.Write([]byte(field))
 	}
 	h.Write(body)
-	return Print(h.Sum(nil)[:printBytes])
+	return Fingerprint(h.Sum(nil)[:printBytes])
 }
 
 // String returns the fingerprint in hexadecimal.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil || len(data) != printBytes {
 		return errors.Newf("%.40q is no print of a request", text)
 	}
-	*p = Print(data)
+	*p = Fingerprint(data)
 	return nil
 }
--- a/fleet/relay/quarantine/held.go
+++ b/fleet/relay/quarantine/held.go
@@ -4,7 +4,7 @@
 
 // Held is a request that is or was quarantined.
 type Held struct {
-	Print    Print
+	Print    Fingerprint
 	Round    int  // how many times it was quarantined; a later round supersedes earlier ones
 	Released bool // in this round: by an operator, an answer, or ends attributed to another request
 	Stored   bool // the store holds this state, so that a quarantine outlasts all nodes
@@ -50,8 +50,8 @@
 // hold. The loop ends there, since a report may name any round.
 func (r Rule) doubled(first time.Duration, round int) time.Duration {
 	d := first
-	for i := 1; i < round && d < r.MostHold; i++ {
-		d = min(2*d, r.MostHold)
+	for i := 1; i < round && d < r.MaxHold; i++ {
+		d = min(2*d, r.MaxHold)
 	}
 	return d
 }
--- a/fleet/relay/quarantine/history.go
+++ b/fleet/relay/quarantine/history.go
@@ -12,23 +12,23 @@
 // safe for concurrent use.
 type answerHistory struct {
 	mu       sync.Mutex
-	current  map[Print]struct{}
-	previous map[Print]struct{}
+	current  map[Fingerprint]struct{}
+	previous map[Fingerprint]struct{}
 	since    time.Time // start of the current generation
 }
 
 // add records that a request was answered. A request that keeps coming stays known, however
 // many other requests are answered once.
-func (h *answerHistory) add(p Print, now time.Time, memory time.Duration) {
+func (h *answerHistory) add(p Fingerprint, now time.Time, memory time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.current == nil || len(h.current) >= maxAnswered || now.Sub(h.since) >= memory {
-		h.previous, h.current, h.since = h.current, map[Print]struct{}{}, now
+		h.previous, h.current, h.since = h.current, map[Fingerprint]struct{}{}, now
 	}
 	h.current[p] = struct{}{}
 }
 
-func (h *answerHistory) contains(p Print) bool {
+func (h *answerHistory) contains(p Fingerprint) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, late := h.current[p]
--- a/fleet/relay/quarantine/judge.go
+++ b/fleet/relay/quarantine/judge.go
@@ -9,15 +9,15 @@
 )
 
 // attribution maps each request to the ends attributed to it.
-type attribution map[Print][]*end
+type attribution map[Fingerprint][]*end
 
 // attribute attributes each end to those of its suspects that were present at the most ends. A
 // request that merely ran beside a harmful one was present at few of the same ends; one that
 // was present at as many is included. Requests that were present at one end only are skipped,
 // except those in always: when many endpoints are lost at once, nearly all requests are such.
-func attribute(ends []*end, served map[Print]time.Time, r Rule, always map[Print]Held) attribution {
-	presence := map[Print]int{}
-	prime := make([][]Print, len(ends))
+func attribute(ends []*end, served map[Fingerprint]time.Time, r Rule, always map[Fingerprint]Held) attribution {
+	presence := map[Fingerprint]int{}
+	prime := make([][]Fingerprint, len(ends))
 	for i, e := range ends {
 		prime[i] = e.primeSuspects(served)
 		for _, p := range prime[i] {
@@ -33,7 +33,7 @@
 		}
 	}
 	maxCount := map[*end]int{}
-	count := map[Print]int{}
+	count := map[Fingerprint]int{}
 	for p, of := range present {
 		count[p] = occasions(of, r.Apart)
 		for _, e := range of {
@@ -50,10 +50,10 @@
 // overLimit returns the requests to which enough ends are attributed. Of requests that share
 // exactly the same ends, the first is not quarantined: if endpoints go on ending it is the
 // harmful one and the others are not, and if it is served it is cleared.
-func (o attribution) overLimit(r Rule, needed func(Print) int) map[Print][]*end {
-	heavy := lo.PickBy(o, func(p Print, ends []*end) bool { return weight(p, ends, r.Apart) >= needed(p) })
-	return lo.OmitBy(heavy, func(p Print, ends []*end) bool {
-		together := lo.Keys(lo.PickBy(heavy, func(_ Print, others []*end) bool { return slices.Equal(others, ends) }))
-		return len(together) > 1 && p == slices.MinFunc(together, func(a, b Print) int { return bytes.Compare(a[:], b[:]) })
+func (o attribution) overLimit(r Rule, needed func(Fingerprint) int) map[Fingerprint][]*end {
+	heavy := lo.PickBy(o, func(p Fingerprint, ends []*end) bool { return weight(p, ends, r.Apart) >= needed(p) })
+	return lo.OmitBy(heavy, func(p Fingerprint, ends []*end) bool {
+		together := lo.Keys(lo.PickBy(heavy, func(_ Fingerprint, others []*end) bool { return slices.Equal(others, ends) }))
+		return len(together) > 1 && p == slices.MinFunc(together, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
 	})
 }
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -13,25 +13,25 @@
 // strategy is a strategy to identify the harmful request.
 type strategy interface {
 	interrupt(e int, incarnation int64, under []Suspect, now time.Time)
-	served(p Print, now time.Time)
-	holds(p Print, now time.Time) bool
+	served(p Fingerprint, now time.Time)
+	holds(p Fingerprint, now time.Time) bool
 }
 
 // countStrategy quarantines every request that was present at three ends.
-type countStrategy map[Print]int
+type countStrategy map[Fingerprint]int
 
 func (c countStrategy) interrupt(_ int, _ int64, under []Suspect, _ time.Time) {
 	for _, s := range under {
 		c[s.Print]++
 	}
 }
-func (c countStrategy) served(Print, time.Time)         {}
-func (c countStrategy) holds(p Print, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
+func (c countStrategy) served(Fingerprint, time.Time)         {}
+func (c countStrategy) holds(p Fingerprint, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
 
 // resetStrategy counts likewise but resets the count of a request that was served.
 type resetStrategy struct{ countStrategy }
 
-func (c resetStrategy) served(p Print, _ time.Time) { delete(c.countStrategy, p) }
+func (c resetStrategy) served(p Fingerprint, _ time.Time) { delete(c.countStrategy, p) }
 
 // trackerStrategy uses a Book.
 type trackerStrategy struct{ *node }
@@ -40,12 +40,12 @@
 	of := endpointOf(e, incarnation)
 	j.Engines(append(endpointsOf(e, incarnation), of), now)
 	for _, s := range under {
-		j.Cut(of, s, now)
+		j.Interrupted(of, s, now)
 	}
 	j.Ended(of.Incarnation(), now)
 }
-func (j trackerStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
-func (j trackerStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
+func (j trackerStrategy) served(p Fingerprint, now time.Time)     { j.Served(p, now) }
+func (j trackerStrategy) holds(p Fingerprint, now time.Time) bool { return j.IsQuarantined(p, now) }
 
 // simulation models a service of ten endpoints, some of which end, and callers that retry
 // interrupted calls.
--- a/fleet/relay/quarantine/probe.go
+++ b/fleet/relay/quarantine/probe.go
@@ -6,19 +6,19 @@
 	"github.com/samber/lo"
 )
 
-// MostProbes bounds the probes of a request in one round. The second one is for the case that
+// MaxProbes bounds the probes of a request in one round. The second one is for the case that
 // the node with the first probe receives no call of the request, or ends. Both stay within the
 // sends that are allowed after the third end.
-const MostProbes = 2
+const MaxProbes = 2
 
 // ProbeAt returns when a quarantined request is due for a probe.
-func (b *Book) ProbeAt(h Held) time.Time { return h.Since.Add(b.rule.probeAfter(h.Round)) }
+func (b *Tracker) ProbeAt(h Held) time.Time { return h.Since.Add(b.rule.probeAfter(h.Round)) }
 
 // MayProbe reports whether a request is still quarantined in a round, was answered before, and
 // no endpoint has ended under it since its first probe was due. A request that was never
 // answered is not worth risking another endpoint, nor is one that ended an endpoint when it was
 // sent again after its hold expired.
-func (b *Book) MayProbe(h Held, now time.Time) bool {
+func (b *Tracker) MayProbe(h Held, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.held[h.Print]
@@ -27,13 +27,13 @@
 
 // answered reports whether any node stated that endpoints had answered a request: with its
 // quarantine, or with an end that the node which quarantined it did not know.
-func (b *Book) answered(h Held) bool {
+func (b *Tracker) answered(h Held) bool {
 	return h.Answered || lo.SomeBy(b.ends, func(e *end) bool { return e.suspects[h.Print].Answered })
 }
 
 // probeOpen reports whether a request is quarantined and no endpoint has ended under it since
 // its first probe was due.
-func (b *Book) probeOpen(h Held, now time.Time) bool {
+func (b *Tracker) probeOpen(h Held, now time.Time) bool {
 	due := b.ProbeAt(h)
 	return h.inForce(now) && lo.NoneBy(b.ends, func(e *end) bool {
 		_, in := e.suspects[h.Print]
@@ -44,7 +44,7 @@
 // Arm makes the next call of a quarantined request a probe: it is forwarded, to learn whether
 // an endpoint survives it. A request that many callers send is running wherever an endpoint
 // ends, and while it is quarantined no answer can clear it.
-func (b *Book) Arm(claimed Held) {
+func (b *Tracker) Arm(claimed Held) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h, ok := b.held[claimed.Print]; ok && h.Round == claimed.Round {
@@ -54,20 +54,20 @@
 }
 
 // Armed reports whether the next call of a request is a probe.
-func (b *Book) Armed(p Print, now time.Time) bool {
+func (b *Tracker) Armed(p Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.armed(b.held[p], now)
 }
 
 // armed returns false if an endpoint has ended since the claim, under another node's probe.
-func (b *Book) armed(h Held, now time.Time) bool {
+func (b *Tracker) armed(h Held, now time.Time) bool {
 	return h.armed && b.probeOpen(h, now)
 }
 
 // Probe takes the armed probe for a call. It returns its round and whether there was one; later
 // calls are not probes.
-func (b *Book) Probe(p Print, now time.Time) (round int, ok bool) {
+func (b *Tracker) Probe(p Fingerprint, now time.Time) (round int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.held[p]
@@ -79,9 +79,9 @@
 	return h.Round, true
 }
 
-// Unsent gives back a probe that reached no endpoint. It has no effect in a later round than
+// ReturnProbe gives back a probe that reached no endpoint. It has no effect in a later round than
 // the one it was claimed for.
-func (b *Book) Unsent(p Print, round int) {
+func (b *Tracker) ReturnProbe(p Fingerprint, round int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h, ok := b.held[p]; ok && h.Round == round {
--- a/fleet/relay/quarantine/probe_test.go
+++ b/fleet/relay/quarantine/probe_test.go
@@ -18,7 +18,7 @@
 		n.endUnder(i, suspects(Nothing, "popular")...)
 	}
 	require.True(t, n.holds("popular"))
-	h, _ := n.Of(printOf("popular"))
+	h, _ := n.Lookup(printOf("popular"))
 	return n, h
 }
 
@@ -46,7 +46,7 @@
 		{"it was released", func(n *node, h Held) { n.Release(h.Print, n.now) }, false},
 		{"it is quarantined in a later round", func(n *node, h Held) {
 			h.Round++
-			n.Heard(Words{Held: []HeldWord{WordOf(h, n.now)}}, n.now)
+			n.Receive(Report{Held: []QuarantineReport{ReportOf(h, n.now)}}, n.now)
 		}, false},
 	}
 	for _, c := range cases {
@@ -106,10 +106,10 @@
 			for i := range DefaultRule().Ends {
 				n.endUnder(i, suspects(Nothing, "deadly")...)
 			}
-			h, _ := n.Of(printOf("deadly"))
+			h, _ := n.Lookup(printOf("deadly"))
 			assert.Equal(t, c.want, h.Answered)
 			assert.Equal(t, c.want, n.MayProbe(h, n.ProbeAt(h)))
-			assert.Equal(t, c.want, WordOf(h, n.now).Answered, "reported to other nodes")
+			assert.Equal(t, c.want, ReportOf(h, n.now).Answered, "reported to other nodes")
 		})
 	}
 }
@@ -117,7 +117,7 @@
 func TestUnsentProbeIsLeftToTheNextCall(t *testing.T) {
 	n, h := quarantinedNode(t)
 	n.Arm(h)
-	n.Unsent(h.Print, n.takeProbe(t))
+	n.ReturnProbe(h.Print, n.takeProbe(t))
 	assert.True(t, n.takesProbe())
 }
 
@@ -126,7 +126,7 @@
 func TestOutdatedClaimSendsNoProbe(t *testing.T) {
 	again := func(n *node, h Held) {
 		h.Round++
-		n.Heard(Words{Held: []HeldWord{WordOf(h, n.now)}}, n.now)
+		n.Receive(Report{Held: []QuarantineReport{ReportOf(h, n.now)}}, n.now)
 	}
 	ended := func(n *node, h Held) {
 		n.now = n.ProbeAt(h)
@@ -155,7 +155,7 @@
 			}
 			c.do(n, h)
 			if c.unsent {
-				n.Unsent(h.Print, round)
+				n.ReturnProbe(h.Print, round)
 			}
 			assert.Equal(t, c.want, n.Armed(h.Print, n.now))
 			assert.Equal(t, c.want, n.takesProbe())
@@ -176,7 +176,7 @@
 	rule := DefaultRule()
 	assert.Equal(t, 2*rule.Probe, rule.probeAfter(2))
 	assert.Equal(t, 4*rule.Probe, rule.probeAfter(3))
-	assert.LessOrEqual(t, rule.probeAfter(100), rule.MostHold)
+	assert.LessOrEqual(t, rule.probeAfter(100), rule.MaxHold)
 }
 
 // Guards against a node that stalls over a report with an absurdly high round.
@@ -187,7 +187,7 @@
 			go func() { done <- after(DefaultRule(), math.MaxInt) }()
 			select {
 			case d := <-done:
-				assert.Equal(t, DefaultRule().MostHold, d)
+				assert.Equal(t, DefaultRule().MaxHold, d)
 			case <-time.After(time.Second):
 				t.Fatal("the loop over rounds did not end")
 			}
@@ -223,7 +223,7 @@
 	const step = 700 * time.Millisecond // so that no call comes exactly when a hold expires
 	due := 0                            // last round with a claimed probe
 	for at := 10; n.now.Sub(h.Since) < time.Hour; n.now = n.now.Add(step) {
-		if now, _ := n.Of(h.Print); now.Round > due && n.now.After(n.ProbeAt(now)) && n.MayProbe(now, n.now) {
+		if now, _ := n.Lookup(h.Print); now.Round > due && n.now.After(n.ProbeAt(now)) && n.MayProbe(now, n.now) {
 			n.Arm(now)
 			due = now.Round
 		}
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -8,61 +8,61 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Words is what one node reports to others of requests under which endpoints end.
-type Words struct {
-	Ends   []EndWord      `json:"ends,omitempty"`   // observed by the sender; for judges
-	Served []ServedReport `json:"served,omitempty"` // suspects that the sender served since; for judges
-	Near   []NearReport   `json:"near,omitempty"`   // suspects one end short of quarantine; for all nodes
-	Held   []HeldWord     `json:"held,omitempty"`   // quarantined and released requests; for all nodes
+// Report is what one node reports to others of requests under which endpoints end.
+type Report struct {
+	Ends   []EndReport        `json:"ends,omitempty"`   // observed by the sender; for judges
+	Served []ServedReport     `json:"served,omitempty"` // suspects that the sender served since; for judges
+	Near   []NearReport       `json:"near,omitempty"`   // suspects one end short of quarantine; for all nodes
+	Held   []QuarantineReport `json:"held,omitempty"`   // quarantined and released requests; for all nodes
 }
 
 // None reports whether there is nothing to send.
-func (w Words) None() bool { return len(w.Ends)+len(w.Served)+len(w.Near)+len(w.Held) == 0 }
+func (w Report) None() bool { return len(w.Ends)+len(w.Served)+len(w.Near)+len(w.Held) == 0 }
 
-// EndWord reports the end of an endpoint's incarnation and the sender's calls it interrupted.
-type EndWord struct {
+// EndReport reports the end of an endpoint's incarnation and the sender's calls it interrupted.
+type EndReport struct {
 	Endpoint string    `json:"e"`
 	Born     int64     `json:"b,omitempty"`
 	AgeMs    int64     `json:"ms"`
 	Suspects []Suspect `json:"s"`
 }
 
-func (w EndWord) incarnation() engine.Incarnation {
+func (w EndReport) incarnation() engine.Incarnation {
 	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
 }
 
 // ServedReport reports a suspect that the sender served.
 type ServedReport struct {
-	Print Print `json:"p"`
-	AgeMs int64 `json:"ms"`
+	Print Fingerprint `json:"p"`
+	AgeMs int64       `json:"ms"`
 }
 
 // NearReport reports a suspect that is one end short of quarantine.
 type NearReport struct {
-	Print    Print  `json:"p"`
-	Customer string `json:"c,omitempty"`
+	Print    Fingerprint `json:"p"`
+	Customer string      `json:"c,omitempty"`
 }
 
-// HeldWord reports a quarantined or released request.
-type HeldWord struct {
-	Print    Print    `json:"p"`
-	Round    int      `json:"n"`
-	Released bool     `json:"free,omitempty"`
-	Why      string   `json:"why,omitempty"`
-	Stored   bool     `json:"kept,omitempty"`
-	Answered bool     `json:"answered,omitempty"` // before endpoints ended under it
-	Tried    bool     `json:"tried,omitempty"`    // after its previous hold expired
-	Probes   int      `json:"probes,omitempty"`   // claimed in this round
-	AgeMs    int64    `json:"ms"`
-	ForMs    int64    `json:"for"`
-	Customer string   `json:"c,omitempty"`
-	Route    string   `json:"r,omitempty"`
-	Ends     []string `json:"ends,omitempty"`
+// QuarantineReport reports a quarantined or released request.
+type QuarantineReport struct {
+	Print    Fingerprint `json:"p"`
+	Round    int         `json:"n"`
+	Released bool        `json:"free,omitempty"`
+	Why      string      `json:"why,omitempty"`
+	Stored   bool        `json:"kept,omitempty"`
+	Answered bool        `json:"answered,omitempty"` // before endpoints ended under it
+	Tried    bool        `json:"tried,omitempty"`    // after its previous hold expired
+	Probes   int         `json:"probes,omitempty"`   // claimed in this round
+	AgeMs    int64       `json:"ms"`
+	ForMs    int64       `json:"for"`
+	Customer string      `json:"c,omitempty"`
+	Route    string      `json:"r,omitempty"`
+	Ends     []string    `json:"ends,omitempty"`
 }
 
-// WordOf returns a request in the form that is sent and stored.
-func WordOf(h Held, now time.Time) HeldWord {
-	return HeldWord{
+// ReportOf returns a request in the form that is sent and stored.
+func ReportOf(h Held, now time.Time) QuarantineReport {
+	return QuarantineReport{
 		Print: h.Print, Round: h.Round, Released: h.Released, Why: h.Why, Stored: h.Stored, Answered: h.Answered, Tried: h.Tried, Probes: h.Probes, AgeMs: now.Sub(h.Since).Milliseconds(),
 		ForMs: h.For.Milliseconds(), Customer: h.Customer, Route: h.Route, Ends: h.Ends,
 	}
@@ -87,45 +87,45 @@
 
 // outbox holds what is still to be sent.
 type outbox struct {
-	ends       []queued[EndWord]
+	ends       []queued[EndReport]
 	served     []queued[ServedReport]
 	near       []queued[NearReport]
-	held       map[Print]int // how often each is still to be sent to all nodes
-	nextDigest int           // index of the next request to include in a digest
-	digests    int           // number of digests so far
+	held       map[Fingerprint]int // how often each is still to be sent to all nodes
+	nextDigest int                 // index of the next request to include in a digest
+	digests    int                 // number of digests so far
 }
 
-func newOutbox() outbox { return outbox{held: map[Print]int{}} }
+func newOutbox() outbox { return outbox{held: map[Fingerprint]int{}} }
 
 // timedEnd is an end for the outbox. Its age is computed when it is sent.
 type timedEnd struct {
-	report EndWord
+	report EndReport
 	at     time.Time
 }
 
 func newTimedEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect) timedEnd {
-	return timedEnd{EndWord{Endpoint: incarnation.ID, Born: incarnation.Born, Suspects: suspects}, at}
+	return timedEnd{EndReport{Endpoint: incarnation.ID, Born: incarnation.Born, Suspects: suspects}, at}
 }
 
 func (o *outbox) addEnd(e timedEnd) {
 	for _, some := range lo.Chunk(e.report.Suspects, maxReportSuspects) {
 		if len(o.ends) < maxEnds {
-			o.ends = append(o.ends, queued[EndWord]{EndWord{Endpoint: e.report.Endpoint, Born: e.report.Born, Suspects: some}, e.at, sendCount})
+			o.ends = append(o.ends, queued[EndReport]{EndReport{Endpoint: e.report.Endpoint, Born: e.report.Born, Suspects: some}, e.at, sendCount})
 		}
 	}
 }
 
-func (o *outbox) addServed(p Print, at time.Time) {
+func (o *outbox) addServed(p Fingerprint, at time.Time) {
 	if len(o.served) < maxServed {
 		o.served = append(o.served, queued[ServedReport]{ServedReport{Print: p}, at, sendCount})
 	}
 }
 
 // addHeld queues a quarantined request once, since the digests repeat it.
-func (o *outbox) addHeld(p Print) { o.held[p] = 1 }
+func (o *outbox) addHeld(p Fingerprint) { o.held[p] = 1 }
 
 // addReleased queues a released request several times, since no digest contains it.
-func (o *outbox) addReleased(p Print) { o.held[p] = sendCount }
+func (o *outbox) addReleased(p Fingerprint) { o.held[p] = sendCount }
 
 // takeDue takes up to limit reports from the head of a queue. It returns them and the queue that
 // remains, with those that are to be sent again at its tail.
@@ -140,11 +140,11 @@
 	return reports, append(queue[n:], remaining...)
 }
 
-// News returns the reports to send now: those for judges and those for all nodes.
-func (b *Book) News(now time.Time) (judges, all Words) {
+// Updates returns the reports to send now: those for judges and those for all nodes.
+func (b *Tracker) Updates(now time.Time) (judges, all Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	judges.Ends, b.outbox.ends = takeDue(b.outbox.ends, maxEndReports, func(w EndWord, at time.Time) EndWord {
+	judges.Ends, b.outbox.ends = takeDue(b.outbox.ends, maxEndReports, func(w EndReport, at time.Time) EndReport {
 		w.AgeMs = now.Sub(at).Milliseconds()
 		return w
 	})
@@ -158,7 +158,7 @@
 			break
 		}
 		if h, ok := b.held[p]; ok {
-			all.Held = append(all.Held, WordOf(h, now))
+			all.Held = append(all.Held, ReportOf(h, now))
 		}
 		if b.outbox.held[p] = left - 1; left <= 1 {
 			delete(b.outbox.held, p)
@@ -176,7 +176,7 @@
 )
 
 // Digest returns some of the quarantined requests, in rotation, to go along with other messages.
-func (b *Book) Digest(now time.Time) Words {
+func (b *Tracker) Digest(now time.Time) Report {
 	all := b.List(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,16 +185,16 @@
 		all = lo.Filter(all, func(h Held, _ int) bool { return now.Sub(h.Since) < freshPeriod })
 	}
 	if len(all) == 0 {
-		return Words{}
+		return Report{}
 	}
 	n := min(len(all), maxHeldReports)
-	reports := lo.Map(lo.Range(n), func(i, _ int) HeldWord { return WordOf(all[(b.outbox.nextDigest+i)%len(all)], now) })
+	reports := lo.Map(lo.Range(n), func(i, _ int) QuarantineReport { return ReportOf(all[(b.outbox.nextDigest+i)%len(all)], now) })
 	b.outbox.nextDigest = (b.outbox.nextDigest + n) % len(all)
-	return Words{Held: reports}
+	return Report{Held: reports}
 }
 
-// Heard processes a report from another node. It returns the requests that were new or changed.
-func (b *Book) Heard(w Words, now time.Time) []Held {
+// Receive processes a report from another node. It returns the requests that were new or changed.
+func (b *Tracker) Receive(w Report, now time.Time) []Held {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed := false
@@ -221,7 +221,7 @@
 			b.markServed(s.Print, now.Add(-age), now)
 		}
 	}
-	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h HeldWord, _ int) (Held, bool) { return b.learn(h, now) })
+	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return b.learn(h, now) })
 	if changed {
 		b.judge(now)
 	}
@@ -229,19 +229,19 @@
 }
 
 // Learn processes the stored state of a request.
-func (b *Book) Learn(w HeldWord, now time.Time) (Held, bool) {
+func (b *Tracker) Learn(w QuarantineReport, now time.Time) (Held, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.learn(w, now)
 }
 
-func (b *Book) learn(w HeldWord, now time.Time) (Held, bool) {
+func (b *Tracker) learn(w QuarantineReport, now time.Time) (Held, bool) {
 	known, ok := b.held[w.Print]
 	h := Held{
 		Print: w.Print, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
-		For: min(time.Duration(w.ForMs)*time.Millisecond, b.rule.MostHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
+		For: min(time.Duration(w.ForMs)*time.Millisecond, b.rule.MaxHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
 	}
-	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*b.rule.MostHold.Milliseconds() {
+	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*b.rule.MaxHold.Milliseconds() {
 		return Held{}, false
 	}
 	if ok && !h.supersedes(known) {
--- a/fleet/relay/quarantine/report_test.go
+++ b/fleet/relay/quarantine/report_test.go
@@ -15,17 +15,17 @@
 // exchange sends the current reports of each node to all others, except the messages that are lost.
 func (f testFleet) exchange(lost func(from, to int) bool) {
 	for i, from := range f {
-		judges, all := from.News(from.now)
+		judges, all := from.Updates(from.now)
 		digest := from.Digest(from.now)
 		for j, to := range f {
 			if i == j || lost(i, j) {
 				continue
 			}
 			if to.role() != Witness {
-				to.Heard(judges, to.now)
+				to.Receive(judges, to.now)
 			}
-			to.Heard(all, to.now)
-			to.Heard(digest, to.now)
+			to.Receive(all, to.now)
+			to.Receive(digest, to.now)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		f[0].endUnder(i, suspects(Nothing, "deadly")...)
 	}
 	f[1].now = f[0].now
-	old, _ := f[0].Of(printOf("deadly"))
+	old, _ := f[0].Lookup(printOf("deadly"))
 	f.exchange(noneLost)
 	joined := newNode(Peer)
 	joined.now = f[0].now
@@ -114,10 +114,10 @@
 	assert.True(t, joined.holds("deadly"))
 	require.True(t, joined.Release(printOf("deadly"), joined.now))
 	f.exchange(noneLost)
-	f[0].Heard(Words{Held: []HeldWord{WordOf(old, f[0].now)}}, f[0].now)
+	f[0].Receive(Report{Held: []QuarantineReport{ReportOf(old, f[0].now)}}, f[0].now)
 	late := newNode(Peer) // it missed the release
 	late.now = f[0].now
-	late.Heard(Words{Held: []HeldWord{WordOf(old, late.now)}}, late.now)
+	late.Receive(Report{Held: []QuarantineReport{ReportOf(old, late.now)}}, late.now)
 	f = append(f, late)
 	assert.True(t, late.holds("deadly"))
 	for range 2 {
--- a/fleet/relay/quarantine/rule.go
+++ b/fleet/relay/quarantine/rule.go
@@ -4,13 +4,13 @@
 
 // Rule defines when a request is quarantined, and for how long.
 type Rule struct {
-	Ends     int           // occasions on which endpoints ended under the request
-	Apart    time.Duration // ends closer together are one occasion: a power loss, a partition, a rack
-	Memory   time.Duration // how long an end counts
-	Hold     time.Duration // length of the first quarantine; doubles each further time
-	MostHold time.Duration // upper bound of Hold
-	Doubted  time.Duration // how long an interrupted call waits for confirmation that its endpoint ended
-	Probe    time.Duration // delay until a quarantined request is probed; doubles each further time
+	Ends           int           // occasions on which endpoints ended under the request
+	Apart          time.Duration // ends closer together are one occasion: a power loss, a partition, a rack
+	Memory         time.Duration // how long an end counts
+	Hold           time.Duration // length of the first quarantine; doubles each further time
+	MaxHold        time.Duration // upper bound of Hold
+	ConfirmTimeout time.Duration // how long an interrupted call waits for confirmation that its endpoint ended
+	Probe          time.Duration // delay until a quarantined request is probed; doubles each further time
 }
 
 // DefaultRule returns the rule in force. The requirements allow three ends and three further
@@ -22,7 +22,7 @@
 func DefaultRule() Rule {
 	return Rule{
 		Ends: 3, Apart: 200 * time.Millisecond, Memory: 15 * time.Minute,
-		Hold: 10 * time.Minute, MostHold: 24 * time.Hour, Doubted: 5 * time.Second, Probe: 5 * time.Second,
+		Hold: 10 * time.Minute, MaxHold: 24 * time.Hour, ConfirmTimeout: 5 * time.Second, Probe: 5 * time.Second,
 	}
 }
 
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -17,15 +17,15 @@
 	// Verify starts a check whether an endpoint has ended and returns at once. If the
 	// endpoint has ended, the check calls Ended.
 	Verify(e engine.Engine)
-	// EndSeen is called when an endpoint has ended while calls of this node ran on it.
-	EndSeen(incarnation engine.Incarnation, under []Suspect)
+	// EndObserved is called when an endpoint has ended while calls of this node ran on it.
+	EndObserved(incarnation engine.Incarnation, under []Suspect)
 	// Judged is called when this node itself quarantines or releases a request.
 	Judged(h Held)
 }
 
-// Book tracks the requests under which endpoints end, from this node's own calls and from
+// Tracker tracks the requests under which endpoints end, from this node's own calls and from
 // the reports of other nodes. It is safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	rule     Rule
 	observer Observer
 	role     func() Role
@@ -36,11 +36,11 @@
 	mu           sync.Mutex
 	registered   map[engine.Incarnation]bool // registered endpoints
 	pending      map[engine.Incarnation]*interruption
-	ends         []*end                // oldest first
-	near         map[Print]nearSuspect // suspects one end short of quarantine, as announced by judges
-	served       map[Print]time.Time   // when each suspect was last served
-	servedLately map[Print]time.Time   // when other requests were last served: an end may be reported after that
-	held         map[Print]Held
+	ends         []*end                      // oldest first
+	near         map[Fingerprint]nearSuspect // suspects one end short of quarantine, as announced by judges
+	served       map[Fingerprint]time.Time   // when each suspect was last served
+	servedLately map[Fingerprint]time.Time   // when other requests were last served: an end may be reported after that
+	held         map[Fingerprint]Held
 	outbox       outbox
 }
 
@@ -66,11 +66,11 @@
 	Peer                // decides like a judge, in a fleet where every node does
 )
 
-// NewBook returns an empty Book. It calls role whenever it needs the node's current role.
-func NewBook(r Rule, observer Observer, role func() Role) *Book {
-	b := &Book{
+// NewTracker returns an empty Book. It calls role whenever it needs the node's current role.
+func NewTracker(r Rule, observer Observer, role func() Role) *Tracker {
+	b := &Tracker{
 		rule: r, observer: observer, role: role, urgent: make(chan struct{}, 1),
-		registered: map[engine.Incarnation]bool{}, pending: map[engine.Incarnation]*interruption{}, near: map[Print]nearSuspect{}, served: map[Print]time.Time{}, servedLately: map[Print]time.Time{}, held: map[Print]Held{}, outbox: newOutbox(),
+		registered: map[engine.Incarnation]bool{}, pending: map[engine.Incarnation]*interruption{}, near: map[Fingerprint]nearSuspect{}, served: map[Fingerprint]time.Time{}, servedLately: map[Fingerprint]time.Time{}, held: map[Fingerprint]Held{}, outbox: newOutbox(),
 	}
 	b.watched.Store(&map[string]bool{})
 	return b
@@ -78,20 +78,20 @@
 
 // Watches reports whether requests of a customer may be quarantined or suspects. No
 // fingerprint is computed for the requests of other customers.
-func (b *Book) Watches(customer string) bool { return (*b.watched.Load())[customer] }
+func (b *Tracker) Watches(customer string) bool { return (*b.watched.Load())[customer] }
 
-// Holds reports whether a request is quarantined, so that it is sent to no endpoint.
-func (b *Book) Holds(p Print, now time.Time) bool {
+// IsQuarantined reports whether a request is quarantined, so that it is sent to no endpoint.
+func (b *Tracker) IsQuarantined(p Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held[p].inForce(now)
 }
 
-// Wary reports whether the node must not retry an interrupted call by itself, since one
+// ForbidsRetry reports whether the node must not retry an interrupted call by itself, since one
 // more end would be too many. Unlike for the quarantine, ends on the same occasion count
 // separately here: attempts of one request may follow each other closely, and each attempt
 // that is retried ends two endpoints.
-func (b *Book) Wary(p Print, now time.Time) bool {
+func (b *Tracker) ForbidsRetry(p Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ends := lo.Filter(b.ends, func(e *end, _ int) bool {
@@ -101,9 +101,9 @@
 	return b.held[p].inForce(now) || len(ends) >= b.rule.Ends-1
 }
 
-// Cut records a call of this node that its endpoint ended before the whole answer. The call
+// Interrupted records a call of this node that its endpoint ended before the whole answer. The call
 // counts once the endpoint is known to have ended.
-func (b *Book) Cut(e engine.Engine, s Suspect, now time.Time) {
+func (b *Tracker) Interrupted(e engine.Engine, s Suspect, now time.Time) {
 	s.Answered = b.history.contains(s.Print)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // addSuspect adds a suspect to a known end.
-func (b *Book) addSuspect(e *end, s Suspect, now time.Time) {
+func (b *Tracker) addSuspect(e *end, s Suspect, now time.Time) {
 	if e.add(s) {
 		b.outbox.addEnd(newTimedEnd(e.incarnation, e.at, []Suspect{s}))
 		b.signalUrgent()
@@ -145,31 +145,31 @@
 }
 
 // findEnd returns the recorded end of an incarnation, or nil.
-func (b *Book) findEnd(incarnation engine.Incarnation, at time.Time) *end {
+func (b *Tracker) findEnd(incarnation engine.Incarnation, at time.Time) *end {
 	e, _ := lo.Find(b.ends, func(e *end) bool { return e.matches(incarnation, at) })
 	return e
 }
 
 // expirePending removes interrupted calls whose endpoints are still running.
-func (b *Book) expirePending(now time.Time) {
-	maps.DeleteFunc(b.pending, func(_ engine.Incarnation, c *interruption) bool { return now.Sub(c.checkedAt) > b.rule.Doubted })
+func (b *Tracker) expirePending(now time.Time) {
+	maps.DeleteFunc(b.pending, func(_ engine.Incarnation, c *interruption) bool { return now.Sub(c.checkedAt) > b.rule.ConfirmTimeout })
 }
 
 // Ended records that an incarnation of an endpoint has ended. It has no effect where no call
 // was interrupted there.
-func (b *Book) Ended(incarnation engine.Incarnation, now time.Time) {
+func (b *Tracker) Ended(incarnation engine.Incarnation, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.confirmEnd(incarnation, now)
 }
 
-func (b *Book) confirmEnd(incarnation engine.Incarnation, now time.Time) {
+func (b *Tracker) confirmEnd(incarnation engine.Incarnation, now time.Time) {
 	c, ok := b.pending[incarnation]
 	if !ok {
 		return
 	}
 	delete(b.pending, incarnation)
-	b.observer.EndSeen(incarnation, c.suspects)
+	b.observer.EndObserved(incarnation, c.suspects)
 	b.recordEnd(incarnation, c.checkedAt, c.suspects, now)
 	b.outbox.addEnd(newTimedEnd(incarnation, c.checkedAt, c.suspects))
 	b.signalUrgent()
@@ -177,10 +177,10 @@
 }
 
 // recordEnd records an end, or adds suspects to a known one. It reports whether that changed anything.
-func (b *Book) recordEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
+func (b *Tracker) recordEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
 	e := b.findEnd(incarnation, at)
 	if e == nil {
-		e = &end{incarnation: incarnation, at: at, suspects: map[Print]Suspect{}}
+		e = &end{incarnation: incarnation, at: at, suspects: map[Fingerprint]Suspect{}}
 		b.ends = append(b.ends, e)
 	}
 	if at.Before(e.at) {
@@ -193,13 +193,13 @@
 		b.clearIfServedSince(s.Print, e.at, now)
 	}
 	b.ends = lo.Filter(b.ends, func(e *end, _ int) bool { return now.Sub(e.at) < b.rule.Memory })
-	maps.DeleteFunc(b.near, func(_ Print, n nearSuspect) bool { return now.Sub(n.announcedAt) > b.rule.Memory })
+	maps.DeleteFunc(b.near, func(_ Fingerprint, n nearSuspect) bool { return now.Sub(n.announcedAt) > b.rule.Memory })
 	return changed
 }
 
 // Engines sets the registered endpoints. An endpoint with interrupted calls that is no longer
 // registered has ended.
-func (b *Book) Engines(all []engine.Engine, now time.Time) {
+func (b *Tracker) Engines(all []engine.Engine, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.registered = lo.SliceToMap(all, func(e engine.Engine) (engine.Incarnation, bool) { return e.Incarnation(), true })
@@ -213,11 +213,11 @@
 
 // Answered records that a request, suspect or not, was answered completely, in case endpoints
 // end under it later.
-func (b *Book) Answered(p Print, now time.Time) { b.history.add(p, now, b.rule.Memory) }
+func (b *Tracker) Answered(p Fingerprint, now time.Time) { b.history.add(p, now, b.rule.Memory) }
 
 // Served records that a request of a watched customer was answered completely. Such a request
 // does not end endpoints by itself, whatever ended while it ran.
-func (b *Book) Served(p Print, now time.Time) {
+func (b *Tracker) Served(p Fingerprint, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.markServed(p, now, now) {
@@ -227,7 +227,7 @@
 }
 
 // markServed records that a request was served and reports whether it was a suspect.
-func (b *Book) markServed(p Print, at, now time.Time) bool {
+func (b *Tracker) markServed(p Fingerprint, at, now time.Time) bool {
 	suspected := lo.ContainsBy(b.ends, func(e *end) bool {
 		_, in := e.suspects[p]
 		return in && b.served[p].Before(e.at) && !at.Before(e.at)
@@ -254,9 +254,9 @@
 
 // rememberServed remembers for a while that a request was served which is not a suspect yet. An
 // end becomes known only after it is confirmed, and to other nodes even later.
-func (b *Book) rememberServed(p Print, at, now time.Time) {
+func (b *Tracker) rememberServed(p Fingerprint, at, now time.Time) {
 	if len(b.servedLately) >= maxServed {
-		maps.DeleteFunc(b.servedLately, func(_ Print, at time.Time) bool { return now.Sub(at) > b.rule.Doubted })
+		maps.DeleteFunc(b.servedLately, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > b.rule.ConfirmTimeout })
 	}
 	if _, known := b.servedLately[p]; known || len(b.servedLately) < maxServed {
 		b.servedLately[p] = at
@@ -264,7 +264,7 @@
 }
 
 // clearIfServedSince clears a suspect that was served after an end and announces that.
-func (b *Book) clearIfServedSince(p Print, end, now time.Time) {
+func (b *Tracker) clearIfServedSince(p Fingerprint, end, now time.Time) {
 	at, known := b.servedLately[p]
 	if !known || at.Before(end) || !b.served[p].Before(at) || !b.hasRoomForServed(p, now) {
 		return
@@ -275,17 +275,17 @@
 }
 
 // hasRoomForServed reports whether one more served request can be recorded.
-func (b *Book) hasRoomForServed(p Print, now time.Time) bool {
+func (b *Tracker) hasRoomForServed(p Fingerprint, now time.Time) bool {
 	if _, known := b.served[p]; known || len(b.served) < maxServed {
 		return true
 	}
-	maps.DeleteFunc(b.served, func(_ Print, at time.Time) bool { return now.Sub(at) > b.rule.Memory })
+	maps.DeleteFunc(b.served, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > b.rule.Memory })
 	return len(b.served) < maxServed
 }
 
 // judge quarantines the requests to which enough ends are attributed, and releases those whose
 // ends are now attributed to another request.
-func (b *Book) judge(now time.Time) {
+func (b *Tracker) judge(now time.Time) {
 	defer b.updateWatched()
 	if b.role() == Witness {
 		return
@@ -307,7 +307,7 @@
 
 // announceNear announces the suspects that are one end short of quarantine. Nodes that do not
 // receive the ends need this to report when they serve one.
-func (b *Book) announceNear(attributed attribution, now time.Time) {
+func (b *Tracker) announceNear(attributed attribution, now time.Time) {
 	if b.role() != Judge {
 		return
 	}
@@ -324,7 +324,7 @@
 
 // requiredWeight returns the weight of attributed ends at which a request is quarantined. A request
 // whose hold expired without a release is tried once: one more end quarantines it again.
-func (b *Book) requiredWeight(p Print) int {
+func (b *Tracker) requiredWeight(p Fingerprint) int {
 	if h, known := b.held[p]; known && !h.Released {
 		return underwayWeight
 	}
@@ -333,12 +333,12 @@
 
 // attributedElsewhere reports whether this node knows the ends for which a request is quarantined but
 // attributes too few of them to it.
-func (b *Book) attributedElsewhere(p Print, attributed attribution) bool {
+func (b *Tracker) attributedElsewhere(p Fingerprint, attributed attribution) bool {
 	present := lo.Filter(b.ends, func(e *end, _ int) bool { _, present := e.suspects[p]; return present })
 	return occasions(present, b.rule.Apart) >= b.rule.Ends && weight(p, attributed[p], b.rule.Apart) < b.rule.Ends*endWeight && b.served[p].Before(present[0].at)
 }
 
-func (b *Book) quarantine(p Print, ends []*end, now time.Time) {
+func (b *Tracker) quarantine(p Fingerprint, ends []*end, now time.Time) {
 	s := ends[len(ends)-1].suspects[p]
 	before := b.held[p]
 	round := before.Round + 1
@@ -356,7 +356,7 @@
 
 // put stores a quarantined or released request. Beyond the bound it drops the oldest entry,
 // beginning with those that are not in force.
-func (b *Book) put(h Held, now time.Time) {
+func (b *Tracker) put(h Held, now time.Time) {
 	b.held[h.Print] = h
 	if len(b.held) <= maxHeld {
 		return
@@ -371,7 +371,7 @@
 	delete(b.held, all[0].Print)
 }
 
-func (b *Book) release(h Held, why string, now time.Time) {
+func (b *Tracker) release(h Held, why string, now time.Time) {
 	h.Released, h.Why, h.Stored = true, why, false
 	b.put(h, now)
 	b.outbox.addReleased(h.Print)
@@ -381,7 +381,7 @@
 
 // Release releases a request on behalf of an operator. It returns false if the request is not
 // quarantined. Earlier ends no longer count.
-func (b *Book) Release(p Print, now time.Time) bool {
+func (b *Tracker) Release(p Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h, ok := b.held[p]
@@ -395,7 +395,7 @@
 }
 
 // Stored records that the store holds the current state of a request, quarantined or released.
-func (b *Book) Stored(h Held) {
+func (b *Tracker) Stored(h Held) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known, ok := b.held[h.Print]; ok && known.sameState(h) {
@@ -404,8 +404,8 @@
 	}
 }
 
-// Of returns what is known of a request.
-func (b *Book) Of(p Print) (Held, bool) {
+// Lookup returns what is known of a request.
+func (b *Tracker) Lookup(p Fingerprint) (Held, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h, ok := b.held[p]
@@ -413,14 +413,14 @@
 }
 
 // All returns the requests that are or were quarantined, in no particular order.
-func (b *Book) All() []Held {
+func (b *Tracker) All() []Held {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return lo.Values(b.held)
 }
 
 // List returns the quarantined requests, latest first.
-func (b *Book) List(now time.Time) []Held {
+func (b *Tracker) List(now time.Time) []Held {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := lo.Filter(lo.Values(b.held), func(h Held, _ int) bool { return h.inForce(now) })
@@ -429,7 +429,7 @@
 }
 
 // updateWatched updates the set of customers whose requests need a fingerprint.
-func (b *Book) updateWatched() {
+func (b *Tracker) updateWatched() {
 	customers := map[string]bool{}
 	for _, e := range b.ends {
 		for _, s := range e.suspects {
@@ -448,9 +448,9 @@
 }
 
 // Urgent signals updates that should be sent before the next heartbeat.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
 
-func (b *Book) signalUrgent() {
+func (b *Tracker) signalUrgent() {
 	select {
 	case b.urgent <- struct{}{}:
 	default: // already signaled
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -23,22 +23,22 @@
 	judged       []Held
 }
 
-func (o *notifications) Verify(e engine.Engine)                { o.verified = append(o.verified, e) }
-func (o *notifications) EndSeen(engine.Incarnation, []Suspect) { o.endsObserved++ }
-func (o *notifications) Judged(h Held)                         { o.judged = append(o.judged, h) }
+func (o *notifications) Verify(e engine.Engine)                    { o.verified = append(o.verified, e) }
+func (o *notifications) EndObserved(engine.Incarnation, []Suspect) { o.endsObserved++ }
+func (o *notifications) Judged(h Held)                             { o.judged = append(o.judged, h) }
 
 func fixedRole(r Role) func() Role { return func() Role { return r } }
 
 // node is one node's Book with a clock that the test advances.
 type node struct {
-	*Book
+	*Tracker
 	*notifications
 	now time.Time
 }
 
 func newNode(r Role) *node {
 	n := &node{notifications: &notifications{}, now: noon}
-	n.Book = NewBook(DefaultRule(), n.notifications, fixedRole(r))
+	n.Tracker = NewTracker(DefaultRule(), n.notifications, fixedRole(r))
 	n.Engines(endpointsOf(100, 1), noon)
 	return n
 }
@@ -51,7 +51,9 @@
 	return lo.Times(n, func(i int) engine.Engine { return endpointOf(i, born) })
 }
 
-func printOf(name string) Print { return PrintOf("customer", "POST", "host", "/", []byte(name)) }
+func printOf(name string) Fingerprint {
+	return FingerprintOf("customer", "POST", "host", "/", []byte(name))
+}
 
 // ordered returns two requests in the order of their fingerprints.
 func ordered() (first, second string) {
@@ -77,7 +79,7 @@
 func (n *node) endNow(endpoint int, under ...Suspect) {
 	e := endpointOf(endpoint, 1)
 	for _, s := range under {
-		n.Cut(e, s, n.now)
+		n.Interrupted(e, s, n.now)
 	}
 	n.Ended(e.Incarnation(), n.now)
 }
@@ -87,7 +89,7 @@
 	n.Served(printOf(name), n.now)
 }
 
-func (n *node) holds(name string) bool { return n.Holds(printOf(name), n.now) }
+func (n *node) holds(name string) bool { return n.IsQuarantined(printOf(name), n.now) }
 
 // Guards against quarantining requests that merely ran where endpoints ended, or missing the
 // one to which three ends are attributed.
@@ -160,7 +162,7 @@
 		}, nil, []string{"beside"}},
 		{"interrupted calls at running endpoints", func(n *node) {
 			for i := range 5 {
-				n.Cut(endpointOf(i, 1), suspects(Nothing, "beside")[0], n.now)
+				n.Interrupted(endpointOf(i, 1), suspects(Nothing, "beside")[0], n.now)
 				n.now = n.now.Add(time.Second)
 			}
 		}, nil, []string{"beside"}},
@@ -207,28 +209,28 @@
 func TestWhenAnEndpointHasEnded(t *testing.T) {
 	n := newNode(Peer)
 	deadly := suspects(Nothing, "deadly")[0]
-	n.Cut(endpointOf(0, 1), deadly, n.now)
-	n.Cut(endpointOf(0, 1), deadly, n.now)
+	n.Interrupted(endpointOf(0, 1), deadly, n.now)
+	n.Interrupted(endpointOf(0, 1), deadly, n.now)
 	assert.Len(t, n.verified, 1, "one check for calls that were interrupted together")
 	assert.Zero(t, n.endsObserved)
 	n.Ended(endpointOf(0, 1).Incarnation(), n.now)
 	assert.Equal(t, 1, n.endsObserved)
 	n.now = n.now.Add(time.Second)
-	n.Cut(endpointOf(1, 1), deadly, n.now)
+	n.Interrupted(endpointOf(1, 1), deadly, n.now)
 	n.Engines(append(endpointsOf(1, 1), endpointsOf(100, 1)[2:]...), n.now.Add(3*time.Second))
 	assert.Equal(t, 2, n.endsObserved, "its entry is gone")
 	n.Engines(endpointsOf(100, 1), n.now)
 	n.now = n.now.Add(5 * time.Second)
-	n.Cut(endpointOf(2, 1), deadly, n.now)
+	n.Interrupted(endpointOf(2, 1), deadly, n.now)
 	again := endpointsOf(100, 1)
 	again[2].Born = 2
 	n.Engines(again, n.now.Add(3*time.Second))
 	assert.Equal(t, 3, n.endsObserved, "it has started again")
 	assert.True(t, n.holds("deadly"))
-	n.Cut(endpointOf(3, 1), suspects(Nothing, "beside")[0], n.now)
-	n.Engines(nil, n.now.Add(DefaultRule().Doubted+time.Second))
+	n.Interrupted(endpointOf(3, 1), suspects(Nothing, "beside")[0], n.now)
+	n.Engines(nil, n.now.Add(DefaultRule().ConfirmTimeout+time.Second))
 	assert.Equal(t, 3, n.endsObserved, "its entry disappeared long after the call was interrupted")
-	n.Cut(endpointOf(4, 1), suspects(Nothing, "beside")[0], n.now)
+	n.Interrupted(endpointOf(4, 1), suspects(Nothing, "beside")[0], n.now)
 	assert.Equal(t, 4, n.endsObserved, "its entry disappeared before the call was interrupted")
 }
 
@@ -237,9 +239,9 @@
 	n := newNode(Peer)
 	for i, noRetry := range []bool{false, true, true} {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, noRetry, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.ForbidsRetry(printOf("deadly"), n.now), "%d ends", i+1)
 	}
-	assert.False(t, n.Wary(printOf("beside"), n.now))
+	assert.False(t, n.ForbidsRetry(printOf("beside"), n.now))
 }
 
 // Guards against old ends that count after an operator released a request: it takes three new
@@ -275,7 +277,7 @@
 		assert.False(t, n.holds("deadly"), "an end under another request")
 		n.endUnder(2+round, suspects(Nothing, "deadly")...)
 		assert.True(t, n.holds("deadly"), "an endpoint ended after round %d", round)
-		hold = min(2*hold, DefaultRule().MostHold)
+		hold = min(2*hold, DefaultRule().MaxHold)
 	}
 }
 
@@ -297,10 +299,10 @@
 	for i := range 1000 {
 		n.now = n.now.Add(10 * time.Millisecond)
 		n.endNow(i, suspects(Nothing, lo.Times(40, func(j int) string { return fmt.Sprint(i/3, "-", j) })...)...)
-		n.Cut(endpointOf(5000+i, 1), suspects(Nothing, "x")[0], n.now)
+		n.Interrupted(endpointOf(5000+i, 1), suspects(Nothing, "x")[0], n.now)
 		if i%100 == 0 {
-			judges, all := n.News(n.now)
-			for _, w := range []Words{judges, all, n.Digest(n.now)} {
+			judges, all := n.Updates(n.now)
+			for _, w := range []Report{judges, all, n.Digest(n.now)} {
 				data, err := json.Marshal(w)
 				require.NoError(t, err)
 				assert.LessOrEqual(t, len(data), 15<<10, "fits into a datagram")
@@ -325,19 +327,19 @@
 	for i := range 3 {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
 	}
-	judges, all := n.News(n.now)
-	for _, w := range []Words{judges, all, n.Digest(n.now)} {
+	judges, all := n.Updates(n.now)
+	for _, w := range []Report{judges, all, n.Digest(n.now)} {
 		data, _ := json.Marshal(w)
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w Words
+		var w Report
 		if json.Unmarshal(data, &w) != nil {
 			return
 		}
 		n := newNode(Peer)
-		n.Heard(w, n.now)
-		n.News(n.now)
+		n.Receive(w, n.now)
+		n.Updates(n.now)
 		n.Digest(n.now)
 		assert.LessOrEqual(t, len(n.ends), maxEndReports)
 		assert.LessOrEqual(t, len(n.held), maxHeldReports+maxEndReports*maxSuspects)
@@ -367,12 +369,12 @@
 func TestRequestServedBeforeAnEndIsReportedIsCleared(t *testing.T) {
 	n := newNode(Peer)
 	n.endUnder(0, suspects(Nothing, "beside")...) // so that the customer is watched
-	_, _ = n.News(n.now)
+	_, _ = n.Updates(n.now)
 	n.serve("popular")
 	served := n.now
 	n.now = n.now.Add(50 * time.Millisecond)
-	n.Heard(Words{Ends: []EndWord{{Endpoint: "e01", Born: 1, AgeMs: 300, Suspects: suspects(Nothing, "popular")}}}, n.now)
-	judges, _ := n.News(n.now)
+	n.Receive(Report{Ends: []EndReport{{Endpoint: "e01", Born: 1, AgeMs: 300, Suspects: suspects(Nothing, "popular")}}}, n.now)
+	judges, _ := n.Updates(n.now)
 	want := []ServedReport{{Print: printOf("popular"), AgeMs: n.now.Sub(served).Milliseconds()}}
 	assert.Equal(t, want, judges.Served, "nodes that received the end learn that the request was served since")
 	n.endUnder(2, suspects(Nothing, "popular")...)
@@ -412,6 +414,6 @@
 	n := newNode(Peer)
 	for i, noRetry := range []bool{false, true} {
 		n.endNow(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, noRetry, n.Wary(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.ForbidsRetry(printOf("deadly"), n.now), "%d ends", i+1)
 	}
 }
--- a/fleet/relay/quarantine_probe.go
+++ b/fleet/relay/quarantine_probe.go
@@ -22,7 +22,7 @@
 func (q *quarantineManager) scheduleProbe(h quarantine.Held) {
 	time.AfterFunc(clock.Until(q.ProbeAt(h)), func() {
 		slot := q.slot(h.Print.String())
-		if slot >= quarantine.MostProbes {
+		if slot >= quarantine.MaxProbes {
 			return
 		}
 		time.Sleep(time.Duration(slot) * probeSlot)
@@ -65,13 +65,13 @@
 	if err != nil {
 		return h, false, err
 	}
-	if now, known := q.Of(h.Print); known && now.Round == h.Round {
+	if now, known := q.Lookup(h.Print); known && now.Round == h.Round {
 		h.Probes = max(h.Probes, now.Probes) // the store may have been restored from an earlier copy
 	}
 	if there.Round == h.Round {
 		h.Probes = max(h.Probes, there.Probes)
 	}
-	if there.Round > h.Round || h.Probes >= quarantine.MostProbes {
+	if there.Round > h.Round || h.Probes >= quarantine.MaxProbes {
 		return h, false, nil
 	}
 	h.Probes, h.Answered = h.Probes+1, true // otherwise it would not be probed
@@ -85,7 +85,7 @@
 // encodeHeld encodes a request for the store. Its age is zero, since the store has no monotonic
 // clock.
 func encodeHeld(h quarantine.Held) (json.RawMessage, error) {
-	report := quarantine.WordOf(h, h.Since)
+	report := quarantine.ReportOf(h, h.Since)
 	report.Stored = true
 	data, err := json.Marshal(report)
 	return data, errors.Wrap(err, "encode quarantined request")
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -49,7 +49,7 @@
 				sent++
 			}
 		}
-		assert.Equal(t, quarantine.MostProbes, sent)
+		assert.Equal(t, quarantine.MaxProbes, sent)
 		later := quarantineNode(s)
 		h := later.learnHeld(t, 2)
 		later.persist(h)
@@ -136,7 +136,7 @@
 		{"another node received a report of them", func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager {
 			other := quarantineNode(s)
 			other.learnHeld(t, 1)
-			other.Book.Heard(q.Digest(clock.Now()), clock.Now())
+			other.Tracker.Receive(q.Digest(clock.Now()), clock.Now())
 			return other
 		}},
 	}
@@ -148,7 +148,7 @@
 				h := q.learnHeld(t, 1)
 				q.persist(h)
 				older := maps.Clone(s.objects)
-				for range quarantine.MostProbes {
+				for range quarantine.MaxProbes {
 					q.probe(h)
 					require.True(t, q.probes())
 				}
@@ -156,7 +156,7 @@
 				s.objects = older
 				s.mu.Unlock()
 				next := c.then(t, s, q)
-				h, _ = next.Of(deadlyFingerprint)
+				h, _ = next.Lookup(deadlyFingerprint)
 				next.probe(h)
 				assert.False(t, next.probes())
 			})
@@ -168,20 +168,20 @@
 func TestANegativeProbeCountIsZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		data, err := json.Marshal(quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
+		data, err := json.Marshal(quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
 		require.NoError(t, err)
 		s.objects[deadlyFingerprint.String()] = store.Object{Kind: quarantineKind, Name: deadlyFingerprint.String(), Data: data, Revision: 1}
 		q := quarantineNode(s)
 		require.True(t, q.loadOnce(t.Context()))
-		h, _ := q.Of(deadlyFingerprint)
+		h, _ := q.Lookup(deadlyFingerprint)
 		sent := 0
-		for range 2 * quarantine.MostProbes {
+		for range 2 * quarantine.MaxProbes {
 			q.probe(h)
 			if q.probes() {
 				sent++
 			}
 		}
-		assert.Equal(t, quarantine.MostProbes, sent)
+		assert.Equal(t, quarantine.MaxProbes, sent)
 	})
 }
 
@@ -190,17 +190,17 @@
 func TestARequestKnownToBeAnsweredIsProbed(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(q *quarantineManager, reported quarantine.HeldWord)
+		then func(q *quarantineManager, reported quarantine.QuarantineReport)
 		want bool
 	}{
-		{"nobody", func(*quarantineManager, quarantine.HeldWord) {}, false},
-		{"a node that reports it later", func(q *quarantineManager, reported quarantine.HeldWord) {
+		{"nobody", func(*quarantineManager, quarantine.QuarantineReport) {}, false},
+		{"a node that reports it later", func(q *quarantineManager, reported quarantine.QuarantineReport) {
 			reported.Answered = true
-			q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{reported}}, clock.Now())
+			q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
 		}, true},
-		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.HeldWord) {
+		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.QuarantineReport) {
 			s := quarantine.Suspect{Print: reported.Print, Customer: reported.Customer, Answered: true}
-			q.Heard("another", quarantine.Words{Ends: []quarantine.EndWord{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
+			q.Receive("another", quarantine.Report{Ends: []quarantine.EndReport{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
 		}, true},
 	}
 	for _, c := range cases {
@@ -208,9 +208,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}}
 				q := quarantineNode(s)
-				reported := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
-				q.Heard("first", quarantine.Words{Held: []quarantine.HeldWord{reported}}, clock.Now())
-				h, _ := q.Of(deadlyFingerprint)
+				reported := quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
+				q.Receive("first", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
+				h, _ := q.Lookup(deadlyFingerprint)
 				q.persist(h)
 				c.then(q, reported)
 				time.Sleep(quarantine.DefaultRule().Probe)
@@ -218,7 +218,7 @@
 				assert.Equal(t, c.want, q.probes())
 				started := quarantineNode(s)
 				require.True(t, started.loadOnce(t.Context()))
-				h, _ = started.Of(deadlyFingerprint)
+				h, _ = started.Lookup(deadlyFingerprint)
 				assert.Equal(t, c.want, h.Answered, "nodes that start know it")
 			})
 		})
@@ -233,9 +233,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 				q := quarantineNode(s)
-				w := quarantine.HeldWord{Print: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
-				q.Heard("another", quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now())
-				h, _ := q.Of(deadlyFingerprint)
+				w := quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
+				q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{w}}, clock.Now())
+				h, _ := q.Lookup(deadlyFingerprint)
 				go q.persist(h)
 				time.Sleep(out)
 				s.mu.Lock()
--- a/fleet/relay/quarantine_test.go
+++ b/fleet/relay/quarantine_test.go
@@ -71,18 +71,18 @@
 	n := testNode()
 	n.store = store.NewSourced(s, func() []store.Source { return nil })
 	q := &quarantineManager{Node: n, slot: func(string) int { return 0 }}
-	q.Book = quarantine.NewBook(quarantine.DefaultRule(), q, func() quarantine.Role { return quarantine.Peer })
+	q.Tracker = quarantine.NewTracker(quarantine.DefaultRule(), q, func() quarantine.Role { return quarantine.Peer })
 	return q
 }
 
-var deadlyFingerprint = quarantine.PrintOf("customer", "POST", "h", "/", []byte("deadly"))
+var deadlyFingerprint = quarantine.FingerprintOf("customer", "POST", "h", "/", []byte("deadly"))
 
 // learnHeld has a node learn of a quarantined request.
 func (q *quarantineManager) learnHeld(t *testing.T, round int) quarantine.Held {
 	t.Helper()
-	w := quarantine.HeldWord{Print: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
-	require.Len(t, q.Book.Heard(quarantine.Words{Held: []quarantine.HeldWord{w}}, clock.Now()), 1)
-	h, _ := q.Of(deadlyFingerprint)
+	w := quarantine.QuarantineReport{Print: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
+	require.Len(t, q.Tracker.Receive(quarantine.Report{Held: []quarantine.QuarantineReport{w}}, clock.Now()), 1)
+	h, _ := q.Lookup(deadlyFingerprint)
 	return h
 }
 
@@ -97,13 +97,13 @@
 	assert.Contains(t, s.objects, deadlyFingerprint.String())
 	started := quarantineNode(s)
 	require.True(t, started.loadOnce(t.Context()))
-	assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
+	assert.True(t, started.IsQuarantined(deadlyFingerprint, clock.Now()))
 	assert.True(t, started.Watches("customer"))
 	later := quarantineNode(s)
 	later.persist(later.learnHeld(t, 2))
 	assert.Equal(t, 2, s.writes)
 	require.True(t, started.Release(deadlyFingerprint, clock.Now()))
-	assert.Eventually(t, func() bool { h, _ := started.Of(deadlyFingerprint); return h.Stored }, time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { h, _ := started.Lookup(deadlyFingerprint); return h.Stored }, time.Second, time.Millisecond)
 	assert.Empty(t, s.objects)
 }
 
@@ -117,16 +117,16 @@
 	assert.False(t, started.loadOnce(t.Context()))
 	s.lost = false
 	writer.persist(h)
-	other := quarantine.PrintOf("customer", "POST", "h", "/", []byte("other"))
-	data, err := json.Marshal(quarantine.HeldWord{Print: other, Round: 1, ForMs: 60_000})
+	other := quarantine.FingerprintOf("customer", "POST", "h", "/", []byte("other"))
+	data, err := json.Marshal(quarantine.QuarantineReport{Print: other, Round: 1, ForMs: 60_000})
 	require.NoError(t, err)
 	for name, text := range map[string]string{"malformed": "{", "of another name": string(data), other.String(): `{"p":"zz"}`} {
 		s.objects[name] = store.Object{Kind: quarantineKind, Name: name, Data: json.RawMessage(text), Revision: 1}
 	}
 	s.objects["unreadable"] = store.Object{Kind: quarantineKind, Name: "unreadable", Fault: "no JSON"}
 	require.True(t, started.loadOnce(t.Context()))
-	assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
-	assert.False(t, started.Holds(other, clock.Now()))
+	assert.True(t, started.IsQuarantined(deadlyFingerprint, clock.Now()))
+	assert.False(t, started.IsQuarantined(other, clock.Now()))
 	assert.Len(t, started.List(clock.Now()), 1)
 }
 
@@ -157,7 +157,7 @@
 	gone := engine.Engine{ID: "gone", Address: closedAddress(t), Service: "s"}
 	q.Engines([]engine.Engine{alive, gone}, clock.Now())
 	for _, e := range []engine.Engine{alive, gone} {
-		q.Cut(e, quarantine.Suspect{Print: deadlyFingerprint, Customer: e.ID}, clock.Now())
+		q.Interrupted(e, quarantine.Suspect{Print: deadlyFingerprint, Customer: e.ID}, clock.Now())
 	}
 	assert.Eventually(t, func() bool { return q.Watches("gone") }, time.Second, time.Millisecond)
 	time.Sleep(firstEndCheck + secondEndCheck + 50*time.Millisecond)
@@ -192,7 +192,7 @@
 		time.Sleep(time.Second)
 		started := quarantineNode(s)
 		require.True(t, started.loadOnce(t.Context()))
-		assert.True(t, started.Holds(deadlyFingerprint, clock.Now()))
+		assert.True(t, started.IsQuarantined(deadlyFingerprint, clock.Now()))
 		others := &quarantineStore{objects: map[string]store.Object{}} // earlier nodes write in their slots
 		behind := quarantineNode(others)
 		behind.learnHeld(t, 1)
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -141,14 +141,14 @@
 	incarnation := uuid.NewString()
 	self := peer.Member{Name: s.Node, Life: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
 	n.allowance = account.NewAllowance(s.Node, incarnation, s.Budget.Tuning())
-	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Out() })
+	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Unavailable() })
 	n.picker = choice.NewPicker(s.Zone, s.Choice()).WithColdGate(n.bounds, cold.Rule{Overrun: s.Cold.Overrun, Tolerance: s.Cold.Tolerance}).WithPlaces(n.places)
 	n.engineTable, n.trials = newEngineTable(n), newTrials(n, incarnation)
 	n.registry = peer.NewRegistry(n.store, self, n.health, s.History(), l).WithFaults(n.faults)
 	if s.Bootstrap && s.Enabled(delegatesMechanism) {
 		n.registry.Starting(bootstrapTime)
 	}
-	gossip, err := peer.Listen(s.Peer, n.registry, n.picker, n.allowance, func() bool { return n.syncer.Out() })
+	gossip, err := peer.Listen(s.Peer, n.registry, n.picker, n.allowance, func() bool { return n.syncer.Unavailable() })
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		n.bounds.Nodes(lo.Map(members, func(m peer.Member, _ int) string { return m.Name }), clock.Now())
 	})
 	n.registry.OnChange(newBuilds(n).logChange)
-	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithTurns(gossip.Turn, gossip.Heard()).WithEras(n.eras)
+	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithSlots(gossip.Slot, gossip.Heard()).WithEras(n.eras)
 	n.gate = overload.NewGate(overload.DefaultRule())
 	n.intake = overload.NewIntake(overload.DefaultIntakeRule())
 	n.meter = link.NewMeter(s.LinkMbps)
