--- a/fleet/relay/call/call.go
+++ b/fleet/relay/call/call.go
@@ -36,11 +36,11 @@
 // Cost returns the maximum number of tokens that the call can be charged.
 func (c Call) Cost() int64 { return c.PromptMax + c.OutputMax }
 
-// Send is what the relay adds to the head of an attempt.
-type Send struct {
+// AttemptHead is what the relay adds to the head of an attempt.
+type AttemptHead struct {
 	Tenant      string
-	Instance    string        // id of the intended endpoint
-	Left        time.Duration // until the deadline
+	EndpointID  string        // id of the intended endpoint
+	Remaining   time.Duration // until the deadline
 	Priority    int
 	LastEventID string
 	FetchFrom   string // address of an endpoint from which to fetch missing prompt parts; "": none
@@ -57,21 +57,21 @@
 // nodes together.
 type Limit struct {
 	PerSecond float64 // calls; valid if Named, not negative
-	Said      Said
+	Kind      LimitKind
 }
 
-// Said tells whether an answer contains a limit.
-type Said int
+// LimitKind tells whether an answer contains a limit.
+type LimitKind int
 
 // Kinds of limits in an answer.
 const (
-	NoLimit    Said = iota // the answer contains no limit
-	Named                  // the answer contains a limit
-	Unreadable             // the limit is not a rate and is ignored
+	NoLimit      LimitKind = iota // the answer contains no limit
+	ValidLimit                    // the answer contains a limit
+	InvalidLimit                  // the limit is not a rate and is ignored
 )
 
-// Verdict is the parsed head of an endpoint's answer.
-type Verdict struct {
+// AnswerHead is the parsed head of an endpoint's answer.
+type AnswerHead struct {
 	CallID      string // echoed by the endpoint; "" if it does not
 	NotExecuted bool   // the endpoint guarantees that the call did not run there
 	Moved       bool   // the address now belongs to another endpoint
@@ -80,7 +80,7 @@
 	HasLoad     bool
 	Limit       Limit
 	Notices     []Notice
-	Keeps       time.Duration // how long the endpoint keeps the connection open while idle; 0: not stated
+	IdleTimeout time.Duration // how long the endpoint keeps the connection open while idle; 0: not stated
 }
 
 // Wire translates heads from and to HTTP headers. An adapter implements it.
@@ -88,9 +88,9 @@
 	// Parse reads the head of a call; an error means that the head is invalid.
 	Parse(r *http.Request) (Call, error)
 	// Prepare returns the headers of an attempt, based on the caller's.
-	Prepare(from http.Header, c Call, s Send) http.Header
-	// Judge reads the head of an endpoint's answer.
-	Judge(resp *http.Response) Verdict
+	Prepare(from http.Header, c Call, s AttemptHead) http.Header
+	// ParseAnswer reads the head of an endpoint's answer.
+	ParseAnswer(resp *http.Response) AnswerHead
 	// Answer copies the headers of an endpoint's answer for the caller.
 	Answer(to http.Header, resp *http.Response)
 	// Refuse adds the headers of a refusal by the relay itself.
--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -77,9 +77,9 @@
 		return
 	}
 	switch {
-	case l.Said == call.Named:
+	case l.Kind == call.ValidLimit:
 		limits.Named(life, l.PerSecond, now)
-	case l.Said == call.NoLimit && good:
+	case l.Kind == call.NoLimit && good:
 		limits.Unnamed(life, sent, now)
 	}
 }
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -102,20 +102,20 @@
 
 // Request holds the input of one choice.
 type Request struct {
-	Call      call.Call
-	Engines   []engine.Engine             // ordered by id
-	Sources   []engine.Engine             // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
-	Again     bool                        // the call is idempotent and may run again
-	Elsewhere bool                        // if this endpoint turns the call away, it may be sent to another one
-	Trial     bool                        // the endpoints are on trial: their timing does not update the service's model
-	Exclude   map[engine.Incarnation]bool // already tried
-	Profile   Profile
-	Objective time.Duration // time to the first event, from now; 0: none
-	Gap       time.Duration // longest acceptable pause between two events; 0: none
-	Homes     []string      // regions whose nodes may learn which parts the call read; nil: all
-	Bytes     int64         // expected bytes sent to the endpoint and back
-	Cap       int           // maximum calls in flight from this node at one endpoint
-	Now       time.Time
+	Call           call.Call
+	Engines        []engine.Engine             // ordered by id
+	Sources        []engine.Engine             // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
+	Again          bool                        // the call is idempotent and may run again
+	Elsewhere      bool                        // if this endpoint turns the call away, it may be sent to another one
+	Trial          bool                        // the endpoints are on trial: their timing does not update the service's model
+	Exclude        map[engine.Incarnation]bool // already tried
+	Profile        Profile
+	Objective      time.Duration // time to the first event, from now; 0: none
+	Gap            time.Duration // longest acceptable pause between two events; 0: none
+	AllowedRegions []string      // regions whose nodes may learn which parts the call read; nil: all
+	Bytes          int64         // expected bytes sent to the endpoint and back
+	Cap            int           // maximum calls in flight from this node at one endpoint
+	Now            time.Time
 }
 
 // Pick chooses an endpoint and counts the call there. It returns false if no endpoint may take
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -54,11 +54,11 @@
 
 // Read lists the shared parts of a prompt that an endpoint has read.
 type Read struct {
-	Endpoint string   `json:"e"`
-	Born     int64    `json:"b,omitempty"` // start of the incarnation that read it; 0: the endpoint or the sender's build does not report it
-	Parts    []string `json:"p"`
-	Tokens   []int64  `json:"t"`
-	Homes    []string `json:"h,omitempty"` // regions whose nodes may receive it; nil: all
+	Endpoint       string   `json:"e"`
+	Born           int64    `json:"b,omitempty"` // start of the incarnation that read it; 0: the endpoint or the sender's build does not report it
+	Parts          []string `json:"p"`
+	Tokens         []int64  `json:"t"`
+	AllowedRegions []string `json:"h,omitempty"` // regions whose nodes may receive it; nil: all
 }
 
 // recentReads holds the latest reads for peers. Each is sent several times, since datagrams get
@@ -81,7 +81,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, Homes: homes}, at: now, rare: rare}
+	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, AllowedRegions: homes}, at: now, rare: rare}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, p.ID)
 		r.Tokens = append(r.Tokens, p.Tokens)
@@ -98,7 +98,7 @@
 	l.reads = l.reads[max(from, len(l.reads)-maxReads):]
 	all := make([]Read, 0, len(l.reads))
 	for _, r := range l.reads {
-		if (r.rare || !rareOnly) && (len(r.Homes) == 0 || slices.Contains(r.Homes, region)) {
+		if (r.rare || !rareOnly) && (len(r.AllowedRegions) == 0 || slices.Contains(r.AllowedRegions, region)) {
 			all = append(all, r.Read)
 		}
 	}
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -87,7 +87,7 @@
 	for i, part := range t.request.Call.Parts {
 		e.cache.read(part, i < len(shared))
 	}
-	t.picker.recent.add(engine.Incarnation{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, rare, now)
+	t.picker.recent.add(engine.Incarnation{ID: t.Engine.ID, Born: e.born}, shared, t.request.AllowedRegions, rare, now)
 }
 
 func (t *Placement) endWaiting() {
--- a/fleet/relay/forward/handler.go
+++ b/fleet/relay/forward/handler.go
@@ -84,7 +84,7 @@
 	r, end := h.startSpan(r)
 	defer end()
 	h.awaitBacklog(r.Context())
-	j := &job{Handler: h, w: w, r: r, start: clock.Now(), stalls: newStallCheck(h.Stood), policy: h.Policy.Load()}
+	j := &job{Handler: h, w: w, r: r, start: clock.Now(), stalls: newStallCheck(h.Stalled), policy: h.Policy.Load()}
 	if h.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -104,10 +104,10 @@
 // awaitBacklog delays a call that arrived during a stall of the process until the updates that
 // arrived with it have been read from the sockets: the call is decided by them.
 func (h *Handler) awaitBacklog(ctx context.Context) {
-	if h.Unread == nil {
+	if h.Backlog == nil {
 		return
 	}
-	if wait := h.Unread(); wait > 0 {
+	if wait := h.Backlog(); wait > 0 {
 		clock.Pause(ctx, wait)
 	}
 }
@@ -136,10 +136,10 @@
 	}
 	j.regions = allowedRegionsOf(route, j.tenant)
 	if j.noAllowedRegion() {
-		j.note = fmt.Sprintf("the route allows regions %v, the customer %v", route.Homes, j.tenant.Homes)
+		j.note = fmt.Sprintf("the route allows regions %v, the customer %v", route.AllowedRegions, j.tenant.AllowedRegions)
 		return refuseNoRegion, false
 	}
-	if !j.Gate.Keep(j.tenant.Name, xxhash.Sum64String(j.call.ID)) && j.Nodes() > 1 {
+	if !j.Gate.Admit(j.tenant.Name, xxhash.Sum64String(j.call.ID)) && j.Nodes() > 1 {
 		return refuseOverloaded, false
 	}
 	j.setEnd()
@@ -191,7 +191,7 @@
 	}
 	began := clock.Now()
 	body, err := readAll(ingress.LimitBody(j.w, j.r, limit), j.r.ContentLength)
-	j.Gate.Body(clock.Since(began))
+	j.Gate.RecordBody(clock.Since(began))
 	if err != nil {
 		if _, tooLarge := err.(*http.MaxBytesError); tooLarge {
 			return refuseTooLarge, false
@@ -227,7 +227,7 @@
 
 func (j *job) releaseMemory() {
 	if j.memory > 0 {
-		j.Memory.Give(j.memory)
+		j.Memory.Release(j.memory)
 		j.memory = 0
 	}
 }
@@ -324,10 +324,10 @@
 
 // describeLimit adds the rate limit in the endpoint's answer to the log fields.
 func (j *job) describeLimit(fields log.Fields) {
-	switch j.limit.Said {
-	case call.Named:
+	switch j.limit.Kind {
+	case call.ValidLimit:
 		fields["limit"] = j.limit.PerSecond
-	case call.Unreadable:
+	case call.InvalidLimit:
 		fields["limit"] = "unreadable"
 	case call.NoLimit:
 	}
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -42,20 +42,20 @@
 	return c, nil
 }
 
-func (plainWire) Prepare(from http.Header, c call.Call, s call.Send) http.Header {
+func (plainWire) Prepare(from http.Header, c call.Call, s call.AttemptHead) http.Header {
 	to := http.Header{}
 	to.Set("Call", c.ID)
 	to.Set("Tenant", s.Tenant)
-	to.Set("Instance", s.Instance)
-	to.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
+	to.Set("Instance", s.EndpointID)
+	to.Set("Left", strconv.FormatInt(s.Remaining.Milliseconds(), 10))
 	if s.LastEventID != "" {
 		to.Set("Last", s.LastEventID)
 	}
 	return to
 }
 
-func (plainWire) Judge(resp *http.Response) call.Verdict {
-	v := call.Verdict{CallID: resp.Header.Get("Call"), NotExecuted: resp.Header.Get("Not-Run") != "", Moved: resp.StatusCode == http.StatusMisdirectedRequest}
+func (plainWire) ParseAnswer(resp *http.Response) call.AnswerHead {
+	v := call.AnswerHead{CallID: resp.Header.Get("Call"), NotExecuted: resp.Header.Get("Not-Run") != "", Moved: resp.StatusCode == http.StatusMisdirectedRequest}
 	if rest, err := time.ParseDuration(resp.Header.Get("Rest")); err == nil {
 		v.Notices = []call.Notice{call.Rest{For: rest}}
 	}
@@ -86,8 +86,8 @@
 	bodies    atomic.Int32 // received
 }
 
-func (g *gate) Keep(customer string, _ uint64) bool { return customer != g.redirects }
-func (g *gate) Body(time.Duration)                  { g.bodies.Add(1) }
+func (g *gate) Admit(customer string, _ uint64) bool { return customer != g.redirects }
+func (g *gate) RecordBody(time.Duration)             { g.bodies.Add(1) }
 
 // intake closes the connections of one customer.
 type intake struct{ reconnects string }
@@ -149,7 +149,7 @@
 			{Name: "open", Host: "h", Prefix: "/open/", Kind: policy.Once, Public: true, Attempts: 1, Splits: split("s")},
 			{Name: "empty", Host: "h", Prefix: "/empty/", Kind: policy.Once, Attempts: 1, Splits: split("nowhere")},
 		},
-		Services: []policy.Service{{Name: "s", MaxConnections: 100, Stride: 3}},
+		Services: []policy.Service{{Name: "s", MaxConnections: 100, TokensPerEvent: 3}},
 		Tenants:  []policy.Tenant{{Name: "t", Keys: []string{"k"}, Prepaid: 1000, HasPrepaid: true}},
 		Limits:   policy.Limits{BodyBytes: 1 << 10},
 	}
@@ -206,7 +206,7 @@
 	f.handler = forward.New(forward.Options{
 		Wire: plainWire{}, Policy: &f.inForce, Engines: &f.directory, Trials: &f.trials, Samples: &f.samples, Allowance: f.allowance, TokenSource: noSource{},
 		Picker:  f.picker,
-		Stood:   func(time.Time) bool { return f.stalled.Load() },
+		Stalled: func(time.Time) bool { return f.stalled.Load() },
 		Returns: limit.NewReturns(),
 		Retries: retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
 		Gate:    &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
--- a/fleet/relay/forward/memory_test.go
+++ b/fleet/relay/forward/memory_test.go
@@ -33,6 +33,6 @@
 		assert.Equal(t, http.StatusNotFound, got.status)
 	}
 	assert.Eventually(t, func() bool { return f.memory.State().Held == 0 }, time.Second, time.Millisecond)
-	assert.Equal(t, int64(3), f.memory.State().Short)
+	assert.Equal(t, int64(3), f.memory.State().Rejected)
 	assert.Len(t, f.received(), 3, "refused calls must reach no endpoint")
 }
--- a/fleet/relay/forward/options.go
+++ b/fleet/relay/forward/options.go
@@ -46,8 +46,8 @@
 	Nodes       func() int      // number of nodes that share the endpoints' connections
 	Places      distance.Places // regions of the availability zones and round trips to them
 	Transport   *Transport
-	Unread      func() time.Duration       // how long until what arrived during a stall of the process is read; nil: no stalls
-	Stood       func(since time.Time) bool // reports whether the process has stalled since a time; nil: no stalls
+	Backlog     func() time.Duration       // how long until what arrived during a stall of the process is read; nil: no stalls
+	Stalled     func(since time.Time) bool // reports whether the process has stalled since a time; nil: no stalls
 	Log         log.Interface
 	Metrics     Metrics
 	Tracer      trace.Tracer // nil: no tracing
@@ -61,8 +61,8 @@
 
 // Gate decides which calls this node takes while it is overloaded.
 type Gate interface {
-	Keep(customer string, key uint64) bool
-	Body(took time.Duration) // records how long a call's body took to arrive
+	Admit(customer string, key uint64) bool
+	RecordBody(took time.Duration) // records how long a call's body took to arrive
 }
 
 // Intake decides whether the connection of a customer's call is closed after the answer, so
--- a/fleet/relay/forward/regions.go
+++ b/fleet/relay/forward/regions.go
@@ -14,14 +14,14 @@
 // allowedRegions are the regions in which a call may run by its route and its customer.
 type allowedRegions struct {
 	bound   bool
-	regions policy.Homes // sorted; if empty, the call can't run
+	regions policy.Regions // sorted; if empty, the call can't run
 }
 
 func allowedRegionsOf(r policy.Route, t policy.Tenant) allowedRegions {
-	if len(r.Homes) == 0 && len(t.Homes) == 0 {
+	if len(r.AllowedRegions) == 0 && len(t.AllowedRegions) == 0 {
 		return allowedRegions{}
 	}
-	regions := r.Homes.With(t.Homes)
+	regions := r.AllowedRegions.Intersect(t.AllowedRegions)
 	slices.Sort(regions)
 	return allowedRegions{bound: true, regions: regions}
 }
--- a/fleet/relay/forward/regions_test.go
+++ b/fleet/relay/forward/regions_test.go
@@ -17,23 +17,23 @@
 func TestCallsRunOnlyInAllowedRegions(t *testing.T) {
 	cases := []struct {
 		name            string
-		route, customer policy.Homes
+		route, customer policy.Regions
 		zones           []string
 		want            string // the endpoint; "": refused
 	}{
 		{"no homes", nil, nil, []string{"z2"}, "e0"},
-		{"the route's", policy.Homes{"r1"}, nil, []string{"z2", "z1"}, "e1"},
-		{"the customer's", nil, policy.Homes{"r2"}, []string{"z1", "z2"}, "e1"},
-		{"both bind", policy.Homes{"r1", "r2"}, policy.Homes{"r2"}, []string{"z1", "z2"}, "e1"},
-		{"nowhere", policy.Homes{"r1"}, policy.Homes{"r2"}, []string{"z1", "z2"}, ""},
-		{"a zone of an unknown region", policy.Homes{"r1"}, nil, []string{"elsewhere"}, ""},
-		{"a region without a zone", policy.Homes{"r9"}, nil, []string{"z1", "elsewhere"}, ""},
-		{"a region without a name", policy.Homes{""}, nil, []string{"elsewhere"}, ""},
+		{"the route's", policy.Regions{"r1"}, nil, []string{"z2", "z1"}, "e1"},
+		{"the customer's", nil, policy.Regions{"r2"}, []string{"z1", "z2"}, "e1"},
+		{"both bind", policy.Regions{"r1", "r2"}, policy.Regions{"r2"}, []string{"z1", "z2"}, "e1"},
+		{"nowhere", policy.Regions{"r1"}, policy.Regions{"r2"}, []string{"z1", "z2"}, ""},
+		{"a zone of an unknown region", policy.Regions{"r1"}, nil, []string{"elsewhere"}, ""},
+		{"a region without a zone", policy.Regions{"r9"}, nil, []string{"z1", "elsewhere"}, ""},
+		{"a region without a name", policy.Regions{""}, nil, []string{"elsewhere"}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
-			f.policy.Routes[0].Homes, f.policy.Tenants[0].Homes = c.route, c.customer
+			f.policy.Routes[0].AllowedRegions, f.policy.Tenants[0].AllowedRegions = c.route, c.customer
 			var engines []engine.Engine
 			for i, zone := range c.zones {
 				e := f.startEngine(t, []string{"e0", "e1"}[i], good("done"))
@@ -74,17 +74,17 @@
 func TestCallWithoutAllowedRegionIsRefusedAtOnce(t *testing.T) {
 	cases := []struct {
 		name            string
-		route, customer policy.Homes
+		route, customer policy.Regions
 		reason          string
 	}{
-		{"nothing in common", policy.Homes{"r1"}, policy.Homes{"r2"}, "no-allowed-region"},
-		{"a region that is not known", policy.Homes{"r9"}, nil, "no-allowed-region"},
-		{"a home without endpoints", policy.Homes{"r1"}, nil, "no-endpoint"},
+		{"nothing in common", policy.Regions{"r1"}, policy.Regions{"r2"}, "no-allowed-region"},
+		{"a region that is not known", policy.Regions{"r9"}, nil, "no-allowed-region"},
+		{"a home without endpoints", policy.Regions{"r1"}, nil, "no-endpoint"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
-			f.policy.Routes[0].Homes, f.policy.Tenants[0].Homes = c.route, c.customer
+			f.policy.Routes[0].AllowedRegions, f.policy.Tenants[0].AllowedRegions = c.route, c.customer
 			e := f.startEngine(t, "e0", good("done"))
 			e.Zone = "z2"
 			f.start(t, []engine.Engine{e})
@@ -111,7 +111,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
-			f.policy.Tenants[0].Homes = policy.Homes{"r1"}
+			f.policy.Tenants[0].AllowedRegions = policy.Regions{"r1"}
 			home, abroad := f.startEngine(t, "home", good("done")), f.startEngine(t, "abroad", good("done"))
 			home.Zone, abroad.Zone = "z1", "z2"
 			c.fail(f, &home)
@@ -131,19 +131,21 @@
 		zones  []string // of the endpoints after the first
 		want   string   // where the call finally runs; "": refused
 	}{
-		{"the route moves", func(p *policy.Policy) { p.Routes[1].Homes = policy.Homes{"r2"} }, []string{"z1", "z2"}, "e2"},
-		{"the customer moves", func(p *policy.Policy) { p.Routes[1].Homes, p.Tenants[0].Homes = nil, policy.Homes{"r2"} }, []string{"z1", "z2"}, "e2"},
-		{"nothing is left", func(p *policy.Policy) { p.Routes[1].Homes = policy.Homes{"r2"} }, []string{"z1", "z1"}, ""},
-		{"another route changes", func(p *policy.Policy) { p.Routes[0].Homes = policy.Homes{"r2"} }, []string{"z1", "z2"}, "e1"},
+		{"the route moves", func(p *policy.Policy) { p.Routes[1].AllowedRegions = policy.Regions{"r2"} }, []string{"z1", "z2"}, "e2"},
+		{"the customer moves", func(p *policy.Policy) {
+			p.Routes[1].AllowedRegions, p.Tenants[0].AllowedRegions = nil, policy.Regions{"r2"}
+		}, []string{"z1", "z2"}, "e2"},
+		{"nothing is left", func(p *policy.Policy) { p.Routes[1].AllowedRegions = policy.Regions{"r2"} }, []string{"z1", "z1"}, ""},
+		{"another route changes", func(p *policy.Policy) { p.Routes[0].AllowedRegions = policy.Regions{"r2"} }, []string{"z1", "z2"}, "e1"},
 		{"the route is gone", func(p *policy.Policy) { p.Routes = p.Routes[:1] }, []string{"z1", "z2"}, "e1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fleet{policy: testPolicy(), allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
-			f.policy.Routes[1].Homes = policy.Homes{"r1"}
+			f.policy.Routes[1].AllowedRegions = policy.Regions{"r1"}
 			changes := func(f *fleet, w http.ResponseWriter, r *http.Request) {
 				next := testPolicy()
-				next.Routes[1].Homes = policy.Homes{"r1"}
+				next.Routes[1].AllowedRegions = policy.Regions{"r1"}
 				next.Version++
 				c.change(&next)
 				f.inForce.Store(next.Indexed())
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -104,7 +104,7 @@
 // choiceRequest returns the input for the choice of an endpoint, without the candidates.
 func (j *job) choiceRequest(tried map[engine.Incarnation]bool, now time.Time) choice.Request {
 	return choice.Request{
-		Call: j.regionScopedCall(), Homes: j.regions.regions, Exclude: tried, Profile: profile(j.service),
+		Call: j.regionScopedCall(), AllowedRegions: j.regions.regions, Exclude: tried, Profile: profile(j.service),
 		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.connectionShare(), Now: now,
 	}
 }
--- a/fleet/relay/forward/send.go
+++ b/fleet/relay/forward/send.go
@@ -151,8 +151,8 @@
 
 // readHead reads the head of an answer, records what it shows of the endpoint and returns the outcome.
 func (j *job) readHead(t *choice.Placement, used *connUse, resp *http.Response, started time.Time) outcome {
-	v := j.Wire.Judge(resp)
-	used.setIdleTimeout(v.Keeps)
+	v := j.Wire.ParseAnswer(resp)
+	used.setIdleTimeout(v.IdleTimeout)
 	now := clock.Now()
 	if v.HasLoad {
 		t.Report(v.Load, now)
@@ -186,8 +186,8 @@
 
 // request builds the request of an attempt, with the caller's method, target and body.
 func (j *job) request(ctx context.Context, t *choice.Placement, lastEventID string) *http.Request {
-	header := j.Wire.Prepare(j.r.Header, j.call, call.Send{
-		Tenant: j.tenant.Name, Instance: t.Engine.ID, Left: clock.Until(j.end), Priority: j.priority(), LastEventID: lastEventID, FetchFrom: t.Source,
+	header := j.Wire.Prepare(j.r.Header, j.call, call.AttemptHead{
+		Tenant: j.tenant.Name, EndpointID: t.Engine.ID, Remaining: clock.Until(j.end), Priority: j.priority(), LastEventID: lastEventID, FetchFrom: t.Source,
 	})
 	req := &http.Request{
 		Method: j.r.Method, URL: target(t.Engine.Address, j.r.RequestURI), Host: j.r.Host, Header: header,
--- a/fleet/relay/forward/stall_test.go
+++ b/fleet/relay/forward/stall_test.go
@@ -28,7 +28,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), c.gone)
 				defer cancel()
 				began := time.Now()
-				New(Options{Unread: c.unread}).awaitBacklog(ctx)
+				New(Options{Backlog: c.unread}).awaitBacklog(ctx)
 				assert.Equal(t, c.waits, time.Since(began))
 			})
 		})
--- a/fleet/relay/forward/stream.go
+++ b/fleet/relay/forward/stream.go
@@ -56,10 +56,10 @@
 	if events == 0 {
 		return 0
 	}
-	if j.service.Stride <= 0 {
+	if j.service.TokensPerEvent <= 0 {
 		return j.reserved
 	}
-	return min(j.reserved, j.call.PromptMax+min(events*j.service.Stride, j.call.OutputMax))
+	return min(j.reserved, j.call.PromptMax+min(events*j.service.TokensPerEvent, j.call.OutputMax))
 }
 
 // resume continues a broken stream at another endpoint.
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -56,12 +56,12 @@
 	// Sample records an answer and reports whether it counts as bad; a bad one is not reported
 	// again. A stream may be reported at its first event and again at its end.
 	Sample(s rollout.Sample) (bad bool)
-	// SlowFrom returns from how many times the expected duration an answer counts as bad, or after
+	// SlowThreshold returns from how many times the expected duration an answer counts as bad, or after
 	// how long if the node knows the old version only from other nodes' reports. Both are 0 if
 	// neither is known.
-	SlowFrom(service, route string) (times float64, after time.Duration)
-	// Lasts records how long a call of a service is expected to take.
-	Lasts(service string, d time.Duration)
+	SlowThreshold(service, route string) (times float64, after time.Duration)
+	// RecordExpected records how long a call of a service is expected to take.
+	RecordExpected(service string, d time.Duration)
 }
 
 // trial returns the trial of the call's service, or nil.
@@ -82,7 +82,7 @@
 		Hash: xxhash.Sum64String(j.call.ID), Route: j.route.Name, Once: j.route.Kind == policy.Once,
 		MaxDuration: j.maxDuration(r), Attempt: len(r.Exclude), Now: r.Now,
 	}
-	j.Samples.Lasts(j.service.Name, c.MaxDuration)
+	j.Samples.RecordExpected(j.service.Name, c.MaxDuration)
 	side := t.plan.Side(c)
 	r.Trial = side == rollout.New
 	placement, ok := j.pickAmong(t, t.lists.For(&t.plan, c), r)
@@ -115,8 +115,8 @@
 // maxDuration returns the expected maximum duration of an attempt.
 func (j *job) maxDuration(r choice.Request) time.Duration {
 	events := int64(0)
-	if j.service.Stride > 0 {
-		events = j.call.OutputMax/j.service.Stride + 1
+	if j.service.TokensPerEvent > 0 {
+		events = j.call.OutputMax/j.service.TokensPerEvent + 1
 	}
 	expected := j.Picker.Lasts(r.Profile, j.call.PromptMax, events, j.service.Slots)
 	return min(time.Duration(durationMargin*float64(expected)), j.end.Sub(r.Now))
@@ -220,7 +220,7 @@
 	s := j.sampleOf(trial, t, clock.Now())
 	j.Samples.Sent(s)
 	j.reported.sent = true
-	times, after := j.Samples.SlowFrom(s.Service, s.Route)
+	times, after := j.Samples.SlowThreshold(s.Service, s.Route)
 	if times > 0 {
 		after = t.SlowAfter(slowMargin * times)
 	}
--- a/fleet/relay/forward/trial_alloc_test.go
+++ b/fleet/relay/forward/trial_alloc_test.go
@@ -25,7 +25,7 @@
 	set := rollout.Set{}.With("s", rollout.Rollout{Order: order, Status: status, Revision: 9, LearnedAt: time.Now()})
 	t := NewTrial(rollout.Split(engine.NewDirectory(1, all).Of("s"), set, "s"), false)
 	h := &Handler{Options: Options{Picker: choice.NewPicker("z", choice.DefaultTuning())}}
-	j := &job{Handler: h, service: policy.Service{Name: "s", KVCapacity: 1, Stride: 10, Slots: 16}, call: call.Call{ID: "c", PromptMax: 1000, OutputMax: 100}, end: time.Now().Add(time.Minute)}
+	j := &job{Handler: h, service: policy.Service{Name: "s", KVCapacity: 1, TokensPerEvent: 10, Slots: 16}, call: call.Call{ID: "c", PromptMax: 1000, OutputMax: 100}, end: time.Now().Add(time.Minute)}
 	return j, t, rollout.Call{Route: "r", Hash: 1, Now: time.Now()}
 }
 
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -52,13 +52,13 @@
 	return one.Failed || s.slow > 0 && one.Slowness > s.slow
 }
 
-func (s *samples) SlowFrom(string, string) (float64, time.Duration) {
+func (s *samples) SlowThreshold(string, string) (float64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slow, 0
 }
 
-func (s *samples) Lasts(_ string, d time.Duration) {
+func (s *samples) RecordExpected(_ string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lasts = append(s.lasts, d)
--- a/fleet/relay/intake.go
+++ b/fleet/relay/intake.go
@@ -25,8 +25,8 @@
 	every(ctx, linkInterval, func() {
 		use := reader.Read()
 		customer, share := n.gate.Heaviest()
-		changed := n.intake.Read(overload.Load{Used: use.Fuller(), Customer: customer, CallShare: share, Others: mayDivert && mayMove(n.registry.Members(), n.settings.Zone)})
-		n.metrics.Link(n.intake.Share(), n.intake.Open(), n.meter.Waited())
+		changed := n.intake.Read(overload.Load{Used: use.Max(), Customer: customer, CallShare: share, Others: mayDivert && mayMove(n.registry.Members(), n.settings.Zone)})
+		n.metrics.Link(n.intake.Share(), n.intake.Open(), n.meter.Delayed())
 		n.metrics.Memory(n.memory.State())
 		if !changed {
 			return
--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -42,7 +42,7 @@
 	defer b.mu.Unlock()
 	var reports []Report
 	for life, k := range b.known {
-		if k.due.TakeNews() && (k.own || forward) {
+		if k.due.TakeUpdate() && (k.own || forward) {
 			reports = append(reports, k.report(life, now))
 		}
 	}
@@ -58,7 +58,7 @@
 	defer b.mu.Unlock()
 	var reports []Report
 	for life, k := range b.known {
-		if k.due.Along(now) && (k.own || forward) {
+		if k.due.WithDigests(now) && (k.own || forward) {
 			reports = append(reports, k.report(life, now))
 		}
 	}
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -43,7 +43,7 @@
 	by        string
 	own       bool // the latest answer was to this node
 	placed    time.Time
-	due       telling.Due
+	due       telling.Schedule
 }
 
 // signal is what an answer signals about a limit.
@@ -105,7 +105,7 @@
 	if !changed {
 		return
 	}
-	b.urgent.Hurry()
+	b.urgent.Notify()
 	b.changed(c)
 }
 
@@ -131,7 +131,7 @@
 	}
 	k.named, k.perSecond, k.observed, k.by, k.own = s.named, s.perSecond, s.at, s.by, s.by == ""
 	if changed {
-		k.due.News(now)
+		k.due.MarkUpdated(now)
 	} else {
 		k.due.Renew(now)
 	}
--- a/fleet/relay/link/meter.go
+++ b/fleet/relay/link/meter.go
@@ -28,8 +28,8 @@
 // Utilization is the share of a link's capacity that was used in each direction.
 type Utilization struct{ In, Out float64 }
 
-// Fuller returns the utilization of the busier direction.
-func (u Utilization) Fuller() float64 { return max(u.In, u.Out) }
+// Max returns the utilization of the busier direction.
+func (u Utilization) Max() float64 { return max(u.In, u.Out) }
 
 // Reader returns the utilization since its last reading. It is not safe for concurrent use.
 type Reader struct {
@@ -55,8 +55,8 @@
 	return u
 }
 
-// Waited returns the number of writes that the pacer has delayed.
-func (m *Meter) Waited() int64 { return m.pacer.Waited() }
+// Delayed returns the number of writes that the pacer has delayed.
+func (m *Meter) Delayed() int64 { return m.pacer.Waited() }
 
 // Conn wraps a connection to count its bytes and pace its writes, which are of class Answers
 // unless Classify sets another.
--- a/fleet/relay/link/meter_test.go
+++ b/fleet/relay/link/meter_test.go
@@ -31,9 +31,9 @@
 		u := reader.Read()
 		assert.InDelta(t, 0.6, u.In, 1e-9)
 		assert.InDelta(t, 0.2, u.Out, 1e-9)
-		assert.InDelta(t, 0.6, u.Fuller(), 1e-9)
+		assert.InDelta(t, 0.6, u.Max(), 1e-9)
 		time.Sleep(time.Second)
-		assert.Zero(t, reader.Read().Fuller())
+		assert.Zero(t, reader.Read().Max())
 		require.NoError(t, c.Close())
 	})
 }
@@ -41,7 +41,7 @@
 func TestLinkOfUnknownCapacityIsNeverFull(t *testing.T) {
 	meter := link.NewMeter(0)
 	assert.False(t, meter.Known())
-	assert.Zero(t, meter.Reader().Read().Fuller())
+	assert.Zero(t, meter.Reader().Read().Max())
 }
 
 // CloseWrite must reach the wrapped connection: otherwise callers get a reset in place of a refusal.
--- a/fleet/relay/memory/budget.go
+++ b/fleet/relay/memory/budget.go
@@ -31,8 +31,8 @@
 	return true
 }
 
-// Give releases bytes that were taken.
-func (b *Budget) Give(bytes int64) {
+// Release releases bytes that were taken.
+func (b *Budget) Release(bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.held -= bytes
@@ -41,12 +41,12 @@
 // State is a snapshot of a budget.
 type State struct {
 	Bound, Held, Peak int64 // bytes
-	Short             int64 // number of failed takes
+	Rejected          int64 // number of failed takes
 }
 
 // State returns the budget's state, for metrics.
 func (b *Budget) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return State{Bound: b.bound, Held: b.held, Peak: b.peak, Short: b.short}
+	return State{Bound: b.bound, Held: b.held, Peak: b.peak, Rejected: b.short}
 }
--- a/fleet/relay/memory/budget_test.go
+++ b/fleet/relay/memory/budget_test.go
@@ -18,8 +18,8 @@
 		state memory.State
 	}{
 		{"fits", 100, []int64{40, 60}, []bool{true, true}, memory.State{Bound: 100, Held: 100, Peak: 100}},
-		{"does not fit", 100, []int64{60, 41}, []bool{true, false}, memory.State{Bound: 100, Held: 60, Peak: 60, Short: 1}},
-		{"fits again", 100, []int64{60, 41, -60, 41}, []bool{true, false, true, true}, memory.State{Bound: 100, Held: 41, Peak: 60, Short: 1}},
+		{"does not fit", 100, []int64{60, 41}, []bool{true, false}, memory.State{Bound: 100, Held: 60, Peak: 60, Rejected: 1}},
+		{"fits again", 100, []int64{60, 41, -60, 41}, []bool{true, false, true, true}, memory.State{Bound: 100, Held: 41, Peak: 60, Rejected: 1}},
 		{"no bound", 0, []int64{1 << 40, 1 << 40}, []bool{true, true}, memory.State{Held: 2 << 40, Peak: 2 << 40}},
 	}
 	for _, c := range cases {
@@ -28,7 +28,7 @@
 			var got []bool
 			for _, bytes := range c.takes {
 				if bytes < 0 {
-					b.Give(-bytes)
+					b.Release(-bytes)
 					got = append(got, true)
 					continue
 				}
@@ -47,7 +47,7 @@
 		all.Go(func() {
 			for range 200 {
 				if b.Take(90) {
-					b.Give(90)
+					b.Release(90)
 				}
 			}
 		})
--- a/fleet/relay/metrics.go
+++ b/fleet/relay/metrics.go
@@ -190,5 +190,5 @@
 func (m *Metrics) Memory(s memory.State) {
 	m.heldBytes.Record(context.Background(), s.Held)
 	m.peakHeldBytes.Record(context.Background(), s.Peak)
-	m.outOfMemory.Record(context.Background(), s.Short)
+	m.outOfMemory.Record(context.Background(), s.Rejected)
 }
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -13,7 +13,7 @@
 	observed time.Time // latest answer to any node with the notice
 	own      bool      // an answer to this node had it
 	by       string    // the node that reported it
-	due      telling.Due
+	due      telling.Schedule
 }
 
 // answered records the notice of an answer to this node. It returns true if it did not hold
@@ -22,7 +22,7 @@
 	began = !l.holds(now)
 	if began {
 		l.since = now
-		l.due.News(now)
+		l.due.MarkUpdated(now)
 	}
 	l.own, l.observed = true, now
 	return began
@@ -37,7 +37,7 @@
 	l.observed = observed
 	if began {
 		l.since, l.by = now, from
-		l.due.News(now)
+		l.due.MarkUpdated(now)
 	}
 	return began
 }
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -41,7 +41,7 @@
 	peerUntil    time.Time // end of the rest requested from another node
 	by           string    // that node
 	probed       time.Time // when the first call after the rest was sent
-	due          telling.Due
+	due          telling.Schedule
 }
 
 // requested records that this node is to send nothing for a while. It returns true if no rest
@@ -52,7 +52,7 @@
 		r.since = now
 	}
 	if began && !now.Before(r.peerUntil) {
-		r.due.News(now) // otherwise the others know of one
+		r.due.MarkUpdated(now) // otherwise the others know of one
 	}
 	if until := now.Add(length); until.After(r.until) {
 		r.until = until
@@ -69,7 +69,7 @@
 	began = !now.Before(r.end())
 	if began {
 		r.since, r.probed = now, time.Time{}
-		r.due.News(now)
+		r.due.MarkUpdated(now)
 	}
 	r.peerUntil, r.by = until, from
 	return began
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -91,7 +91,7 @@
 	}
 	b.mu.Unlock()
 	if began {
-		b.urgent.Hurry()
+		b.urgent.Notify()
 		b.changed(Began{Engine: e, Notice: n})
 	}
 }
--- a/fleet/relay/overload/gate.go
+++ b/fleet/relay/overload/gate.go
@@ -60,8 +60,8 @@
 	return &Gate{rule: r, kept: 1, calls: census{byCustomer: map[string]int{}}}
 }
 
-// Body records how long it took to receive the body of a call.
-func (g *Gate) Body(took time.Duration) {
+// RecordBody records how long it took to receive the body of a call.
+func (g *Gate) RecordBody(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.bodies++
@@ -70,9 +70,9 @@
 	}
 }
 
-// Keep counts a call of a customer and reports whether this node keeps it. The key, a hash of
+// Admit counts a call of a customer and reports whether this node keeps it. The key, a hash of
 // the call's id, selects among the calls of one customer.
-func (g *Gate) Keep(customer string, key uint64) bool {
+func (g *Gate) Admit(customer string, key uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.calls.total++
--- a/fleet/relay/overload/gate_test.go
+++ b/fleet/relay/overload/gate_test.go
@@ -15,7 +15,7 @@
 	kept := map[string]float64{}
 	for customer, n := range calls {
 		for i := range n {
-			if g.Keep(customer, xxhash.Sum64String(customer)+uint64(round*1_000_003+i)) {
+			if g.Admit(customer, xxhash.Sum64String(customer)+uint64(round*1_000_003+i)) {
 				kept[customer] += 1 / float64(n)
 			}
 		}
@@ -95,10 +95,10 @@
 			var s State
 			for range 4 {
 				for range c.slow {
-					g.Body(time.Second)
+					g.RecordBody(time.Second)
 				}
 				for range c.fast {
-					g.Body(time.Millisecond)
+					g.RecordBody(time.Millisecond)
 				}
 				s = g.Read(shortWait)
 			}
--- a/fleet/relay/peer/regions_test.go
+++ b/fleet/relay/peer/regions_test.go
@@ -161,7 +161,7 @@
 	now := time.Now()
 	engines := engine.NewDirectory(1, []engine.Engine{{ID: "e0", Service: "homes", Zone: "z0"}}).Of("homes")
 	c := call.Call{ID: "bound", PromptMax: 9000, Parts: []call.Part{{ID: "secret", Tokens: 2520}, {ID: "own", Tokens: 6000}}}
-	placed, ok := g.picker.Pick(choice.Request{Call: c, Homes: []string{"r0", "r1"}, Engines: engines, Profile: choice.Profile{Service: "homes", Tokens: true, Capacity: 347_000}, Cap: 9, Now: now})
+	placed, ok := g.picker.Pick(choice.Request{Call: c, AllowedRegions: []string{"r0", "r1"}, Engines: engines, Profile: choice.Profile{Service: "homes", Tokens: true, Capacity: 347_000}, Cap: 9, Now: now})
 	assert.True(t, ok)
 	placed.First(100*time.Millisecond, now)
 	for range budgetEvery * roundBeats * farEvery {
--- a/fleet/relay/policy/policy.go
+++ b/fleet/relay/policy/policy.go
@@ -34,20 +34,20 @@
 
 // Route maps the calls with a host and a path prefix to services.
 type Route struct {
-	Name       string
-	Host       string
-	Prefix     string
-	Kind       Kind
-	Resumable  bool
-	Public     bool
-	Timeout    time.Duration // maximum duration of a call; 0: none
-	Objective  time.Duration // an answer within this time has its full value
-	Gap        time.Duration // maximum pause between events that counts as in time; 0: none
-	Attempts   int           // maximum number of endpoints that a call is sent to
-	Priority   int           // 0 is the highest
-	Splits     []Split
-	PrefixPart bool // calls share parts of their prompts
-	Homes      Homes
+	Name           string
+	Host           string
+	Prefix         string
+	Kind           Kind
+	Resumable      bool
+	Public         bool
+	Timeout        time.Duration // maximum duration of a call; 0: none
+	Objective      time.Duration // an answer within this time has its full value
+	Gap            time.Duration // maximum pause between events that counts as in time; 0: none
+	Attempts       int           // maximum number of endpoints that a call is sent to
+	Priority       int           // 0 is the highest
+	Splits         []Split
+	PrefixPart     bool // calls share parts of their prompts
+	AllowedRegions Regions
 }
 
 // MayRepeat reports whether a call of the route may run more than once.
@@ -65,7 +65,7 @@
 type Service struct {
 	Name           string
 	MaxConnections int     // to one endpoint, from all nodes together
-	Stride         int64   // tokens per event of a stream; 0 if it has no tokens
+	TokensPerEvent int64   // tokens per event of a stream; 0 if it has no tokens
 	Slots          int     // calls that an endpoint runs at a time
 	KVCapacity     int64   // tokens in an endpoint's cache
 	TokenBytes     int64   // size of a cached token in transfers between endpoints
@@ -77,27 +77,27 @@
 
 // Tenant is a customer with keys and a prepaid budget.
 type Tenant struct {
-	Name        string
-	Keys        []string
-	Priority    int
-	HasPriority bool
-	Prepaid     int64 // tokens for the whole day
-	HasPrepaid  bool
-	Homes       Homes
+	Name           string
+	Keys           []string
+	Priority       int
+	HasPriority    bool
+	Prepaid        int64 // tokens for the whole day
+	HasPrepaid     bool
+	AllowedRegions Regions
 }
 
-// Homes are the regions in which a call may run and its data may be kept. Without any, all are
+// Regions are the regions in which a call may run and its data may be kept. Without any, all are
 // allowed.
-type Homes []string
+type Regions []string
 
 // Allow reports whether a call may run in a region.
-func (h Homes) Allow(region string) bool {
+func (h Regions) Allow(region string) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
 
-// With returns the regions that both allow. A nil result means any region, an empty one that is not
+// Intersect returns the regions that both allow. A nil result means any region, an empty one that is not
 // nil means none.
-func (h Homes) With(other Homes) Homes {
+func (h Regions) Intersect(other Regions) Regions {
 	switch {
 	case len(h) == 0:
 		return slices.Clone(other)
--- a/fleet/relay/relay_test.go
+++ b/fleet/relay/relay_test.go
@@ -295,7 +295,7 @@
 	m.Rollout("service", 1, 0.1)
 	m.RolloutAnswers("service", "route", "old", 2, 1)
 	m.Link(0.7, true, 3)
-	m.Memory(memory.State{Held: 1, Peak: 2, Short: 3})
+	m.Memory(memory.State{Held: 1, Peak: 2, Rejected: 3})
 	answer := httptest.NewRecorder()
 	instruments.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
--- a/fleet/relay/telling/telling.go
+++ b/fleet/relay/telling/telling.go
@@ -10,35 +10,35 @@
 	renewInterval = 10 * time.Second        // between such periods without a change, for nodes that missed the last
 )
 
-// Due is the announcement schedule of one thing. The zero value announces nothing.
-type Due struct {
+// Schedule is the announcement schedule of one thing. The zero value announces nothing.
+type Schedule struct {
 	updated bool      // to be announced at once
 	started time.Time // start of the last period of announcements with the digests
 	until   time.Time // end of that period
 }
 
-// News schedules an announcement at once, and with the digests for a while.
-func (d *Due) News(now time.Time) {
+// MarkUpdated schedules an announcement at once, and with the digests for a while.
+func (d *Schedule) MarkUpdated(now time.Time) {
 	d.updated = true
 	d.started, d.until = now, now.Add(digestPeriod)
 }
 
 // Renew schedules announcements with the digests, if the last ones were long ago.
-func (d *Due) Renew(now time.Time) {
+func (d *Schedule) Renew(now time.Time) {
 	if now.Sub(d.started) >= renewInterval {
 		d.started, d.until = now, now.Add(digestPeriod)
 	}
 }
 
-// TakeNews reports whether an announcement at once is due, and clears that.
-func (d *Due) TakeNews() bool {
+// TakeUpdate reports whether an announcement at once is due, and clears that.
+func (d *Schedule) TakeUpdate() bool {
 	updated := d.updated
 	d.updated = false
 	return updated
 }
 
-// Along reports whether it is announced with the digests.
-func (d *Due) Along(now time.Time) bool { return now.Before(d.until) }
+// WithDigests reports whether it is announced with the digests.
+func (d *Schedule) WithDigests(now time.Time) bool { return now.Before(d.until) }
 
 // Urgent signals that there are updates that must not wait for the digests.
 type Urgent chan struct{}
@@ -46,8 +46,8 @@
 // NewUrgent returns an Urgent without a pending signal.
 func NewUrgent() Urgent { return make(Urgent, 1) }
 
-// Hurry sends the signal, unless one is already pending.
-func (u Urgent) Hurry() {
+// Notify sends the signal, unless one is already pending.
+func (u Urgent) Notify() {
 	select {
 	case u <- struct{}{}:
 	default:
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -244,8 +244,8 @@
 	return max(until.Sub(since), 0)
 }
 
-// SlowFrom implements forward.Samples.
-func (t *trials) SlowFrom(service, route string) (times float64, after time.Duration) {
+// SlowThreshold implements forward.Samples.
+func (t *trials) SlowThreshold(service, route string) (times float64, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
@@ -254,8 +254,8 @@
 	return 0, 0
 }
 
-// Lasts implements forward.Samples.
-func (t *trials) Lasts(service string, d time.Duration) {
+// RecordExpected implements forward.Samples.
+func (t *trials) RecordExpected(service string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -109,7 +109,7 @@
 	for i := range 20 {
 		j.sent++
 		target := r.State() == rollout.InProgress && (i%10 == 0 || r.Status.Stage == rollout.Moving)
-		j.trials.Lasts("s", time.Second)
+		j.trials.RecordExpected("s", time.Second)
 		j.trials.Sample(rollout.Sample{
 			Service: "s", Route: "r", Target: target, Endpoint: uint64(j.sent), Slowness: 1,
 			Failed: target && j.bad > 0 && j.sent%int(j.bad) == 0,
