--- a/ctl/command/nodes.go
+++ b/ctl/command/nodes.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	lines := lo.Map(all, func(m peer.Member, _ int) []string {
-		return []string{m.Name, m.Zone, m.Address, lo.CoalesceOrEmpty(m.Build, "-"), m.Life}
+		return []string{m.Name, m.Zone, m.Address, lo.CoalesceOrEmpty(m.Build, "-"), m.Incarnation}
 	})
 	return a.print(all, []string{"NODE", "ZONE", "ADDRESS", "BUILD", "LIFE"}, lines)
 }
--- a/fleet/relay/account/restore_test.go
+++ b/fleet/relay/account/restore_test.go
@@ -141,7 +141,7 @@
 	if s.unavailable {
 		return store.Object{}, store.ErrRefused
 	}
-	s.eras.Saw(s.era)
+	s.eras.Observe(s.era)
 	if s.object.Revision.Number() == 0 {
 		return store.Object{}, store.ErrNotFound
 	}
@@ -153,7 +153,7 @@
 	if s.unavailable {
 		return store.Object{}, store.ErrRefused
 	}
-	s.eras.Saw(s.era)
+	s.eras.Observe(s.era)
 	if o.Revision != s.object.Revision && (o.Revision.Number() > 0 || s.object.Revision.Number() > 0) {
 		s.markRead()
 		return s.object, store.ErrConflict
--- a/fleet/relay/account/syncer.go
+++ b/fleet/relay/account/syncer.go
@@ -258,7 +258,7 @@
 		s.answered = now
 		return lo.Ternary(unreadable, unreadablePause, 0)
 	}
-	if s.health.Stood(now) {
+	if s.health.Stalled(now) {
 		return urgentInterval // the round timed out because the process stalled: try the store again first
 	}
 	s.setUnavailable(true, err)
@@ -363,16 +363,16 @@
 
 func (s *Syncer) receive(o store.Object) error {
 	if o.Revision < s.revision && o.Readable() == nil { // otherwise its revision may be unreadable, too
-		s.dropped.Tell(Kind, "ledger", o.Revision, s.revision)
+		s.dropped.Report(Kind, "ledger", o.Revision, s.revision)
 		return errors.Newf("accounts at revision %s are older than %s", o.Revision, s.revision)
 	}
 	l, err := s.decode(o)
 	if err != nil {
 		o.Kind = Kind
-		s.faults.Tell(o, "accounts", "nothing is drawn until it can be read", err)
+		s.faults.Report(o, "accounts", "nothing is drawn until it can be read", err)
 		return errors.Mark(errors.Wrap(err, "accounts"), errUnreadable)
 	}
-	s.faults.Read(o)
+	s.faults.Resolve(o)
 	s.apply(l, o.Revision)
 	return nil
 }
--- a/fleet/relay/apply.go
+++ b/fleet/relay/apply.go
@@ -31,10 +31,10 @@
 	}
 	p, err := n.adapter.Policy(o)
 	if err != nil {
-		n.faults.Tell(o, "policy", "the last policy", err)
+		n.faults.Report(o, "policy", "the last policy", err)
 		return
 	}
-	n.faults.Read(o)
+	n.faults.Resolve(o)
 	if before := n.policy.Load(); before != nil && p.Version <= before.Version {
 		return
 	}
--- a/fleet/relay/chain_test.go
+++ b/fleet/relay/chain_test.go
@@ -119,7 +119,7 @@
 		sources = append(sources, store.Source{Name: fmt.Sprint("source", i), Reader: &sourceLink{cacheReader{f.cache, minOrigin}, f}, Watches: firsthand})
 	}
 	sourced := store.NewSourced(s, func() []store.Source { return sources })
-	w := store.Watching{Kind: "k", History: 20 * time.Second, Rest: func() time.Duration { return restAfter(sourced.Origin("k"), rest) }}
+	w := store.FollowOptions{Kind: "k", History: 20 * time.Second, Rest: func() time.Duration { return restAfter(sourced.Origin("k"), rest) }}
 	go store.Follow(ctx, sourced, w, func(c store.Change) {
 		h.cache.Apply(c, sourced.Origin("k"))
 		h.record(c)
@@ -143,7 +143,7 @@
 	case "silent":
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait + store.AnswerBegins):
+		case <-time.After(wait + store.AnswerTimeout):
 		}
 		return errors.New("silent")
 	case "refused":
--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -116,13 +116,13 @@
 	}
 	e, err := t.adapter.Engine(o, clock.Now())
 	if err != nil {
-		t.faults.Tell(o, "endpoint", "no endpoint", err)
+		t.faults.Report(o, "endpoint", "no endpoint", err)
 		if known {
 			t.drop(o.Name)
 		}
 		return
 	}
-	t.faults.Read(o)
+	t.faults.Resolve(o)
 	delete(t.lapsed, o.Name)
 	delete(t.eras.unlisted, o.Name)
 	e = t.reconciled(t.trackIncarnation(before, known, e), known, fromCopy)
@@ -144,7 +144,7 @@
 	if !known || !t.lapsed[name].IsZero() {
 		return
 	}
-	if t.withNotice(e).State != engine.Ready || !t.health.Doubted() {
+	if t.withNotice(e).State != engine.Ready || !t.health.Suspected() {
 		t.drop(name)
 		return
 	}
--- a/fleet/relay/evacuations.go
+++ b/fleet/relay/evacuations.go
@@ -30,7 +30,7 @@
 		listed := n.listedZones(before, c.Objects)
 		if before.Revision().IsOfEraBefore(c.Revision) { // operators write what the copy lacks again
 			listed = lo.Union(listed, before.Names())
-			time.AfterFunc(rewriteWindow, n.evacuationsRefresh.Ask)
+			time.AfterFunc(rewriteWindow, n.evacuationsRefresh.Request)
 		}
 		next = before.WithListed(listed, c.Revision, now)
 	case store.Update:
@@ -59,10 +59,10 @@
 func (n *Node) zoneOf(o store.Object) (string, bool) {
 	zone := n.adapter.Evacuation(o)
 	if err := o.Readable(); err != nil {
-		n.faults.Tell(o, "evacuation", lo.Ternary(zone == "", "the zones known before", "the zone of its name"), err)
+		n.faults.Report(o, "evacuation", lo.Ternary(zone == "", "the zones known before", "the zone of its name"), err)
 		return zone, zone != ""
 	}
-	n.faults.Read(o)
+	n.faults.Resolve(o)
 	return zone, zone != ""
 }
 
--- a/fleet/relay/follow.go
+++ b/fleet/relay/follow.go
@@ -35,12 +35,12 @@
 func (n *Node) follow(ctx context.Context) {
 	kind, name := n.adapter.PolicyAt()
 	n.caches = map[string]*store.Cache{kind: store.NewCache(), n.adapter.EngineKind(): store.NewCache(), peer.Kind: store.NewCache(), n.adapter.EvacuationKind(): store.NewCache(), n.adapter.RolloutKind(): store.NewCache(), account.Kind: n.gossip.Ledgers()}
-	policies := store.Watching{Kind: kind, Rest: n.rest(kind, fraction(policyRestShare, n.settings.Apply())), History: n.settings.History(), Health: n.health, Log: n.log, Leads: true, Longest: n.longestWatch}
+	policies := store.FollowOptions{Kind: kind, Rest: n.rest(kind, fraction(policyRestShare, n.settings.Apply())), History: n.settings.History(), Health: n.health, Log: n.log, Leads: true, MaxWait: n.longestWatch}
 	go func() {
 		n.awaitPeers(ctx)
 		store.Follow(ctx, n.store, policies, n.cached(kind, func(c store.Change) { n.applyPolicy(name, c) }))
 	}()
-	engines := store.Watching{Kind: n.adapter.EngineKind(), Rest: n.rest(n.adapter.EngineKind(), fraction(engineRestShare, n.settings.EndpointDrain())), History: n.settings.History(), Health: n.health, Log: n.log}
+	engines := store.FollowOptions{Kind: n.adapter.EngineKind(), Rest: n.rest(n.adapter.EngineKind(), fraction(engineRestShare, n.settings.EndpointDrain())), History: n.settings.History(), Health: n.health, Log: n.log}
 	go func() {
 		n.awaitPeers(ctx)
 		store.Follow(ctx, n.store, engines, n.cached(n.adapter.EngineKind(), n.engineTable.apply))
@@ -93,7 +93,7 @@
 		return
 	}
 	kind := n.adapter.EvacuationKind()
-	w := store.Watching{Kind: kind, Rest: store.Always(0), History: n.settings.History(), Health: n.health, Log: n.log, Again: &n.evacuationsRefresh}
+	w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, Relist: &n.evacuationsRefresh}
 	go func() {
 		n.awaitPeers(ctx)
 		store.Follow(ctx, n.store, w, n.cached(kind, n.applyEvacuations))
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -38,12 +38,12 @@
 			return
 		}
 		allowance := allowanceWith("a", 100)
-		registry := NewRegistry(nil, Member{Name: "a", Life: "1", Address: "127.0.0.1:0"}, store.NewHealth(), 0, quiet)
+		registry := NewRegistry(nil, Member{Name: "a", Incarnation: "1", Address: "127.0.0.1:0"}, store.NewHealth(), 0, quiet)
 		gossip, err := Listen("127.0.0.1:0", registry, choice.NewPicker("z", choice.DefaultTuning()), allowance, func() bool { return false })
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
 		suspicions := doubt.NewTracker("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
-		gossip.WithRollouts(&fakeTalk{}).WithDoubts(suspicions)
+		gossip.WithRollouts(&fakeTalk{}).WithSuspicions(suspicions)
 		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
 		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
 		suspicions.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -52,7 +52,7 @@
 	elsewhere   atomic.Bool // a writer of another zone reported that it reaches the store
 	sources     atomic.Pointer[[]store.Source]
 	client      *http.Client
-	rollouts    RolloutTalk     // nil: no orders on this node
+	rollouts    RolloutExchange // nil: no orders on this node
 	busy        func() bool     // reports whether this node's link is busy
 	suspicions  *doubt.Tracker  // nil: no reports on endpoints that fail
 	quarantine  Quarantine      // nil: no reports on requests under which endpoints end
@@ -260,7 +260,7 @@
 
 func (g *Gossip) receive(m message, from string) {
 	if m.Era > 0 {
-		g.eras.Saw(m.Era)
+		g.eras.Observe(m.Era)
 	}
 	switch {
 	case len(m.Requests) > 0:
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -29,7 +29,7 @@
 	Outage        *account.Outage                 `json:"outage,omitempty"`     // of the store, expected again
 	Requests      []transferRequest               `json:"requests,omitempty"`
 	Grants        []grant                         `json:"grants,omitempty"`
-	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // open orders
+	Rollouts      *RolloutReport                  `json:"rollouts,omitempty"`   // open orders
 	Suspicions    []doubt.Report                  `json:"doubts,omitempty"`     // endpoints at which calls failed recently
 	Quarantine    *quarantine.Report              `json:"quarantine,omitempty"` // requests under which endpoints end
 	Limits        []limit.Report                  `json:"limits,omitempty"`     // limits that endpoints name
@@ -40,7 +40,7 @@
 
 // withSender fills in the sender of a message.
 func (g *Gossip) withSender(m message) message {
-	m.Node, m.Incarnation = g.registry.self.Name, g.registry.self.Life
+	m.Node, m.Incarnation = g.registry.self.Name, g.registry.self.Incarnation
 	return m
 }
 
--- a/fleet/relay/peer/quarantine.go
+++ b/fleet/relay/peer/quarantine.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// TurnFor returns this node's position, from 0, in an order of the judges that differs for
+// SlotFor returns this node's position, from 0, in an order of the judges that differs for
 // each key: the first one does what must be done once, and the next ones if it did not.
 // A node that is not a judge comes after all judges.
-func (g *Gossip) TurnFor(key string) int {
+func (g *Gossip) SlotFor(key string) int {
 	writers, _ := g.currentChoice()
 	names := lo.Keys(writers)
 	rank := func(name string) uint64 { return xxhash.Sum64String(key + name) }
--- a/fleet/relay/peer/registry.go
+++ b/fleet/relay/peer/registry.go
@@ -24,12 +24,12 @@
 
 // Member is the registration of a node.
 type Member struct {
-	Name     string  `json:"name"`
-	Life     string  `json:"life"` // incarnation of the node; differs for each start
-	Zone     string  `json:"zone"`
-	Address  string  `json:"address"`            // for datagrams, lists and watches, IP:PORT
-	LinkMbps float64 `json:"linkMbps,omitempty"` // link speed of its VM; 0 if unknown
-	Build    string  `json:"build,omitempty"`    // build of its program; "" if not reported
+	Name        string  `json:"name"`
+	Incarnation string  `json:"life"` // incarnation of the node; differs for each start
+	Zone        string  `json:"zone"`
+	Address     string  `json:"address"`            // for datagrams, lists and watches, IP:PORT
+	LinkMbps    float64 `json:"linkMbps,omitempty"` // link speed of its VM; 0 if unknown
+	Build       string  `json:"build,omitempty"`    // build of its program; "" if not reported
 }
 
 // Registry tracks the nodes that the store lists.
@@ -107,7 +107,7 @@
 func (r *Registry) Run(ctx context.Context, observe func(store.Change)) {
 	go r.register(ctx)
 	clock.Pause(ctx, r.startup)
-	store.Follow(ctx, r.store, store.Watching{Kind: Kind, Rest: r.rest, History: r.history, Health: r.health, Log: r.log}, func(c store.Change) {
+	store.Follow(ctx, r.store, store.FollowOptions{Kind: Kind, Rest: r.rest, History: r.history, Health: r.health, Log: r.log}, func(c store.Change) {
 		observe(c)
 		r.apply(c)
 	})
@@ -149,7 +149,7 @@
 			clock.Pause(ctx, registerBackoff)
 			continue
 		}
-		r.log.WithField("life", r.self.Life).Info("registered")
+		r.log.WithField("life", r.self.Incarnation).Info("registered")
 		select {
 		case <-ctx.Done():
 		case <-r.rewriteDue:
@@ -230,13 +230,13 @@
 // holds that of an earlier incarnation.
 func (r *Registry) restoreOwn() {
 	own, listed := r.byName[r.self.Name]
-	if listed && own.Life == r.self.Life {
+	if listed && own.Incarnation == r.self.Incarnation {
 		return
 	}
 	if !listed {
 		r.ownRevision.Store(0)
 	}
-	r.log.WithField("life", r.self.Life).WithField("listed", own.Life).WithField("revision", r.at.Number()).WithField("era", r.at.Era()).Warn("restored store lacks this node's entry: writing it again")
+	r.log.WithField("life", r.self.Incarnation).WithField("listed", own.Incarnation).WithField("revision", r.at.Number()).WithField("era", r.at.Era()).Warn("restored store lacks this node's entry: writing it again")
 	r.rewrite()
 }
 
@@ -245,7 +245,7 @@
 		if len(r.ended) >= maxEnded {
 			clear(r.ended)
 		}
-		r.ended[m.Life] = true
+		r.ended[m.Incarnation] = true
 	}
 	delete(r.byName, name)
 	r.faults.Gone(store.Object{Kind: Kind, Name: name})
@@ -262,16 +262,16 @@
 		r.ownRevision.Store(int64(o.Revision))
 	}
 	m, err := memberOf(o)
-	if err == nil && r.ended[m.Life] && !own {
-		r.log.WithField("node", m.Name).WithField("life", m.Life).WithField("revision", o.Revision.Number()).WithField("era", o.Revision.Era()).Info("ignoring the entry of an incarnation that left, listed again by a restored store")
+	if err == nil && r.ended[m.Incarnation] && !own {
+		r.log.WithField("node", m.Name).WithField("life", m.Incarnation).WithField("revision", o.Revision.Number()).WithField("era", o.Revision.Era()).Info("ignoring the entry of an incarnation that left, listed again by a restored store")
 		return
 	}
 	if err == nil {
-		r.faults.Read(o)
+		r.faults.Resolve(o)
 		r.byName[o.Name] = m
 		return
 	}
-	r.faults.Tell(o, "node", "no node", err)
+	r.faults.Report(o, "node", "no node", err)
 	delete(r.byName, o.Name)
 	if own {
 		r.rewrite()
--- a/fleet/relay/peer/registry_test.go
+++ b/fleet/relay/peer/registry_test.go
@@ -96,7 +96,7 @@
 				defer cancel()
 				s := &listing{objects: c.listed, fails: c.fails}
 				quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-				r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
+				r := NewRegistry(s, Member{Name: "a", Incarnation: "now"}, store.NewHealth(), 0, quiet)
 				go r.Run(ctx, func(store.Change) {})
 				time.Sleep(listTimeout + 100*time.Millisecond)
 				s.mu.Lock()
@@ -136,7 +136,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-			r := NewRegistry(&listing{}, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
+			r := NewRegistry(&listing{}, Member{Name: "a", Incarnation: "now"}, store.NewHealth(), 0, quiet)
 			names := func() []string { return lo.Map(r.Members(), func(m Member, _ int) string { return m.Name }) }
 			r.apply(store.Snapshot{Objects: []store.Object{good("b"), good("c")}, Revision: 3})
 			require.Equal(t, []string{"a", "b", "c"}, names())
@@ -154,7 +154,7 @@
 // many nodes until it has listed the others.
 func TestSharersBeforeTheFirstList(t *testing.T) {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	r := NewRegistry(&listing{}, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
+	r := NewRegistry(&listing{}, Member{Name: "a", Incarnation: "now"}, store.NewHealth(), 0, quiet)
 	assert.Equal(t, assumedNodes, r.Sharers())
 	r.apply(store.Lost{})
 	assert.Equal(t, assumedNodes, r.Sharers())
@@ -172,7 +172,7 @@
 			defer cancel()
 			s := &listing{}
 			quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-			r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet)
+			r := NewRegistry(s, Member{Name: "a", Incarnation: "now"}, store.NewHealth(), 0, quiet)
 			go r.Run(ctx, func(store.Change) {})
 			time.Sleep(listTimeout + 100*time.Millisecond)
 			synctest.Wait()
@@ -220,7 +220,7 @@
 					s.objects = []store.Object{{Kind: Kind, Name: "a", Revision: 5, Data: []byte(`{"name":"a","life":"before"}`)}}
 				}
 				quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-				r := NewRegistry(s, Member{Name: "a", Life: "now"}, store.NewHealth(), 0, quiet).Starting(startup)
+				r := NewRegistry(s, Member{Name: "a", Incarnation: "now"}, store.NewHealth(), 0, quiet).Starting(startup)
 				ctx, cancel := context.WithCancel(t.Context())
 				go r.Run(ctx, func(store.Change) {})
 				time.Sleep(startup - time.Millisecond)
--- a/fleet/relay/peer/restored_test.go
+++ b/fleet/relay/peer/restored_test.go
@@ -16,7 +16,7 @@
 )
 
 func entryOf(name, incarnation string, at store.Revision) store.Object {
-	data, _ := json.Marshal(Member{Name: name, Life: incarnation, Zone: "z", Address: "127.0.0.1:1"})
+	data, _ := json.Marshal(Member{Name: name, Incarnation: incarnation, Zone: "z", Address: "127.0.0.1:1"})
 	return store.Object{Kind: Kind, Name: name, Revision: at, Data: data}
 }
 
@@ -40,7 +40,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &listing{}
-				r := NewRegistry(s, Member{Name: "a", Life: "a/1", Zone: "z"}, store.NewHealth(), 0, &log.Logger{Handler: discard.New(), Level: log.ErrorLevel})
+				r := NewRegistry(s, Member{Name: "a", Incarnation: "a/1", Zone: "z"}, store.NewHealth(), 0, &log.Logger{Handler: discard.New(), Level: log.ErrorLevel})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				r.apply(store.Snapshot{Revision: old, Objects: []store.Object{entryOf("a", "a/1", old), entryOf("b", "b/1", old), entryOf("c", "c/1", old)}})
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -16,16 +16,16 @@
 // lost datagram costs nothing. A target found bad is announced to all nodes at once, and
 // again with every digest until the order has ended. Without an order nothing is sent.
 
-// RolloutWord is a node's report on the open orders.
-type RolloutWord struct {
-	Seen []RolloutSeen         `json:"seen,omitempty"`
-	Bad  []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
-	Out  bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
-	Late bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
+// RolloutReport is a node's report on the open orders.
+type RolloutReport struct {
+	Evidence   []RolloutEvidence     `json:"seen,omitempty"`
+	Bad        []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
+	Out        bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
+	AgeUnknown bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
 }
 
-// RolloutSeen is the evidence on one order.
-type RolloutSeen struct {
+// RolloutEvidence is the evidence on one order.
+type RolloutEvidence struct {
 	Zone     string           `json:"zone,omitempty"` // zone whose nodes observed it together; "" if the sender alone did
 	Target   string           `json:"t"`
 	Evidence rollout.Evidence `json:"e"`
@@ -37,22 +37,22 @@
 	AtLeast  bool             `json:"least,omitempty"`   // UsedMs is a lower bound, since the sender found the status
 }
 
-// RolloutTalk provides a node's reports on rollouts and receives those of others. It must be
+// RolloutExchange provides a node's reports on rollouts and receives those of others. It must be
 // safe for concurrent use.
-type RolloutTalk interface {
-	Own(now time.Time) []RolloutSeen  // evidence for the delegates of the zone
-	Zone(now time.Time) []RolloutSeen // evidence for the delegates of other zones
-	Bad() []rollout.AnnounceBad       // targets found bad
-	Out(now time.Time) bool           // reports whether the node recently failed to write a status
-	Blind() bool                      // reports whether the age of the status of an open order is unknown
-	Heard(from Teller, w RolloutWord, now time.Time)
+type RolloutExchange interface {
+	Own(now time.Time) []RolloutEvidence  // evidence for the delegates of the zone
+	Zone(now time.Time) []RolloutEvidence // evidence for the delegates of other zones
+	Bad() []rollout.AnnounceBad           // targets found bad
+	Out(now time.Time) bool               // reports whether the node recently failed to write a status
+	AgeUnknown() bool                     // reports whether the age of the status of an open order is unknown
+	Receive(from Sender, w RolloutReport, now time.Time)
 }
 
-// Teller is one incarnation of a node that sends a report.
-type Teller struct{ Name, Life string }
+// Sender is one incarnation of a node that sends a report.
+type Sender struct{ Name, Incarnation string }
 
 // WithRollouts exchanges reports on rollouts.
-func (g *Gossip) WithRollouts(talk RolloutTalk) *Gossip {
+func (g *Gossip) WithRollouts(talk RolloutExchange) *Gossip {
 	g.rollouts = talk
 	return g
 }
@@ -68,10 +68,10 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	w := RolloutWord{Seen: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), Late: g.rollouts.Blind()}
+	w := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), AgeUnknown: g.rollouts.AgeUnknown()}
 	g.send(g.withSender(message{Rollouts: &w}), near...)
 	if delegates[self.Name] && len(far) > 0 {
-		w.Seen = g.rollouts.Zone(now)
+		w.Evidence = g.rollouts.Zone(now)
 		g.send(g.withSender(message{Rollouts: &w}), far...)
 	}
 }
@@ -107,14 +107,14 @@
 // afterAllZones sorts after the name of any zone.
 const afterAllZones = "\xff"
 
-// TellBad announces to all nodes at once that the target of an order was found bad.
-func (g *Gossip) TellBad(w rollout.AnnounceBad) {
+// AnnounceBad announces to all nodes at once that the target of an order was found bad.
+func (g *Gossip) AnnounceBad(w rollout.AnnounceBad) {
 	others := lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != g.registry.self.Name })
-	g.send(g.withSender(message{Rollouts: &RolloutWord{Bad: []rollout.AnnounceBad{w}}}), addresses(others)...)
+	g.send(g.withSender(message{Rollouts: &RolloutReport{Bad: []rollout.AnnounceBad{w}}}), addresses(others)...)
 }
 
 // badTargets returns the report on bad targets for the digest; nil if there are none.
-func (g *Gossip) badTargets() *RolloutWord {
+func (g *Gossip) badTargets() *RolloutReport {
 	if g.rollouts == nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	if len(bad) == 0 {
 		return nil
 	}
-	return &RolloutWord{Bad: bad}
+	return &RolloutReport{Bad: bad}
 }
 
 // receiveRollouts processes a peer's report on rollouts.
@@ -130,11 +130,11 @@
 	if g.rollouts != nil {
 		g.mu.Lock()
 		if p, ok := g.peers[m.Node]; ok && m.Number == 0 {
-			p.writeFailed, p.ageUnknown = m.Rollouts.Out, m.Rollouts.Late
+			p.writeFailed, p.ageUnknown = m.Rollouts.Out, m.Rollouts.AgeUnknown
 			g.peers[m.Node] = p
 		}
 		g.mu.Unlock()
-		g.rollouts.Heard(Teller{Name: m.Node, Life: m.Incarnation}, *m.Rollouts, clock.Now())
+		g.rollouts.Receive(Sender{Name: m.Node, Incarnation: m.Incarnation}, *m.Rollouts, clock.Now())
 	}
 }
 
@@ -165,7 +165,7 @@
 // isAgeUnknown reports whether a delegate does not know the age of the status of an order.
 func (g *Gossip) isAgeUnknown(m Member) bool {
 	if m.Name == g.registry.self.Name {
-		return g.rollouts.Blind()
+		return g.rollouts.AgeUnknown()
 	}
 	return g.stateOf(m.Name).ageUnknown
 }
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -17,26 +17,26 @@
 
 // fakeTalk is a RolloutTalk that provides fixed reports and records received ones.
 type fakeTalk struct {
-	seen []RolloutSeen
+	seen []RolloutEvidence
 	bad  []rollout.AnnounceBad
 	out  bool
 	late bool
 
 	mu       sync.Mutex
-	received []RolloutWord
+	received []RolloutReport
 }
 
-func (k *fakeTalk) Own(time.Time) []RolloutSeen { return k.seen }
+func (k *fakeTalk) Own(time.Time) []RolloutEvidence { return k.seen }
 
-func (k *fakeTalk) Zone(time.Time) []RolloutSeen {
-	return lo.Map(k.seen, func(s RolloutSeen, _ int) RolloutSeen { s.Zone = "z"; return s })
+func (k *fakeTalk) Zone(time.Time) []RolloutEvidence {
+	return lo.Map(k.seen, func(s RolloutEvidence, _ int) RolloutEvidence { s.Zone = "z"; return s })
 }
 
 func (k *fakeTalk) Bad() []rollout.AnnounceBad { return k.bad }
 func (k *fakeTalk) Out(time.Time) bool         { return k.out }
-func (k *fakeTalk) Blind() bool                { return k.late }
+func (k *fakeTalk) AgeUnknown() bool           { return k.late }
 
-func (k *fakeTalk) Heard(_ Teller, w RolloutWord, _ time.Time) {
+func (k *fakeTalk) Receive(_ Sender, w RolloutReport, _ time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.received = append(k.received, w)
@@ -153,7 +153,7 @@
 // The evidence on an order with five routes and over a thousand answers each fits into less
 // than two kilobytes.
 func TestEvidenceIsSent(t *testing.T) {
-	seen := RolloutSeen{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
+	seen := RolloutEvidence{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
 	for i := range 5 {
 		r := rollout.RouteEvidence{Route: fmt.Sprint("a-long-name-of-a-route-", i)}
 		for c := range rollout.Cohorts {
@@ -161,14 +161,14 @@
 		}
 		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
 	}
-	k := &fakeTalk{seen: []RolloutSeen{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeTalk{seen: []RolloutEvidence{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
 	require.True(t, ok)
 	assert.Less(t, size, 2<<10)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Seen: k.seen, Bad: k.bad, Out: true}}, k.received)
+	assert.Equal(t, []RolloutReport{{Evidence: k.seen, Bad: k.bad, Out: true}}, k.received)
 	g.sendRollouts(map[string]bool{"a": true})
 	_, _, ok = nextMessage(t, other)
 	assert.False(t, ok, "no other delegate")
@@ -180,11 +180,11 @@
 	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "w"}
 	k := &fakeTalk{}
 	g, other := gossipWithPeer(t, k)
-	g.TellBad(w)
+	g.AnnounceBad(w)
 	m, _, ok := nextMessage(t, other)
 	require.True(t, ok)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Bad: []rollout.AnnounceBad{w}}}, k.received)
+	assert.Equal(t, []RolloutReport{{Bad: []rollout.AnnounceBad{w}}}, k.received)
 	k.bad = []rollout.AnnounceBad{w}
-	assert.Equal(t, &RolloutWord{Bad: []rollout.AnnounceBad{w}}, g.badTargets())
+	assert.Equal(t, &RolloutReport{Bad: []rollout.AnnounceBad{w}}, g.badTargets())
 }
--- a/fleet/relay/peer/source.go
+++ b/fleet/relay/peer/source.go
@@ -198,7 +198,7 @@
 	if r.busy() {
 		return busySlack
 	}
-	return store.AnswerBegins
+	return store.AnswerTimeout
 }
 
 const (
@@ -281,7 +281,7 @@
 	case answer.Era == 0:
 		answer.Era = newest
 	default:
-		r.eras.Saw(answer.Era)
+		r.eras.Observe(answer.Era)
 	}
 	return answer, nil
 }
--- a/fleet/relay/peer/source_test.go
+++ b/fleet/relay/peer/source_test.go
@@ -23,7 +23,7 @@
 func TestBusyLinkExtendsTimeouts(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(store.AnswerBegins + 200*time.Millisecond)
+			time.Sleep(store.AnswerTimeout + 200*time.Millisecond)
 			_, _ = w.Write([]byte(`{"revision":7}`))
 		}))
 		isBusy := func() bool { return busy }
--- a/fleet/relay/peer/suspicions.go
+++ b/fleet/relay/peer/suspicions.go
@@ -15,8 +15,8 @@
 // nodes observed the failures. Both are sent again with the digests, so that a lost datagram
 // costs a second at most. In a fleet where all nodes write, each sends to all others.
 
-// WithDoubts exchanges reports on endpoints that fail. It must be called before Run.
-func (g *Gossip) WithDoubts(b *doubt.Tracker) *Gossip {
+// WithSuspicions exchanges reports on endpoints that fail. It must be called before Run.
+func (g *Gossip) WithSuspicions(b *doubt.Tracker) *Gossip {
 	g.suspicions = b
 	g.registry.OnChange(func(members []Member) {
 		b.Nodes(lo.SliceToMap(members, func(m Member) (string, string) { return m.Name, m.Zone }))
--- a/fleet/relay/peer/suspicions_test.go
+++ b/fleet/relay/peer/suspicions_test.go
@@ -64,7 +64,7 @@
 		g.socket = port{network: wire, address: m.Address}
 		b := doubt.NewTracker(m.Name, m.Zone, doubt.DefaultRule(), func(doubt.Avoided) {})
 		g.number = 1 // the next two beats send no digest to all
-		g.WithDoubts(b)
+		g.WithSuspicions(b)
 		b.Engines(engines)
 		b.Nodes(lo.SliceToMap(all, func(m Member) (string, string) { return m.Name, m.Zone }))
 		g.choose()
--- a/fleet/relay/peer/writers.go
+++ b/fleet/relay/peer/writers.go
@@ -80,8 +80,8 @@
 	return order
 }
 
-// Heard returns a channel that receives a value when a writer's slot has ended with a write.
-func (g *Gossip) Heard() <-chan struct{} { return g.ledgers.wrote }
+// LedgerWrites returns a channel that receives a value when a writer's slot has ended with a write.
+func (g *Gossip) LedgerWrites() <-chan struct{} { return g.ledgers.wrote }
 
 // Slot returns this node's slot for writing the ledger.
 func (g *Gossip) Slot() account.Slot {
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -53,7 +53,7 @@
 	if !n.settings.Enabled(quarantineMechanism) {
 		return
 	}
-	q := &quarantineManager{Node: n, slot: g.TurnFor}
+	q := &quarantineManager{Node: n, slot: g.SlotFor}
 	q.Tracker = quarantine.NewTracker(quarantine.DefaultRule(), q, func() quarantine.Role {
 		switch {
 		case !g.Writes():
@@ -275,7 +275,7 @@
 	for _, o := range objects {
 		k, err := decodeHeld(o)
 		if err != nil {
-			q.faults.Tell(o, "quarantined request", "nothing of it", err)
+			q.faults.Report(o, "quarantined request", "nothing of it", err)
 			continue
 		}
 		k.AgeMs, k.Stored = 0, true
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -85,8 +85,8 @@
 	moves              atomic.Pointer[forward.Trials]   // of the services with an open order
 	engineTable        *engineTable
 	trials             *trials
-	ordersRefresh      store.Again
-	evacuationsRefresh store.Again
+	ordersRefresh      store.Relist
+	evacuationsRefresh store.Relist
 	faults             *store.Faults // logs entries that can't be read
 	bounds             *bound.Gate
 	limits             *limit.Tracker  // nil: limits of endpoints are ignored
@@ -130,7 +130,7 @@
 func New(s Settings, a Adapter, l log.Interface) (*Node, error) {
 	limitMemory(s.MemoryMB)
 	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStandstills(), log: l}
-	n.health = store.NewHealth().WithStandstills(n.stalls.Since)
+	n.health = store.NewHealth().WithStalls(n.stalls.Since)
 	if err := n.initTelemetry(); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	n.eras.OnRise(n.storeRestored)
 	n.store = store.NewSourced(store.Probed(store.Counted(a.Store(), n.metrics)), n.sources).WithEras(n.eras)
 	incarnation := uuid.NewString()
-	self := peer.Member{Name: s.Node, Life: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
+	self := peer.Member{Name: s.Node, Incarnation: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
 	n.allowance = account.NewAllowance(s.Node, incarnation, s.Budget.Tuning())
 	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Unavailable() })
 	n.picker = choice.NewPicker(s.Zone, s.Choice()).WithColdGate(n.bounds, cold.Rule{Overrun: s.Cold.Overrun, Tolerance: s.Cold.Tolerance}).WithPlaces(n.places)
@@ -162,7 +162,7 @@
 		n.bounds.Nodes(lo.Map(members, func(m peer.Member, _ int) string { return m.Name }), clock.Now())
 	})
 	n.registry.OnChange(newBuilds(n).logChange)
-	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithSlots(gossip.Slot, gossip.Heard()).WithEras(n.eras)
+	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithSlots(gossip.Slot, gossip.LedgerWrites()).WithEras(n.eras)
 	n.gate = overload.NewGate(overload.DefaultRule())
 	n.intake = overload.NewIntake(overload.DefaultIntakeRule())
 	n.meter = link.NewMeter(s.LinkMbps)
--- a/fleet/relay/restored_orders_test.go
+++ b/fleet/relay/restored_orders_test.go
@@ -22,7 +22,7 @@
 		n.applyEvacuations(store.Snapshot{Revision: store.At(1, 5)})
 		n.applyEvacuations(store.Update{Revision: store.At(1, 20), Events: []store.Event{{Object: store.Object{Name: "a", Revision: store.At(1, 20)}}}})
 		require.Equal(t, []string{"b1"}, n.ready())
-		asked := n.evacuationsRefresh.Asked()
+		asked := n.evacuationsRefresh.Requested()
 		n.applyEvacuations(store.Snapshot{Revision: store.At(2, 10)})
 		assert.Equal(t, []string{"b1"}, n.ready(), "the copy lacks it")
 		select {
--- a/fleet/relay/rollouts.go
+++ b/fleet/relay/rollouts.go
@@ -22,15 +22,15 @@
 		return
 	}
 	kind := n.adapter.RolloutKind()
-	w := store.Watching{Kind: kind, Rest: store.Always(0), History: n.settings.History(), Health: n.health, Log: n.log, Small: true, Again: &n.ordersRefresh}
-	n.store.Patient(kind, n.ordersDelay)
+	w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, SmallChanges: true, Relist: &n.ordersRefresh}
+	n.store.DelayStore(kind, n.ordersDelay)
 	go func() {
 		n.awaitPeers(ctx)
 		n.engineTable.awaitListed(ctx)
 		store.Follow(ctx, n.store, w, n.cached(kind, n.applyRollouts))
 	}()
 	go n.trials.run(ctx)
-	go n.writeOrdersBack(ctx, n.gossip.TurnFor)
+	go n.writeOrdersBack(ctx, n.gossip.SlotFor)
 }
 
 // noOrderDelay is how long a node that receives from no delegate and knows of no open order waits
@@ -68,7 +68,7 @@
 			}
 		}
 		if fromCopy { // operators write what the copy lacks again
-			time.AfterFunc(rewriteWindow, n.ordersRefresh.Ask)
+			time.AfterFunc(rewriteWindow, n.ordersRefresh.Request)
 		}
 		next = next.At(c.Revision)
 	case store.Update:
@@ -94,7 +94,7 @@
 // hold until an operator deletes it.
 func (n *Node) withOrder(next, before rollout.Set, o store.Object, now time.Time, listed bool) rollout.Set {
 	if o.Name == "" {
-		n.faults.Tell(o, "rollout", "the orders known before", o.Readable())
+		n.faults.Report(o, "rollout", "the orders known before", o.Readable())
 		return next
 	}
 	return next.With(o.Name, n.mergeRollout(before, o, now, listed))
@@ -108,7 +108,7 @@
 	known, ok := before.Name(o.Name)
 	if err == nil && ok && (known.MissingInStore || known.Revision.IsOfEraBefore(o.Revision)) {
 		if r = r.CarryOver(known); r.MissingInStore {
-			n.faults.Read(o)
+			n.faults.Resolve(o)
 			n.trials.rekeyWarnings(known.Order, r.Order)
 			return r
 		}
@@ -116,17 +116,17 @@
 	same := ok && known.Made == r.Made && known.Target == r.Target
 	switch {
 	case err == nil:
-		n.faults.Read(o)
+		n.faults.Resolve(o)
 	case ok && r.Order == rollout.Order{}:
-		n.faults.Tell(o, "order of a rollout", "the order and its status known before", err)
+		n.faults.Report(o, "order of a rollout", "the order and its status known before", err)
 		known.Revision = max(known.Revision, o.Revision)
 		return known
 	case same:
-		n.faults.Tell(o, "status of a rollout", "the status known before", err)
+		n.faults.Report(o, "status of a rollout", "the status known before", err)
 		known.Revision = o.Revision
 		return known
 	default:
-		n.faults.Tell(o, "rollout", "what can be read of it", err)
+		n.faults.Report(o, "rollout", "what can be read of it", err)
 	}
 	if same && known.Status.Equal(r.Status) {
 		r.LearnedAt, r.AgeUnknown = known.LearnedAt, known.AgeUnknown
--- a/fleet/relay/store/again.go
+++ b/fleet/relay/store/again.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Again makes a follower list its kind at once instead of waiting for its watch to end.
+// Relist makes a follower list its kind at once instead of waiting for its watch to end.
 // It is safe for concurrent use; a nil Again never requests a list.
-type Again struct {
+type Relist struct {
 	mu    sync.Mutex
 	watch chan struct{} // closed to end the current watch
 }
 
-// Ask ends the current watch and has the kind listed. It has no effect while the
+// Request ends the current watch and has the kind listed. It has no effect while the
 // follower is listing already; a caller that still lacks something asks again.
-func (a *Again) Ask() {
+func (a *Relist) Request() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.watch != nil {
@@ -20,8 +20,8 @@
 	}
 }
 
-// Asked returns a channel that is closed to end the watch that is about to begin.
-func (a *Again) Asked() <-chan struct{} {
+// Requested returns a channel that is closed to end the watch that is about to begin.
+func (a *Relist) Requested() <-chan struct{} {
 	if a == nil {
 		return nil
 	}
--- a/fleet/relay/store/again_test.go
+++ b/fleet/relay/store/again_test.go
@@ -38,19 +38,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &quietStore{}
-		var again store.Again
-		again.Ask() // no follower yet
+		var again store.Relist
+		again.Request() // no follower yet
 		var seen []string
-		go store.Follow(ctx, s, store.Watching{Kind: "k", Rest: store.Always(0), Again: &again}, func(c store.Change) { seen = append(seen, describe(c)) })
+		go store.Follow(ctx, s, store.FollowOptions{Kind: "k", Rest: store.FixedRest(0), Relist: &again}, func(c store.Change) { seen = append(seen, describe(c)) })
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, []string{"snapshot 1", "update 1"}, seen)
-		again.Ask()
-		again.Ask()
+		again.Request()
+		again.Request()
 		synctest.Wait()
 		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2"}, seen)
 		time.Sleep(time.Second)
-		again.Ask()
+		again.Request()
 		synctest.Wait()
 		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2", "snapshot 3"}, seen)
 		cancel()
@@ -65,7 +65,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s, health := &quietStore{}, store.NewHealth()
-			go store.Follow(ctx, s, store.Watching{Kind: "k", Rest: store.Always(0), Health: health, Small: small}, func(store.Change) {})
+			go store.Follow(ctx, s, store.FollowOptions{Kind: "k", Rest: store.FixedRest(0), Health: health, SmallChanges: small}, func(store.Change) {})
 			for range 3 {
 				time.Sleep(3 * time.Second)
 				health.Renew()
--- a/fleet/relay/store/ask_test.go
+++ b/fleet/relay/store/ask_test.go
@@ -19,7 +19,7 @@
 }
 
 func (d silentSource) Watch(ctx context.Context, _ string, since store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+store.AnswerBegins)
+	ctx, cancel := context.WithTimeout(ctx, wait+store.AnswerTimeout)
 	defer cancel()
 	for began := time.Now(); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		silent, revision, _ := d.now()
@@ -31,7 +31,7 @@
 }
 
 func (d silentSource) List(ctx context.Context, kind string) ([]store.Object, store.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, store.AnswerBegins)
+	ctx, cancel := context.WithTimeout(ctx, store.AnswerTimeout)
 	defer cancel()
 	return d.silence.List(ctx, kind)
 }
@@ -55,7 +55,7 @@
 				s := store.NewSourced(platform, func() []store.Source { return all })
 				var mu sync.Mutex
 				var known time.Time
-				go store.Follow(ctx, s, store.Watching{Kind: "endpoints", Rest: store.Always(time.Millisecond), History: 20 * time.Second}, func(c store.Change) {
+				go store.Follow(ctx, s, store.FollowOptions{Kind: "endpoints", Rest: store.FixedRest(time.Millisecond), History: 20 * time.Second}, func(c store.Change) {
 					mu.Lock()
 					defer mu.Unlock()
 					l, listed := c.(store.Snapshot)
--- a/fleet/relay/store/dropped.go
+++ b/fleet/relay/store/dropped.go
@@ -19,9 +19,9 @@
 	logged time.Time     // when it last logged
 }
 
-// Tell logs a dropped answer, at most one per droppedLogInterval; call is the call that
+// Report logs a dropped answer, at most one per droppedLogInterval; call is the call that
 // returned it.
-func (d *Dropped) Tell(kind, call string, at, known Revision) {
+func (d *Dropped) Report(kind, call string, at, known Revision) {
 	now := clock.Now()
 	if d.Log == nil || now.Sub(d.logged) < droppedLogInterval {
 		return
--- a/fleet/relay/store/eras.go
+++ b/fleet/relay/store/eras.go
@@ -41,8 +41,8 @@
 	return e.risen
 }
 
-// Saw records an era that the store or another node reported.
-func (e *Eras) Saw(era int64) {
+// Observe records an era that the store or another node reported.
+func (e *Eras) Observe(era int64) {
 	e.mu.Lock()
 	before, rises := e.newest, e.known && era > e.newest
 	e.newest, e.known, e.risen = max(e.newest, era), true, e.risen || rises
--- a/fleet/relay/store/faults.go
+++ b/fleet/relay/store/faults.go
@@ -46,9 +46,9 @@
 	return &Faults{log: l, counter: c, seed: maphash.MakeSeed(), logged: map[faultyEntry]uint64{}, tokens: faultBurst, at: clock.Now()}
 }
 
-// Tell logs and counts an entry that can't be decoded, once per revision and fault. Step
+// Report logs and counts an entry that can't be decoded, once per revision and fault. Step
 // is where the fault was found, and kept is what is used in the entry's place.
-func (f *Faults) Tell(o Object, step, kept string, err error) {
+func (f *Faults) Report(o Object, step, kept string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := faultyEntry{o.Kind, o.Name}
@@ -73,8 +73,8 @@
 	f.suppressed = 0
 }
 
-// Read notes that an entry can be decoded, and logs that if it could not be before.
-func (f *Faults) Read(o Object) {
+// Resolve notes that an entry can be decoded, and logs that if it could not be before.
+func (f *Faults) Resolve(o Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := faultyEntry{o.Kind, o.Name}
--- a/fleet/relay/store/faults_test.go
+++ b/fleet/relay/store/faults_test.go
@@ -24,21 +24,21 @@
 	f := NewFaults(&log.Logger{Handler: lines, Level: log.InfoLevel}, counted)
 	bad := func(revision Revision) Object { return Object{Kind: "k", Name: "n", Revision: revision} }
 	for range 5 {
-		f.Tell(bad(3), "endpoint", "no endpoint", errors.New("no address"))
+		f.Report(bad(3), "endpoint", "no endpoint", errors.New("no address"))
 	}
 	assert.Len(t, lines.Entries, 1)
 	fields := lines.Entries[0].Fields
 	assert.Equal(t, []any{"k", "n", int64(3), "endpoint", "no endpoint"}, []any{fields["kind"], fields["key"], fields["revision"], fields["step"], fields["kept"]})
 	assert.Contains(t, fields["error"], "no address")
-	f.Tell(bad(4), "endpoint", "no endpoint", errors.New("no address"))
+	f.Report(bad(4), "endpoint", "no endpoint", errors.New("no address"))
 	assert.Len(t, lines.Entries, 2, "another revision")
 	assert.Equal(t, counts{"k": 2}, counted)
-	f.Read(bad(At(2, 5)))
+	f.Resolve(bad(At(2, 5)))
 	assert.Len(t, lines.Entries, 3, "it can be decoded again")
 	assert.Equal(t, int64(5), lines.Entries[2].Fields["revision"], "the store's own number")
-	f.Read(bad(6))
+	f.Resolve(bad(6))
 	assert.Len(t, lines.Entries, 3, "that is logged once")
-	f.Tell(bad(7), "endpoint", "no endpoint", errors.New("no address"))
+	f.Report(bad(7), "endpoint", "no endpoint", errors.New("no address"))
 	assert.Len(t, lines.Entries, 4)
 }
 
@@ -51,7 +51,7 @@
 		const seconds, entries = 10, 3000
 		for second := range seconds {
 			for i := range entries {
-				f.Tell(Object{Kind: "k", Name: fmt.Sprint("n", i), Revision: Revision(second + 1)}, "endpoint", "no endpoint", errors.New("no address"))
+				f.Report(Object{Kind: "k", Name: fmt.Sprint("n", i), Revision: Revision(second + 1)}, "endpoint", "no endpoint", errors.New("no address"))
 			}
 			time.Sleep(time.Second)
 		}
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -32,30 +32,30 @@
 	peerBackoff    = 200 * time.Millisecond // before peers are asked again, which costs the store nothing
 )
 
-// Watching configures a follower.
-type Watching struct {
-	Kind    string
-	Rest    func() time.Duration // pause after events, so that a burst costs few calls
-	History time.Duration        // how long the store keeps history; 0 if unknown
-	Health  *Health              // shared by a node's followers; nil: not shared
-	Leads   bool                 // retries on behalf of all followers while the store is lost
-	Longest func() time.Duration // maximum wait of one watch, so that a silent store is detected; nil: no limit of its own
-	Small   bool                 // changes are few and small: a restarted watch continues from its revision without a list
-	Log     log.Interface        // nil: nothing is logged
-	Again   *Again               // requests a new list at once; nil: never
+// FollowOptions configures a follower.
+type FollowOptions struct {
+	Kind         string
+	Rest         func() time.Duration // pause after events, so that a burst costs few calls
+	History      time.Duration        // how long the store keeps history; 0 if unknown
+	Health       *Health              // shared by a node's followers; nil: not shared
+	Leads        bool                 // retries on behalf of all followers while the store is lost
+	MaxWait      func() time.Duration // maximum wait of one watch, so that a silent store is detected; nil: no limit of its own
+	SmallChanges bool                 // changes are few and small: a restarted watch continues from its revision without a list
+	Log          log.Interface        // nil: nothing is logged
+	Relist       *Relist              // requests a new list at once; nil: never
 }
 
-// Always returns a constant Rest.
-func Always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// FixedRest returns a constant Rest.
+func FixedRest(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // wait returns how long one watch waits for events.
-func (w Watching) wait() time.Duration {
+func (w FollowOptions) wait() time.Duration {
 	wait := maxWatchWait
 	if w.History > 0 {
 		wait = min(wait, time.Duration(historyShare*float64(w.History)))
 	}
-	if w.Longest != nil {
-		wait = min(wait, w.Longest())
+	if w.MaxWait != nil {
+		wait = min(wait, w.MaxWait())
 	}
 	return wait
 }
@@ -95,8 +95,8 @@
 
 // Follow lists a kind and then watches it until ctx ends. It never delivers a revision
 // older than one it delivered before: an older list is dropped.
-func Follow(ctx context.Context, s Store, w Watching, apply func(Change)) {
-	f := follower{Watching: w, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: w.Log}}
+func Follow(ctx context.Context, s Store, w FollowOptions, apply func(Change)) {
+	f := follower{FollowOptions: w, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: w.Log}}
 	if f.Health == nil {
 		f.Health = NewHealth()
 	}
@@ -106,7 +106,7 @@
 		if errors.Is(err, errRenewed) {
 			continue
 		}
-		if err != nil && f.excused < maxExcused && f.Health.Stood(sent) {
+		if err != nil && f.excused < maxExcused && f.Health.Stalled(sent) {
 			// The call timed out while the process stalled, so the store may have answered. A
 			// list soon shows whether the store is silent too; a watch might wait for long.
 			f.listed = false
@@ -122,7 +122,7 @@
 }
 
 type follower struct {
-	Watching
+	FollowOptions
 	store    Store
 	apply    func(Change)
 	at       Revision
@@ -193,13 +193,13 @@
 
 func (f *follower) watch(parent context.Context) error {
 	wait, sent := f.wait(), clock.Now()
-	renew, again := f.Health.renewed(), f.Again.Asked()
+	renew, again := f.Health.renewed(), f.Relist.Requested()
 	ctx, cancel := context.WithTimeout(parent, wait+watchSlack)
 	defer cancel()
 	go cancelOn(ctx, cancel, renew, again)
 	events, at, err := f.store.Watch(ctx, f.Kind, f.at, wait)
 	if err != nil && (isClosed(renew) || isClosed(again)) && parent.Err() == nil {
-		f.listed = f.Small && !isClosed(again)
+		f.listed = f.SmallChanges && !isClosed(again)
 		return nil
 	}
 	if err != nil {
@@ -216,7 +216,7 @@
 	f.apply(Update{Events: events, Revision: at})
 	// An answer that lay unread while the process stalled holds only the first of the changes
 	// since; the later ones have waited long enough.
-	if len(events) > 0 && !f.Health.Stood(sent) {
+	if len(events) > 0 && !f.Health.Stalled(sent) {
 		clock.Pause(parent, f.Rest())
 	}
 	return nil
@@ -224,7 +224,7 @@
 
 // behindError logs an answer that is older than one already delivered, and returns its error.
 func (f *follower) behindError(call string, at Revision) error {
-	f.dropped.Tell(f.Kind, call, at, f.at)
+	f.dropped.Report(f.Kind, call, at, f.at)
 	return errors.Wrapf(errBehind, "%s of %s at revision %s, after %s", call, f.Kind, at, f.at)
 }
 
--- a/fleet/relay/store/follow_test.go
+++ b/fleet/relay/store/follow_test.go
@@ -77,7 +77,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			s := &scripted{steps: c.steps, done: cancel}
 			var seen []string
-			store.Follow(ctx, s, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond)}, func(change store.Change) { seen = append(seen, describe(change)) })
+			store.Follow(ctx, s, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond)}, func(change store.Change) { seen = append(seen, describe(change)) })
 			assert.Equal(t, c.calls, s.calls)
 			assert.Equal(t, c.seen, seen)
 		})
@@ -100,8 +100,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			health := store.NewHealth()
-			store.Follow(ctx, &scripted{steps: c.steps, done: cancel}, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond), Health: health}, func(store.Change) {})
-			assert.Equal(t, c.suspected, health.Doubted())
+			store.Follow(ctx, &scripted{steps: c.steps, done: cancel}, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond), Health: health}, func(store.Change) {})
+			assert.Equal(t, c.suspected, health.Suspected())
 		})
 	}
 }
@@ -126,7 +126,7 @@
 				began := time.Now()
 				stalled := func(since time.Time) bool { return c.stalled && !since.After(began) }
 				var at time.Duration
-				w := store.Watching{Kind: "kind", Rest: store.Always(rest), Health: store.NewHealth().WithStandstills(stalled)}
+				w := store.FollowOptions{Kind: "kind", Rest: store.FixedRest(rest), Health: store.NewHealth().WithStalls(stalled)}
 				store.Follow(ctx, s, w, func(change store.Change) {
 					if describe(change) == "update 7" {
 						at = time.Since(began)
@@ -160,13 +160,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s := &scripted{steps: c.steps, done: cancel}
-			health := store.NewHealth().WithStandstills(func(time.Time) bool {
+			health := store.NewHealth().WithStalls(func(time.Time) bool {
 				done := len(s.calls) - 1
 				return done < len(c.stalls) && c.stalls[done]
 			})
-			store.Follow(ctx, s, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond), Health: health}, func(store.Change) {})
+			store.Follow(ctx, s, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond), Health: health}, func(store.Change) {})
 			assert.Equal(t, c.calls, s.calls)
-			assert.Equal(t, c.suspected, health.Doubted())
+			assert.Equal(t, c.suspected, health.Suspected())
 		})
 	}
 }
--- a/fleet/relay/store/health.go
+++ b/fleet/relay/store/health.go
@@ -37,9 +37,9 @@
 	h.unavailable[part] = true
 }
 
-// Doubted reports whether entries may be missing from the store only because it is or was
+// Suspected reports whether entries may be missing from the store only because it is or was
 // unavailable.
-func (h *Health) Doubted() bool {
+func (h *Health) Suspected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.unavailable) > 0 || !h.availableAt.IsZero() && clock.Since(h.availableAt) < suspectAfter
@@ -61,16 +61,16 @@
 // NewHealth returns the health of a store that is available as far as is known.
 func NewHealth() *Health { return &Health{renew: make(chan struct{}), unavailable: map[string]bool{}} }
 
-// WithStandstills keeps calls that fail because the process stalled from counting against
+// WithStalls keeps calls that fail because the process stalled from counting against
 // the store; stalled reports whether it did since a time. It must be called before use.
-func (h *Health) WithStandstills(stalled func(since time.Time) bool) *Health {
+func (h *Health) WithStalls(stalled func(since time.Time) bool) *Health {
 	h.stalled = stalled
 	return h
 }
 
-// Stood reports whether the process stalled since a time: answers that arrived meanwhile
+// Stalled reports whether the process stalled since a time: answers that arrived meanwhile
 // were not read, and calls may have failed for that reason.
-func (h *Health) Stood(since time.Time) bool { return h.stalled != nil && h.stalled(since) }
+func (h *Health) Stalled(since time.Time) bool { return h.stalled != nil && h.stalled(since) }
 
 // Reconnected records that a part of this node reached the store again.
 func (h *Health) Reconnected(part string) {
--- a/fleet/relay/store/health_test.go
+++ b/fleet/relay/store/health_test.go
@@ -67,7 +67,7 @@
 		var mu sync.Mutex
 		listedAt := map[string]time.Time{}
 		follow := func(kind string, leads bool) {
-			w := store.Watching{Kind: kind, Rest: store.Always(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leads}
+			w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leads}
 			store.Follow(ctx, o, w, func(c store.Change) {
 				if _, ok := c.(store.Snapshot); ok {
 					mu.Lock()
@@ -103,8 +103,8 @@
 		healthy := &outage{asked: map[string]int{}, waits: map[string]time.Duration{}}
 		broken := &outage{asked: map[string]int{}, waits: map[string]time.Duration{}, lost: true}
 		health := store.NewHealth()
-		go store.Follow(ctx, healthy, store.Watching{Kind: "leader", Health: health, Leads: true}, func(store.Change) {})
-		go store.Follow(ctx, broken, store.Watching{Kind: "led", Health: health}, func(store.Change) {})
+		go store.Follow(ctx, healthy, store.FollowOptions{Kind: "leader", Health: health, Leads: true}, func(store.Change) {})
+		go store.Follow(ctx, broken, store.FollowOptions{Kind: "led", Health: health}, func(store.Change) {})
 		time.Sleep(20 * time.Second)
 		assert.GreaterOrEqual(t, broken.take(true)["led"], 15)
 		cancel()
--- a/fleet/relay/store/heartbeat_test.go
+++ b/fleet/relay/store/heartbeat_test.go
@@ -41,9 +41,9 @@
 // followAll follows every kind, the first one as leader, and passes on each change.
 func followAll(ctx context.Context, s *store.Sourced, health *store.Health, longest func() time.Duration, apply func(kind string, c store.Change)) {
 	for i, kind := range heartbeatKinds {
-		w := store.Watching{Kind: kind, Rest: store.Always(time.Millisecond), History: 20 * time.Second, Health: health, Leads: i == 0}
+		w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(time.Millisecond), History: 20 * time.Second, Health: health, Leads: i == 0}
 		if i == 0 {
-			w.Longest = longest
+			w.MaxWait = longest
 		}
 		go store.Follow(ctx, s, w, func(c store.Change) { apply(kind, c) })
 	}
--- a/fleet/relay/store/patient_test.go
+++ b/fleet/relay/store/patient_test.go
@@ -41,7 +41,7 @@
 				s := store.NewSourced(&asked{name: "store", calls: &calls, mu: &mu}, func() []store.Source {
 					return lo.Slice([]store.Source{{Name: "a", Reader: a}}, 0, sources)
 				})
-				s.Patient("kind", func() time.Duration { return c.wait })
+				s.DelayStore("kind", func() time.Duration { return c.wait })
 				if c.answered {
 					_, _, err := s.List(t.Context(), "kind")
 					assert.NoError(t, err)
--- a/fleet/relay/store/revision.go
+++ b/fleet/relay/store/revision.go
@@ -14,12 +14,12 @@
 // Limits of the parts of a revision.
 const (
 	MaxNumber = 1<<numberBits - 1
-	MostEra   = 1<<(63-numberBits) - 1
+	MaxEra    = 1<<(63-numberBits) - 1
 )
 
 // At returns the revision for a number in an era, both clamped to their limits.
 func At(era, number int64) Revision {
-	era, number = min(max(era, 0), MostEra), min(max(number, 0), MaxNumber)
+	era, number = min(max(era, 0), MaxEra), min(max(number, 0), MaxNumber)
 	return Revision(era<<numberBits | number)
 }
 
--- a/fleet/relay/store/revision_test.go
+++ b/fleet/relay/store/revision_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRevisionsAreOrderedByEraFirst(t *testing.T) {
-	inOrder := []Revision{0, At(0, 1), At(0, 300), At(1, 0), At(1, 7), At(2, 6), At(2, 8), At(MostEra, MaxNumber)}
+	inOrder := []Revision{0, At(0, 1), At(0, 300), At(1, 0), At(1, 7), At(2, 6), At(2, 8), At(MaxEra, MaxNumber)}
 	for i, r := range inOrder[1:] {
 		assert.Less(t, inOrder[i], r)
 	}
@@ -26,6 +26,6 @@
 }
 
 func TestRevisionPartsAreClamped(t *testing.T) {
-	assert.Equal(t, At(MostEra, MaxNumber), At(MostEra+1, MaxNumber+1))
+	assert.Equal(t, At(MaxEra, MaxNumber), At(MaxEra+1, MaxNumber+1))
 	assert.Equal(t, Revision(0), At(-1, -1))
 }
--- a/fleet/relay/store/silence_test.go
+++ b/fleet/relay/store/silence_test.go
@@ -92,9 +92,9 @@
 	var mu sync.Mutex
 	seen := map[string]store.Revision{}
 	follow := func(kind string, leader bool) {
-		w := store.Watching{Kind: kind, Rest: store.Always(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leader}
+		w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leader}
 		if leader && leads {
-			w.Longest = func() time.Duration { return 1500 * time.Millisecond }
+			w.MaxWait = func() time.Duration { return 1500 * time.Millisecond }
 		}
 		store.Follow(ctx, s, w, func(change store.Change) {
 			mu.Lock()
--- a/fleet/relay/store/sourced.go
+++ b/fleet/relay/store/sourced.go
@@ -88,9 +88,9 @@
 	answeredAt map[string]time.Time            // by kind: when a source or the store last answered
 }
 
-// AnswerBegins is how long a source may take, beyond the wait of a watch, until its answer
+// AnswerTimeout is how long a source may take, beyond the wait of a watch, until its answer
 // begins. After that it counts as silent.
-const AnswerBegins = sourceSlack
+const AnswerTimeout = sourceSlack
 
 // NewSourced returns a store that asks the sources first.
 func NewSourced(s Store, sources func() []Source) *Sourced {
@@ -106,10 +106,10 @@
 	return s
 }
 
-// Patient sets, for a kind whose changes can wait, how long after the last answer the store
+// DelayStore sets, for a kind whose changes can wait, how long after the last answer the store
 // itself is not asked while sources are named but silent. A node that is partitioned for
 // seconds then costs the store nothing.
-func (s *Sourced) Patient(kind string, delay func() time.Duration) {
+func (s *Sourced) DelayStore(kind string, delay func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delays[kind] = delay
--- a/fleet/relay/store/sourced_test.go
+++ b/fleet/relay/store/sourced_test.go
@@ -327,7 +327,7 @@
 			s := store.NewSourced(&asked{name: "store", calls: &calls, mu: &mu, err: errDead}, func() []store.Source { return []store.Source{{Name: "a", Reader: source}} })
 			health := store.NewHealth()
 			listed := make(chan time.Time, 100)
-			go store.Follow(ctx, s, store.Watching{Kind: "kind", Rest: store.Always(time.Millisecond), Health: health, Leads: leads}, func(c store.Change) {
+			go store.Follow(ctx, s, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond), Health: health, Leads: leads}, func(c store.Change) {
 				if _, ok := c.(store.Snapshot); ok {
 					listed <- time.Now()
 				}
@@ -396,7 +396,7 @@
 				health := store.NewHealth()
 				ctx, cancel := context.WithCancel(t.Context())
 				var lost atomic.Int32
-				w := store.Watching{Kind: "k", Rest: store.Always(0), Health: health, Leads: c.leads}
+				w := store.FollowOptions{Kind: "k", Rest: store.FixedRest(0), Health: health, Leads: c.leads}
 				go store.Follow(ctx, s, w, func(change store.Change) {
 					if _, ok := change.(store.Lost); ok {
 						lost.Add(1)
@@ -405,7 +405,7 @@
 				suspected := false
 				for range 100 {
 					time.Sleep(100 * time.Millisecond)
-					suspected = suspected || health.Doubted()
+					suspected = suspected || health.Suspected()
 				}
 				assert.EqualValues(t, 1, lost.Load(), "reported once")
 				assert.Equal(t, c.suspected, suspected)
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -16,7 +16,7 @@
 	}
 	n.suspicions = doubt.NewTracker(n.settings.Node, n.settings.Zone, doubt.DefaultRule(), n.logAvoided)
 	n.picker.WithDoubts(n.suspicions)
-	g.WithDoubts(n.suspicions)
+	g.WithSuspicions(n.suspicions)
 }
 
 // logAvoided logs that an endpoint is avoided, and which nodes reported it.
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -37,7 +37,7 @@
 type delegation interface {
 	Writes() bool        // this node is a delegate
 	FirstDelegate() bool // this node is the delegate that writes statuses
-	TellBad(rollout.AnnounceBad)
+	AnnounceBad(rollout.AnnounceBad)
 }
 
 // trial holds the evidence and the decider of one open order.
@@ -263,21 +263,21 @@
 	}
 }
 
-var _ peer.RolloutTalk = (*trials)(nil)
+var _ peer.RolloutExchange = (*trials)(nil)
 
 // Own implements peer.RolloutTalk.
-func (t *trials) Own(now time.Time) []peer.RolloutSeen {
+func (t *trials) Own(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
+	return lo.Map(t.services(), func(service string, _ int) peer.RolloutEvidence {
 		o := t.open[service]
 		return o.observation(o.recorder.Evidence(), t.ownReport(o, now), now)
 	})
 }
 
 // observation is the message to peers about an order.
-func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutSeen {
-	return peer.RolloutSeen{
+func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutEvidence {
+	return peer.RolloutEvidence{
 		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.longest.Milliseconds(),
 		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.AgeUnknown,
 	}
@@ -289,10 +289,10 @@
 }
 
 // Zone implements peer.RolloutTalk.
-func (t *trials) Zone(now time.Time) []peer.RolloutSeen {
+func (t *trials) Zone(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
+	return lo.Map(t.services(), func(service string, _ int) peer.RolloutEvidence {
 		o := t.open[service]
 		o.zoneEvidence.Record(t.incarnation, o.recorder.Evidence())
 		sum := o.sum(t.ownReport(o, now), now, func(from string) bool { return from[0] == ofNode })
@@ -346,17 +346,17 @@
 	return now.Before(t.storeFailedUntil)
 }
 
-// Blind implements peer.RolloutTalk.
-func (t *trials) Blind() bool {
+// AgeUnknown implements peer.RolloutTalk.
+func (t *trials) AgeUnknown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.AgeUnknown })
 }
 
-// Heard implements peer.RolloutTalk.
-func (t *trials) Heard(from peer.Teller, w peer.RolloutWord, now time.Time) {
+// Receive implements peer.RolloutTalk.
+func (t *trials) Receive(from peer.Sender, w peer.RolloutReport, now time.Time) {
 	t.mu.Lock()
-	for _, seen := range w.Seen {
+	for _, seen := range w.Evidence {
 		t.receiveObservation(from, seen, now)
 	}
 	t.mu.Unlock()
@@ -365,7 +365,7 @@
 	}
 }
 
-func (t *trials) receiveObservation(from peer.Teller, seen peer.RolloutSeen, now time.Time) {
+func (t *trials) receiveObservation(from peer.Sender, seen peer.RolloutEvidence, now time.Time) {
 	o, ok := t.open[seen.Evidence.Service]
 	if !ok || o.rollout.Made != seen.Evidence.Made || o.rollout.Target != seen.Target {
 		return
@@ -374,7 +374,7 @@
 	received := report{old: max(seen.Old, 0), longest: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
 	switch seen.Zone {
 	case "":
-		o.zoneEvidence.Record(from.Life, seen.Evidence)
+		o.zoneEvidence.Record(from.Incarnation, seen.Evidence)
 		o.reports[string(ofNode)+from.Name] = received
 	case t.settings.Zone:
 		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
@@ -398,7 +398,7 @@
 // possible, and a node that knows it corrects that. A node that found the status earlier knows a
 // lower bound: without it, nodes that restart one after the other, faster than elapsed time is
 // written, would keep an order from ever progressing.
-func (o *trial) adoptElapsed(seen peer.RolloutSeen, now time.Time) {
+func (o *trial) adoptElapsed(seen peer.RolloutEvidence, now time.Time) {
 	if !o.rollout.AgeUnknown || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
 		return
 	}
--- a/fleet/relay/trials_found_test.go
+++ b/fleet/relay/trials_found_test.go
@@ -27,14 +27,14 @@
 		j.store.object = order("s", "v2", 5, 6, begun)
 		n.applyRollouts(listed(6, j.store.object))
 		j.Node = n
-		assert.True(t, n.trials.Blind())
+		assert.True(t, n.trials.AgeUnknown())
 		j.play(ctx, startSettleTime-judgeInterval)
 		assert.Zero(t, j.store.calls)
 		j.play(ctx, 3*time.Second)
 		assert.NotZero(t, j.store.calls)
 		begun.Writes = 2
 		n.applyRollouts(changed(9, order("s", "v2", 5, 9, begun)))
-		assert.False(t, n.trials.Blind())
+		assert.False(t, n.trials.AgeUnknown())
 	})
 }
 
@@ -82,8 +82,8 @@
 			withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 				j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second, Writes: 1})
 				j.applyRollouts(listed(6, j.store.object))
-				sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: c.at, UsedMs: c.used.Milliseconds(), AtLeast: !c.exact}
-				j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, time.Now())
+				sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: c.at, UsedMs: c.used.Milliseconds(), AtLeast: !c.exact}
+				j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, time.Now())
 				j.applyRollouts(listed(7, j.store.object))
 				j.play(ctx, 5*time.Second)
 				r, _ := j.rollouts.Load().Of("s")
@@ -109,8 +109,8 @@
 		for c := range 8 {
 			seen.Old[c], seen.Target[c] = rollout.Count{Answers: 300}, rollout.Count{Answers: 30, Bad: 20}
 		}
-		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{seen}}, At: r.Revision.Number()}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, clock.Now())
+		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{seen}}, At: r.Revision.Number()}
+		j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, clock.Now())
 		for range 5 {
 			j.trials.tick(ctx, clock.Now())
 			synctest.Wait()
@@ -145,8 +145,8 @@
 		j.play(ctx, startSettleTime-judgeInterval)
 		assert.Equal(t, calls, j.store.calls)
 		r, _ := j.rollouts.Load().Of("s")
-		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: r.Revision.Number(), UsedMs: 4000}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, clock.Now())
+		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: r.Revision.Number(), UsedMs: 4000}
+		j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, clock.Now())
 		j.play(ctx, 2*time.Second)
 		assert.Equal(t, rollout.InProgress, j.state(), "6 s of 12 are over")
 	})
--- a/fleet/relay/trials_judge.go
+++ b/fleet/relay/trials_judge.go
@@ -53,7 +53,7 @@
 		case rollout.AnnounceBad:
 			t.log.WithFields(a.inputs).WithField("why", e.Why).Warn("target version judged bad")
 			t.markBad(e, t.settings.Node)
-			t.fleet.TellBad(e)
+			t.fleet.AnnounceBad(e)
 		case rollout.Write:
 			go t.write(ctx, a.trial, e, a.inputs, now)
 		}
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -69,9 +69,9 @@
 	warnings        []rollout.AnnounceBad
 }
 
-func (f *fakeDelegation) Writes() bool                  { return f.delegate }
-func (f *fakeDelegation) FirstDelegate() bool           { return f.first }
-func (f *fakeDelegation) TellBad(w rollout.AnnounceBad) { f.warnings = append(f.warnings, w) }
+func (f *fakeDelegation) Writes() bool                      { return f.delegate }
+func (f *fakeDelegation) FirstDelegate() bool               { return f.first }
+func (f *fakeDelegation) AnnounceBad(w rollout.AnnounceBad) { f.warnings = append(f.warnings, w) }
 
 // judgingNode is a delegate on a store that holds an order of 12 s.
 type judgingNode struct {
@@ -290,7 +290,7 @@
 func TestAVersionThatAPeerFoundBad(t *testing.T) {
 	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "fails"}
 	heard := func(n *Node, w rollout.AnnounceBad) {
-		n.trials.Heard(peer.Teller{Name: "o", Life: "o/1"}, peer.RolloutWord{Bad: []rollout.AnnounceBad{w}}, time.Now())
+		n.trials.Receive(peer.Sender{Name: "o", Incarnation: "o/1"}, peer.RolloutReport{Bad: []rollout.AnnounceBad{w}}, time.Now())
 	}
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
@@ -317,13 +317,13 @@
 	n := versionedNode()
 	n.settings.Zone = "near"
 	n.applyRollouts(listed(9, order("s", "v2", 5, 5, rollout.Status{})))
-	seen := func(zone string, answers, old int) peer.RolloutSeen {
+	seen := func(zone string, answers, old int) peer.RolloutEvidence {
 		e := rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{{Route: "r", Old: rollout.Counts{{Answers: answers}}}}}
-		return peer.RolloutSeen{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
+		return peer.RolloutEvidence{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
 	}
 	now := time.Now()
-	send := func(name, incarnation string, s peer.RolloutSeen) {
-		n.trials.Heard(peer.Teller{Name: name, Life: incarnation}, peer.RolloutWord{Seen: []peer.RolloutSeen{s}}, now)
+	send := func(name, incarnation string, s peer.RolloutEvidence) {
+		n.trials.Receive(peer.Sender{Name: name, Incarnation: incarnation}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{s}}, now)
 	}
 	send("a", "a/1", seen("", 5, 2))
 	send("a", "a/1", seen("", 5, 2))
@@ -379,8 +379,8 @@
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second, Writes: 1})
 		j.applyRollouts(listed(6, j.store.object))
-		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, time.Now())
+		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
+		j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, time.Now())
 		own := j.trials.Own(time.Now())
 		require.Len(t, own, 1)
 		assert.Equal(t, int64(20_000), own[0].UsedMs, "and is passed on")
--- a/fleet/relay/versions.go
+++ b/fleet/relay/versions.go
@@ -44,7 +44,7 @@
 	if len(waiting) > 0 && !t.requestingOrders {
 		t.log.WithField("services", waiting).WithField("revision", d.Revision.Number()).WithField("orders", set.Revision().Number()).Info("endpoints of new versions get no calls until the orders are known: orders requested again")
 		t.requestingOrders = true
-		t.ordersRefresh.Ask()
+		t.ordersRefresh.Request()
 		time.AfterFunc(ordersRefreshInterval, t.republish)
 	}
 	return limited
