--- a/ctl/capacity/mechanisms.go
+++ b/ctl/capacity/mechanisms.go
@@ -190,9 +190,9 @@
 func beatTime(members int) float64 {
 	s := membership.New(member(0), membership.Options{})
 	for i := range members {
-		s, _ = s.Handle(membership.Heard{At: epoch, Members: []membership.Member{member(i + 1)}})
+		s, _ = s.Handle(membership.Received{At: epoch, Members: []membership.Member{member(i + 1)}})
 	}
-	received := membership.Heard{At: epoch, Members: []membership.Member{member(1), member(2), member(3)}}
+	received := membership.Received{At: epoch, Members: []membership.Member{member(1), member(2), member(3)}}
 	return nanoseconds(func() {
 		s, _ = s.Handle(membership.Ticked{At: epoch, Random: func(int) int { return 0 }})
 		s, _ = s.Handle(received)
--- a/ctl/demo/demo.go
+++ b/ctl/demo/demo.go
@@ -253,7 +253,7 @@
 			break
 		}
 		var p *problem.Problem
-		if refused := errors.As(err, &p) && p.Reason != problem.PlatformOut; refused || time.Now().After(deadline) {
+		if refused := errors.As(err, &p) && p.Reason != problem.PlatformUnreachable; refused || time.Now().After(deadline) {
 			return errors.Wrap(err, "fill the table")
 		}
 		time.Sleep(readyPollInterval)
--- a/fleet/catalog/catalog.go
+++ b/fleet/catalog/catalog.go
@@ -292,9 +292,9 @@
 	return budgets
 }
 
-// Fitting lists the budgets that may pay for a customer's call: those that name the service
+// BudgetsFor lists the budgets that may pay for a customer's call: those that name the service
 // first, then those that cover all services.
-func (c *Catalog) Fitting(customer ident.Customer, s ident.Service) []Budget {
+func (c *Catalog) BudgetsFor(customer ident.Customer, s ident.Service) []Budget {
 	fitting := lo.Filter(c.budgetsByCustomer[customer], func(b Budget, _ int) bool { return b.Covers(s) })
 	sort.SliceStable(fitting, func(i, j int) bool { return !fitting[i].All && fitting[j].All })
 	return fitting
--- a/fleet/clock/stall.go
+++ b/fleet/clock/stall.go
@@ -9,10 +9,10 @@
 // gaps occur on any busy VM, and are within the time that changes may take to be in force.
 const minStall = time.Second
 
-// Standstills detects stalls of the process, in which its host did not schedule the VM or the
+// StallDetector detects stalls of the process, in which its host did not schedule the VM or the
 // process was stopped. No clock shows these. Code that is about to act checks too, since it
 // may run before the periodic check does. It is safe for concurrent use.
-type Standstills struct {
+type StallDetector struct {
 	now func() time.Time
 
 	mu       sync.Mutex
@@ -22,16 +22,16 @@
 	reported bool
 }
 
-// NewStandstills returns a detector that starts now. Look has to be called periodically.
-func NewStandstills() *Standstills { return newStallDetector(Now) }
+// NewStallDetector returns a detector that starts now. Look has to be called periodically.
+func NewStallDetector() *StallDetector { return newStallDetector(Now) }
 
-func newStallDetector(now func() time.Time) *Standstills {
-	return &Standstills{now: now, checked: now()}
+func newStallDetector(now func() time.Time) *StallDetector {
+	return &StallDetector{now: now, checked: now()}
 }
 
-// Look checks for a stall that has just ended. It returns the length of the last stall once,
+// Check checks for a stall that has just ended. It returns the length of the last stall once,
 // and zero if there was none since it last returned one.
-func (s *Standstills) Look() time.Duration {
+func (s *StallDetector) Check() time.Duration {
 	s.observe()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 }
 
 // observe records a stall that has just ended; ended is the end of the last one.
-func (s *Standstills) observe() (now, ended time.Time) {
+func (s *StallDetector) observe() (now, ended time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now = s.now()
@@ -54,15 +54,15 @@
 	return now, s.ended
 }
 
-// Since reports whether the process has stalled since a time of this clock.
-func (s *Standstills) Since(t time.Time) bool {
+// StalledSince reports whether the process has stalled since a time of this clock.
+func (s *StallDetector) StalledSince(t time.Time) bool {
 	_, ended := s.observe()
 	return ended.After(t)
 }
 
-// Unread returns for how much longer the backlog after a stall may be unread; zero if there
+// Backlog returns for how much longer the backlog after a stall may be unread; zero if there
 // was no recent stall.
-func (s *Standstills) Unread() time.Duration {
+func (s *StallDetector) Backlog() time.Duration {
 	now, ended := s.observe()
 	if ended.IsZero() {
 		return 0
--- a/fleet/clock/stall_test.go
+++ b/fleet/clock/stall_test.go
@@ -28,17 +28,17 @@
 			s := newStallDetector(func() time.Time { return now })
 			for range 10 {
 				now = now.Add(c.every)
-				s.Look()
+				s.Check()
 			}
 			before := now
 			now = now.Add(c.after)
-			assert.Equal(t, c.backlog, s.Unread())
-			assert.Equal(t, c.stalled, s.Since(before))
-			assert.False(t, s.Since(now), "no stall after the last check")
-			assert.Equal(t, c.stalled, s.Look() > 0, "reported, whichever check found it")
-			assert.Zero(t, s.Look(), "reported once only")
+			assert.Equal(t, c.backlog, s.Backlog())
+			assert.Equal(t, c.stalled, s.StalledSince(before))
+			assert.False(t, s.StalledSince(now), "no stall after the last check")
+			assert.Equal(t, c.stalled, s.Check() > 0, "reported, whichever check found it")
+			assert.Zero(t, s.Check(), "reported once only")
 			now = now.Add(backlogTime)
-			assert.Zero(t, s.Unread(), "the backlog has been read")
+			assert.Zero(t, s.Backlog(), "the backlog has been read")
 		})
 	}
 }
--- a/fleet/clock/timeout.go
+++ b/fleet/clock/timeout.go
@@ -12,8 +12,8 @@
 	maxExtensions = 3                      // extensions of one timeout by backlogTime
 )
 
-// Patience is a timeout for a message. It is safe for concurrent use.
-type Patience struct {
+// Timeout is a timeout for a message. It is safe for concurrent use.
+type Timeout struct {
 	end func()
 	now func() time.Time
 
@@ -24,27 +24,27 @@
 	done       bool
 }
 
-// WaitFor calls end after d, unless Stop is called before. If the process stalls at the end
+// StartTimeout calls end after d, unless Stop is called before. If the process stalls at the end
 // of d, the timeout is extended by a short time: the message may be in the backlog of its
 // sockets, and a stall of its own must not count as silence of others.
-func WaitFor(d time.Duration, end func()) *Patience { return waitFor(d, end, time.Now) }
+func StartTimeout(d time.Duration, end func()) *Timeout { return waitFor(d, end, time.Now) }
 
-func waitFor(d time.Duration, end func(), now func() time.Time) *Patience {
-	p := &Patience{end: end, now: now, due: now().Add(d)}
+func waitFor(d time.Duration, end func(), now func() time.Time) *Timeout {
+	p := &Timeout{end: end, now: now, due: now().Add(d)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timer = time.AfterFunc(d, p.fire)
 	return p
 }
 
-func (p *Patience) fire() {
+func (p *Timeout) fire() {
 	if p.expired() {
 		p.end()
 	}
 }
 
 // expired reports whether the timeout ends now. Otherwise it was extended or stopped.
-func (p *Patience) expired() bool {
+func (p *Timeout) expired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -62,7 +62,7 @@
 }
 
 // Stop cancels the timeout; the message was received.
-func (p *Patience) Stop() {
+func (p *Timeout) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.done = true
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -278,7 +278,7 @@
 	ctx = context.WithoutCancel(ctx)
 	j.recheck(ctx)
 	j.entry.Metrics.Billed(ctx, j.spent.Tokens())
-	j.entry.end(ctx, peer.Ending{Record: j.record, Usage: j.spent, Awaiting: j.awaiting})
+	j.entry.end(ctx, peer.EndRequest{Record: j.record, Usage: j.spent, Awaiting: j.awaiting})
 	return j.spent
 }
 
@@ -337,7 +337,7 @@
 	case j.spent.Tokens() > 0 || j.run.relayed() > 0:
 		p = p.WithOutcome(problem.Ran)
 	default:
-		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, NotRun: true})
+		j.entry.end(context.WithoutCancel(ctx), peer.EndRequest{Record: j.record, NotRun: true})
 		j.entry.refuseRun(j.run, p)
 		return
 	}
--- a/fleet/entry/entry.go
+++ b/fleet/entry/entry.go
@@ -88,7 +88,7 @@
 	runs     map[ident.Request]*run
 	evicted  summaries
 	retries  attempt.Budget
-	outbox   []peer.Ending
+	outbox   []peer.EndRequest
 	draining bool
 	active   int
 }
--- a/fleet/entry/execute.go
+++ b/fleet/entry/execute.go
@@ -114,7 +114,7 @@
 
 // budgetsFor returns the budgets that may pay for a call, or only the one that the caller named.
 func (e *Entry) budgetsFor(h headers, s ident.Service) ([]holder.BudgetLine, *problem.Problem) {
-	fitting := e.Catalog().Fitting(h.customer.Name, s)
+	fitting := e.Catalog().BudgetsFor(h.customer.Name, s)
 	if h.budget != "" {
 		fitting = lo.Filter(fitting, func(b catalog.Budget, _ int) bool { return string(b.Name) == h.budget })
 	}
@@ -162,7 +162,7 @@
 	record.Bound = call.bound
 	limits := e.limitsFor(call.headers, call.service.Name)
 	record.Limits = lo.Map(limits, func(l limit.Line, _ int) string { return l.Name })
-	admitted, ok := e.admitRun(ctx, r, grant, peer.Admission{Record: record, Budgets: budgets, Limits: limits, Weight: req.Weight, Try: call.attemptNumber})
+	admitted, ok := e.admitRun(ctx, r, grant, peer.AdmitRequest{Record: record, Budgets: budgets, Limits: limits, Weight: req.Weight, Try: call.attemptNumber})
 	if !ok {
 		return
 	}
@@ -172,7 +172,7 @@
 
 // admitRun asks for admission. It returns false if the call is not to run here: it was refused,
 // it repeats a request that it now follows, or the caller left.
-func (e *Entry) admitRun(ctx context.Context, r *run, grant dispatch.Grant, a peer.Admission) (holder.Record, bool) {
+func (e *Entry) admitRun(ctx context.Context, r *run, grant dispatch.Grant, a peer.AdmitRequest) (holder.Record, bool) {
 	admitCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), admitTimeout)
 	verdict := e.admit(admitCtx, a)
 	cancel()
@@ -187,7 +187,7 @@
 		return holder.Record{}, false
 	case ctx.Err() != nil:
 		e.Dispatch.Release(grant, dispatch.NotSent)
-		e.end(context.WithoutCancel(ctx), peer.Ending{Record: *verdict.Admitted, NotRun: true})
+		e.end(context.WithoutCancel(ctx), peer.EndRequest{Record: *verdict.Admitted, NotRun: true})
 		r.fail(problem.New(problem.Cancelled, "cancelled before it was sent"), RunCancelled, holder.Usage{}, e.Clock.Now())
 		return holder.Record{}, false
 	}
--- a/fleet/entry/follow.go
+++ b/fleet/entry/follow.go
@@ -242,7 +242,7 @@
 func (e *Entry) endTakenOver(ctx context.Context, r *run, record holder.Record, usage holder.Usage, lastChunk string) error {
 	if record.Phase == holder.Open {
 		total := e.addEarlierCost(ctx, record, usage)
-		e.end(context.WithoutCancel(ctx), peer.Ending{Record: record, Usage: total})
+		e.end(context.WithoutCancel(ctx), peer.EndRequest{Record: record, Usage: total})
 	}
 	r.relay(lastChunk)
 	r.finish(usage, nil, e.Clock.Now())
@@ -262,11 +262,11 @@
 // claimEntry notifies the holder that this node is now the request's entry.
 func (e *Entry) claimEntry(ctx context.Context, record holder.Record) holder.Record {
 	takeOver := peer.TakeOver{Request: record.Request, Entry: e.Keeper.Incarnation(), EntryURL: e.Self.URL}
-	var known peer.Known
+	var known peer.RecordLookup
 	if record.Holder == e.Keeper.Incarnation() {
 		known = e.Keeper.TakeOver(takeOver)
 	} else if to, ok := e.View().Member(record.Holder.Node()); ok && to.Incarnation == record.Holder {
-		known, _ = peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbTakeOver, takeOver)
+		known, _ = peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbTakeOver, takeOver)
 	}
 	if known.Found {
 		return known.Record
@@ -304,7 +304,7 @@
 		if m.Node == e.Self.Node {
 			continue
 		}
-		known, err := peer.Call[peer.Known](ctx, e.Caller, m, peer.VerbFind, peer.Known{Record: holder.Record{Request: id}})
+		known, err := peer.Call[peer.RecordLookup](ctx, e.Caller, m, peer.VerbFind, peer.RecordLookup{Record: holder.Record{Request: id}})
 		if err == nil && known.Found && !known.Record.Elsewhere {
 			return known.Record, true
 		}
--- a/fleet/entry/holder.go
+++ b/fleet/entry/holder.go
@@ -17,7 +17,7 @@
 const maxHolders = 3
 
 // admit asks the slot's holder in this zone for admission, and its successors if it does not answer.
-func (e *Entry) admit(ctx context.Context, a peer.Admission) peer.Verdict {
+func (e *Entry) admit(ctx context.Context, a peer.AdmitRequest) peer.AdmitResponse {
 	ctx, span := e.Tracer.Start(ctx, "admit")
 	defer span.End()
 	refusal := problem.New(problem.NoHolder, "no node of the zone answered for the slot")
@@ -28,7 +28,7 @@
 			e.Events.Add(event.Event{Request: a.Record.Request, Step: event.Admit, Peer: string(to.Node), Decision: "asked the next node", Reason: err.Error()})
 			refusal = refusal.At(string(event.Admit), string(to.Node))
 			// The node may have reserved tokens all the same; report that nothing runs.
-			e.enqueueEnding(peer.Ending{Record: a.Record.WithHolder(to.Incarnation), NotRun: true})
+			e.enqueueEnding(peer.EndRequest{Record: a.Record.WithHolder(to.Incarnation), NotRun: true})
 			continue
 		}
 		if verdict.Refused != nil && verdict.Refused.Reason == problem.NoHolder {
@@ -37,7 +37,7 @@
 		}
 		return verdict
 	}
-	return peer.Verdict{Refused: refusal}
+	return peer.AdmitResponse{Refused: refusal}
 }
 
 func (e *Entry) rank(slot ident.Slot) []membership.Member {
@@ -47,11 +47,11 @@
 
 // admitAt asks one node for admission. An admitted record is stored here as well, so that a
 // second VM has it.
-func (e *Entry) admitAt(ctx context.Context, to membership.Member, a peer.Admission) (peer.Verdict, error) {
+func (e *Entry) admitAt(ctx context.Context, to membership.Member, a peer.AdmitRequest) (peer.AdmitResponse, error) {
 	if to.Node == e.Self.Node {
 		return e.Keeper.Admit(ctx, a), nil
 	}
-	verdict, err := peer.Call[peer.Verdict](ctx, e.Caller, to, peer.VerbAdmit, a)
+	verdict, err := peer.Call[peer.AdmitResponse](ctx, e.Caller, to, peer.VerbAdmit, a)
 	if err != nil {
 		return verdict, err
 	}
@@ -59,15 +59,15 @@
 		return verdict, nil
 	}
 	if err := e.Keeper.Remember(*verdict.Admitted); err != nil {
-		e.enqueueEnding(peer.Ending{Record: *verdict.Admitted, NotRun: true})
-		return peer.Verdict{}, errors.Wrapf(err, "step %s, peer %s", event.Admit, to.Node)
+		e.enqueueEnding(peer.EndRequest{Record: *verdict.Admitted, NotRun: true})
+		return peer.AdmitResponse{}, errors.Wrapf(err, "step %s, peer %s", event.Admit, to.Node)
 	}
 	return verdict, nil
 }
 
 // end reports the end of a request to its holder, or to a successor once the holder's incarnation
 // has ended. It returns when a second VM has the report, or leaves it in the outbox.
-func (e *Entry) end(ctx context.Context, ending peer.Ending) {
+func (e *Entry) end(ctx context.Context, ending peer.EndRequest) {
 	ctx, span := e.Tracer.Start(ctx, "settle")
 	defer span.End()
 	if !ending.NotRun {
@@ -81,7 +81,7 @@
 	e.Metrics.Settled(ctx)
 }
 
-func (e *Entry) sendEnding(ctx context.Context, ending peer.Ending) error {
+func (e *Entry) sendEnding(ctx context.Context, ending peer.EndRequest) error {
 	if ending.Record.Holder == e.Keeper.Incarnation() {
 		e.Keeper.End(ctx, ending)
 		return nil
@@ -93,7 +93,7 @@
 			e.Keeper.End(ctx, ending)
 			return nil
 		}
-		_, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbEnd, ending)
+		_, err := peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbEnd, ending)
 		if err == nil {
 			return nil
 		}
@@ -105,7 +105,7 @@
 // endingTargets returns the nodes to report an ending to: the holder while its incarnation lasts,
 // and then other nodes of the zone, which store the ending as witnesses. The ending of a request
 // that did not run goes to its holder only.
-func (e *Entry) endingTargets(ending peer.Ending) []membership.Member {
+func (e *Entry) endingTargets(ending peer.EndRequest) []membership.Member {
 	view := e.View()
 	var targets []membership.Member
 	if m, ok := view.Member(ending.Record.Holder.Node()); ok && m.Incarnation == ending.Record.Holder {
@@ -123,7 +123,7 @@
 }
 
 // enqueueEnding puts an ending into the outbox, to be reported by the next Tick.
-func (e *Entry) enqueueEnding(ending peer.Ending) {
+func (e *Entry) enqueueEnding(ending peer.EndRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.outbox = append(e.outbox, ending)
@@ -148,7 +148,7 @@
 
 // noteAttempt reports a further attempt to the holder before it is sent.
 func (e *Entry) noteAttempt(ctx context.Context, r holder.Record, a holder.Attempt, extra int64) bool {
-	noting := peer.Noting{Request: r.Request, Attempt: a, Extra: extra}
+	noting := peer.NoteRequest{Request: r.Request, Attempt: a, Extra: extra}
 	if r.Holder == e.Keeper.Incarnation() {
 		return e.Keeper.Note(ctx, noting).Found
 	}
@@ -156,6 +156,6 @@
 	if !ok || to.Incarnation != r.Holder {
 		return false
 	}
-	known, err := peer.Call[peer.Known](ctx, e.Caller, to, peer.VerbNote, noting)
+	known, err := peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbNote, noting)
 	return err == nil && known.Found && e.Keeper.Remember(known.Record) == nil
 }
--- a/fleet/entry/plainjob.go
+++ b/fleet/entry/plainjob.go
@@ -53,7 +53,7 @@
 	j.record.Limits = lo.Map(limits, func(l limit.Line, _ int) string { return l.Name })
 	if j.record.Key != "" || len(limits) > 0 {
 		var ok bool
-		if j.record, ok = e.admitRun(ctx, r, j.grant, peer.Admission{Record: j.record, Limits: limits, Try: call.attemptNumber}); !ok {
+		if j.record, ok = e.admitRun(ctx, r, j.grant, peer.AdmitRequest{Record: j.record, Limits: limits, Try: call.attemptNumber}); !ok {
 			return
 		}
 		j.holderKnows = true
@@ -129,7 +129,7 @@
 		if len(answer.Body) > maxStoredAnswer {
 			stored = nil
 		}
-		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, Answer: stored})
+		j.entry.end(context.WithoutCancel(ctx), peer.EndRequest{Record: j.record, Answer: stored})
 	}
 	j.run.finish(holder.Usage{}, &answer, j.entry.Clock.Now())
 }
@@ -140,13 +140,13 @@
 	peerName := string(j.attempt().Endpoint)
 	if !j.started {
 		if j.holderKnows {
-			j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, NotRun: true})
+			j.entry.end(context.WithoutCancel(ctx), peer.EndRequest{Record: j.record, NotRun: true})
 		}
 		j.entry.refuseRun(j.run, problem.New(problem.NoEndpoint, cause.Error()).At(string(event.Send), peerName))
 		return
 	}
 	if j.holderKnows {
-		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record})
+		j.entry.end(context.WithoutCancel(ctx), peer.EndRequest{Record: j.record})
 	}
 	p := problem.New(problem.EndpointFailed, cause.Error()).At(string(event.Send), peerName)
 	j.run.fail(p.WithOutcome(problem.Unknown), RunFailed, holder.Usage{}, j.entry.Clock.Now())
--- a/fleet/entry/serve.go
+++ b/fleet/entry/serve.go
@@ -352,7 +352,7 @@
 
 func (e *Entry) cancelRemote(ctx context.Context, record holder.Record) {
 	if to, ok := e.View().Member(record.Entry.Node()); ok && to.Incarnation == record.Entry {
-		_, _ = peer.Call[peer.Nothing](ctx, e.Caller, to, peer.VerbCancel, peer.Known{Record: record})
+		_, _ = peer.Call[peer.Nothing](ctx, e.Caller, to, peer.VerbCancel, peer.RecordLookup{Record: record})
 		return
 	}
 	for _, a := range record.Attempts {
--- a/fleet/keeper/admit.go
+++ b/fleet/keeper/admit.go
@@ -25,7 +25,7 @@
 )
 
 // Admit admits a request, returns the one that already has its key, or refuses it.
-func (k *Keeper) Admit(ctx context.Context, a peer.Admission) peer.Verdict {
+func (k *Keeper) Admit(ctx context.Context, a peer.AdmitRequest) peer.AdmitResponse {
 	m := holder.Admit{At: k.Clock.Now(), Record: a.Record, Budgets: a.Budgets, Limits: a.Limits, Share: k.share(), Weight: a.Weight, CallerAttempt: a.Try}
 	verdict := k.admit(ctx, m)
 	k.recordVerdict(a.Record, verdict)
@@ -40,30 +40,30 @@
 	return holder.Shares{Zone: zone, Node: zone / float64(max(1, nodes))}
 }
 
-func (k *Keeper) admit(ctx context.Context, m holder.Admit) peer.Verdict {
+func (k *Keeper) admit(ctx context.Context, m holder.Admit) peer.AdmitResponse {
 	topUps := 0
 	for range maxAdmitAttempts {
 		switch effect := k.handle(m).(type) {
 		case holder.Admitted:
 			return k.confirm(ctx, effect.Record)
 		case holder.Existing:
-			return peer.Verdict{Existing: &effect.Record}
+			return peer.AdmitResponse{Existing: &effect.Record}
 		case holder.Refused:
 			if k.borrow(ctx, m, effect.Problem) {
 				m.At = k.Clock.Now()
 				continue
 			}
 			k.forget(ctx, m)
-			return peer.Verdict{Refused: effect.Problem}
+			return peer.AdmitResponse{Refused: effect.Problem}
 		case holder.MustClaim:
 			claimed, unreachable := k.claim(ctx, effect.Record)
 			if claimed.Existing != nil {
 				k.handle(holder.Yield{Own: effect.Record, Other: *claimed.Existing})
-				return peer.Verdict{Existing: claimed.Existing}
+				return peer.AdmitResponse{Existing: claimed.Existing}
 			}
 			if claimed.Refused != nil {
 				k.handle(holder.Deny(effect))
-				return peer.Verdict{Refused: claimed.Refused}
+				return peer.AdmitResponse{Refused: claimed.Refused}
 			}
 			m.Claimed, m.Unreachable = true, unreachable
 		case holder.Short:
@@ -84,7 +84,7 @@
 	return ok && s.Need >= d.need && k.Clock.Now().Before(d.until)
 }
 
-func (k *Keeper) deny(ctx context.Context, m holder.Admit, s holder.Short) peer.Verdict {
+func (k *Keeper) deny(ctx context.Context, m holder.Admit, s holder.Short) peer.AdmitResponse {
 	k.mu.Lock()
 	if d, ok := k.denied[s.Budget]; !ok || s.Need < d.need || !k.Clock.Now().Before(d.until) {
 		k.denied[s.Budget] = denial{need: s.Need, until: k.Clock.Now().Add(denialDuration)}
@@ -93,7 +93,7 @@
 	k.handle(holder.Deny{Record: m.Record})
 	k.forget(ctx, m)
 	p := problem.New(problem.BudgetExhausted, "the worst case needs more tokens than the budget has free within reach")
-	return peer.Verdict{Refused: p.At(string(event.Admit), string(s.Budget))}
+	return peer.AdmitResponse{Refused: p.At(string(event.Admit), string(s.Budget))}
 }
 
 // forget removes the copies of a key whose request was refused.
@@ -102,30 +102,30 @@
 		return
 	}
 	for _, to := range k.claimPeers(m.Record) {
-		_ = k.Peers.Forget(ctx, to, peer.Forgetting{Key: m.Record.Key, Request: m.Record.Request})
+		_ = k.Peers.Forget(ctx, to, peer.ForgetRequest{Key: m.Record.Key, Request: m.Record.Request})
 	}
 }
 
 // confirm has a second VM store the record before the request may run.
-func (k *Keeper) confirm(ctx context.Context, r holder.Record) peer.Verdict {
+func (k *Keeper) confirm(ctx context.Context, r holder.Record) peer.AdmitResponse {
 	if r.Entry != k.Incarnation() {
-		return peer.Verdict{Admitted: &r}
+		return peer.AdmitResponse{Admitted: &r}
 	}
 	by, fenced := k.storeAtWitness(ctx, r)
 	if fenced {
 		k.renewIncarnation(nil)
-		return peer.Verdict{Refused: problem.New(problem.NoHolder, "the holder was declared over; ask again").At(string(event.Admit), string(k.Self.Node))}
+		return peer.AdmitResponse{Refused: problem.New(problem.NoHolder, "the holder was declared over; ask again").At(string(event.Admit), string(k.Self.Node))}
 	}
 	r = r.WithWitness(by)
 	k.handle(holder.Witnessed{Request: r.Request, By: by})
-	return peer.Verdict{Admitted: &r}
+	return peer.AdmitResponse{Admitted: &r}
 }
 
 // storeAtWitness stores a record at the first reachable node of the zone and returns that node,
 // or "" if there is none. fenced reports whether it has fenced the record's holder.
 func (k *Keeper) storeAtWitness(ctx context.Context, r holder.Record) (by ident.Incarnation, fenced bool) {
 	for _, to := range k.others(r.Slot) {
-		stored, err := k.Peers.Store(ctx, to, peer.Storing{Records: []holder.Record{r}})
+		stored, err := k.Peers.Store(ctx, to, peer.StoreRequest{Records: []holder.Record{r}})
 		if err != nil {
 			continue
 		}
@@ -156,13 +156,13 @@
 
 type claimAnswer struct {
 	from    membership.Member
-	claimed peer.Claimed
+	claimed peer.ClaimResponse
 	err     error
 }
 
 // claim asks for a key in all zones concurrently. A zone without a live node in
 // this node's view counts as unreachable.
-func (k *Keeper) claim(ctx context.Context, r holder.Record) (peer.Claimed, []ident.Zone) {
+func (k *Keeper) claim(ctx context.Context, r holder.Record) (peer.ClaimResponse, []ident.Zone) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	peers := k.claimPeers(r)
@@ -170,7 +170,7 @@
 	var wait sync.WaitGroup
 	for i, to := range peers {
 		wait.Go(func() {
-			claimed, err := k.Peers.Claim(ctx, to, peer.Claiming{Record: r, Store: to.Zone == k.Self.Zone})
+			claimed, err := k.Peers.Claim(ctx, to, peer.ClaimRequest{Record: r, Store: to.Zone == k.Self.Zone})
 			answers[i] = claimAnswer{from: to, claimed: claimed, err: err}
 		})
 	}
@@ -179,7 +179,7 @@
 }
 
 // combine returns the answer that denies the key, if there is one, or else the zones that did not answer.
-func (k *Keeper) combine(answers []claimAnswer) (peer.Claimed, []ident.Zone) {
+func (k *Keeper) combine(answers []claimAnswer) (peer.ClaimResponse, []ident.Zone) {
 	reached := map[ident.Zone]bool{k.Self.Zone: true}
 	for _, a := range answers {
 		if a.err != nil {
@@ -196,28 +196,28 @@
 			unreachable = append(unreachable, z)
 		}
 	}
-	return peer.Claimed{}, unreachable
+	return peer.ClaimResponse{}, unreachable
 }
 
 // Claim answers another holder that claims a key.
-func (k *Keeper) Claim(in peer.Claiming) peer.Claimed {
+func (k *Keeper) Claim(in peer.ClaimRequest) peer.ClaimResponse {
 	switch effect := k.handle(holder.Claim{Record: in.Record, Store: in.Store, At: k.Clock.Now()}).(type) {
 	case holder.Existing:
-		return peer.Claimed{Existing: &effect.Record}
+		return peer.ClaimResponse{Existing: &effect.Record}
 	case holder.Refused:
-		return peer.Claimed{Refused: effect.Problem}
+		return peer.ClaimResponse{Refused: effect.Problem}
 	default:
-		return peer.Claimed{}
+		return peer.ClaimResponse{}
 	}
 }
 
 // Forget removes the copy of a key.
-func (k *Keeper) Forget(in peer.Forgetting) {
+func (k *Keeper) Forget(in peer.ForgetRequest) {
 	k.handle(holder.Forget{Key: in.Key, Request: in.Request})
 }
 
 // recordVerdict records the verdict on a request as an event.
-func (k *Keeper) recordVerdict(r holder.Record, v peer.Verdict) {
+func (k *Keeper) recordVerdict(r holder.Record, v peer.AdmitResponse) {
 	e := event.Event{Request: r.Request, Step: event.Admit, Peer: string(r.Entry.Node())}
 	switch {
 	case v.Admitted != nil:
--- a/fleet/keeper/borrow.go
+++ b/fleet/keeper/borrow.go
@@ -36,7 +36,7 @@
 	var wait sync.WaitGroup
 	for _, to := range k.lenders(m.Record.Slot, line) {
 		wait.Go(func() {
-			lent, err := k.Peers.Lend(ctx, to, peer.Lending{Line: line})
+			lent, err := k.Peers.Lend(ctx, to, peer.LendRequest{Line: line})
 			if err != nil {
 				return
 			}
@@ -77,7 +77,7 @@
 }
 
 // Lend lends the unused share of a limit to another node.
-func (k *Keeper) Lend(in peer.Lending) peer.Lent {
+func (k *Keeper) Lend(in peer.LendRequest) peer.LendResponse {
 	lent, _ := k.handle(holder.Lend{At: k.Clock.Now(), Line: in.Line, Share: k.share()}).(holder.Lent)
-	return peer.Lent{Part: lent.Share}
+	return peer.LendResponse{Part: lent.Share}
 }
--- a/fleet/keeper/closing.go
+++ b/fleet/keeper/closing.go
@@ -131,13 +131,13 @@
 // gather fences a dead holder at every reachable node of the zone and collects
 // their records of it. It fails while a VM that may have more records has not answered.
 func (k *Keeper) gather(ctx context.Context, dead ident.Incarnation) ([]holder.Record, error) {
-	answers := []peer.Fenced{k.Fence(peer.Fencing{Holder: dead})}
+	answers := []peer.FenceResponse{k.Fence(peer.FenceRequest{Holder: dead})}
 	view := k.View()
 	for _, m := range view.Members() {
 		if m.Zone != k.Self.Zone || m.Incarnation == "" || m.Incarnation == dead || m.Phase == membership.Left {
 			continue
 		}
-		answer, err := k.Peers.Fence(ctx, m, peer.Fencing{Holder: dead})
+		answer, err := k.Peers.Fence(ctx, m, peer.FenceRequest{Holder: dead})
 		if err != nil {
 			return nil, errors.Newf("node %s has not reported what it ran under it", m.Node)
 		}
@@ -150,8 +150,8 @@
 	if !ok {
 		return nil, errors.New("no live node has heard what it last said of its records")
 	}
-	answered := lo.SliceToMap(answers, func(a peer.Fenced) (ident.Incarnation, bool) { return a.From, true })
-	if err := checkComplete(dead, last, view.Departed(k.Self.Zone), answered); err != nil {
+	answered := lo.SliceToMap(answers, func(a peer.FenceResponse) (ident.Incarnation, bool) { return a.From, true })
+	if err := checkComplete(dead, last, view.GoneMembers(k.Self.Zone), answered); err != nil {
 		return nil, err
 	}
 	return merge(answers), nil
@@ -162,11 +162,11 @@
 
 // queryOtherZones asks nodes of other zones for a dead holder's last heartbeat. It is needed where
 // no node of its own zone has received one, as in a zone of one VM.
-func (k *Keeper) queryOtherZones(ctx context.Context, dead ident.Incarnation) []peer.Fenced {
+func (k *Keeper) queryOtherZones(ctx context.Context, dead ident.Incarnation) []peer.FenceResponse {
 	far := lo.Filter(k.View().Live(k.Clock.Now()), func(m membership.Member, _ int) bool { return m.Zone != k.Self.Zone })
-	var answers []peer.Fenced
+	var answers []peer.FenceResponse
 	for _, m := range far[:min(len(far), maxRemoteNodes)] {
-		if answer, err := k.Peers.Fence(ctx, m, peer.Fencing{Holder: dead}); err == nil {
+		if answer, err := k.Peers.Fence(ctx, m, peer.FenceRequest{Holder: dead}); err == nil {
 			answers = append(answers, answer)
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // latest returns the latest heartbeat of the dead holder among the answers.
-func latest(answers []peer.Fenced) (membership.Member, bool) {
+func latest(answers []peer.FenceResponse) (membership.Member, bool) {
 	var last membership.Member
 	found := false
 	for _, a := range answers {
@@ -186,7 +186,7 @@
 }
 
 // merge returns one copy of each reported record, a settled one if there is any.
-func merge(answers []peer.Fenced) []holder.Record {
+func merge(answers []peer.FenceResponse) []holder.Record {
 	byID := map[ident.Request]holder.Record{}
 	for _, a := range answers {
 		for _, r := range a.Records {
--- a/fleet/keeper/complete.go
+++ b/fleet/keeper/complete.go
@@ -15,12 +15,12 @@
 // if the holder alone had some record, or if another VM of the zone departed during the
 // holder's lifetime and neither of them announced before its end that no record
 // depended on the departed VM any more.
-func checkComplete(dead ident.Incarnation, last membership.Member, departed []membership.Departed, answered map[ident.Incarnation]bool) error {
+func checkComplete(dead ident.Incarnation, last membership.Member, departed []membership.GoneMember, answered map[ident.Incarnation]bool) error {
 	if last.Alone {
 		return errors.New("some of its requests were known to no other VM")
 	}
 	started := startedAt(dead)
-	members := lo.SliceToMap(departed, func(d membership.Departed) (ident.Incarnation, membership.Member) { return d.Incarnation, d.Member })
+	members := lo.SliceToMap(departed, func(d membership.GoneMember) (ident.Incarnation, membership.Member) { return d.Incarnation, d.Member })
 	for _, d := range departed {
 		if _, ok := last.Recovery(d.Incarnation); ok || d.Incarnation == dead {
 			continue
--- a/fleet/keeper/flush.go
+++ b/fleet/keeper/flush.go
@@ -137,11 +137,11 @@
 	view := k.View()
 	for n, ids := range byNode {
 		if n == k.Self.Node {
-			k.Drop(peer.Dropping{Requests: ids})
+			k.Drop(peer.DropRequest{Requests: ids})
 			continue
 		}
 		if to, ok := view.Member(n); ok {
-			_ = k.Peers.Drop(ctx, to, peer.Dropping{Requests: ids})
+			_ = k.Peers.Drop(ctx, to, peer.DropRequest{Requests: ids})
 		}
 	}
 }
--- a/fleet/keeper/guard.go
+++ b/fleet/keeper/guard.go
@@ -127,7 +127,7 @@
 func (k *Keeper) recallAll(ctx context.Context, b ledger.Budget, c limitChange) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
-	in := peer.Surrendering{Slot: c.slot, Budget: c.budget, Need: max(0, b.Committed()-c.to)}
+	in := peer.SurrenderRequest{Slot: c.slot, Budget: c.budget, Need: max(0, b.Committed()-c.to)}
 	view := k.View()
 	var wait sync.WaitGroup
 	for _, a := range b.Accounts {
--- a/fleet/keeper/keeper.go
+++ b/fleet/keeper/keeper.go
@@ -23,13 +23,13 @@
 
 // Peers are the calls that a keeper makes to other nodes.
 type Peers interface {
-	Claim(ctx context.Context, to membership.Member, in peer.Claiming) (peer.Claimed, error)
-	Forget(ctx context.Context, to membership.Member, in peer.Forgetting) error
-	Store(ctx context.Context, to membership.Member, in peer.Storing) (peer.Stored, error)
-	Drop(ctx context.Context, to membership.Member, in peer.Dropping) error
-	Fence(ctx context.Context, to membership.Member, in peer.Fencing) (peer.Fenced, error)
-	Surrender(ctx context.Context, to membership.Member, in peer.Surrendering) (peer.Surrendered, error)
-	Lend(ctx context.Context, to membership.Member, in peer.Lending) (peer.Lent, error)
+	Claim(ctx context.Context, to membership.Member, in peer.ClaimRequest) (peer.ClaimResponse, error)
+	Forget(ctx context.Context, to membership.Member, in peer.ForgetRequest) error
+	Store(ctx context.Context, to membership.Member, in peer.StoreRequest) (peer.StoreResponse, error)
+	Drop(ctx context.Context, to membership.Member, in peer.DropRequest) error
+	Fence(ctx context.Context, to membership.Member, in peer.FenceRequest) (peer.FenceResponse, error)
+	Surrender(ctx context.Context, to membership.Member, in peer.SurrenderRequest) (peer.SurrenderResponse, error)
+	Lend(ctx context.Context, to membership.Member, in peer.LendRequest) (peer.LendResponse, error)
 	HandOver(ctx context.Context, to membership.Member, in peer.HandOver) error
 }
 
--- a/fleet/keeper/matrix_test.go
+++ b/fleet/keeper/matrix_test.go
@@ -168,12 +168,12 @@
 	h, entry := w.roles()
 	q, _ := w.admit(h, entry)
 	w.end(q, 20)
-	entry.Keeper.Fence(peer.Fencing{Holder: h.Incarnation()})
+	entry.Keeper.Fence(peer.FenceRequest{Holder: h.Incarnation()})
 
 	old := h.Incarnation()
 	id, verdict := w.admitRemembering(h, entry)
 	assert.Nil(t, verdict.Admitted, "an entry VM that has fenced the holder must run nothing under it")
-	h.End(context.Background(), peer.Ending{Record: id, NotRun: true})
+	h.End(context.Background(), peer.EndRequest{Record: id, NotRun: true})
 
 	_, own := w.admit(h, h)
 	require.NotNil(t, own.Refused, "its own requests are refused too, since the next VM has fenced it")
@@ -205,11 +205,11 @@
 }
 
 // admitRemembering is like admit, but the entry VM may refuse to store the record.
-func (w *world) admitRemembering(h, entry *vm) (holder.Record, peer.Verdict) {
+func (w *world) admitRemembering(h, entry *vm) (holder.Record, peer.AdmitResponse) {
 	r := holder.Record{Request: "z.0.x", Customer: customer, Bound: bound, Model: true, Entry: entry.Incarnation(), At: w.clock.Now()}
-	verdict := h.Admit(context.Background(), peer.Admission{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
+	verdict := h.Admit(context.Background(), peer.AdmitRequest{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
 	if verdict.Admitted != nil && entry.Remember(*verdict.Admitted) != nil {
-		return *verdict.Admitted, peer.Verdict{}
+		return *verdict.Admitted, peer.AdmitResponse{}
 	}
 	return r, verdict
 }
--- a/fleet/keeper/reconcile.go
+++ b/fleet/keeper/reconcile.go
@@ -29,7 +29,7 @@
 	if len(rank) == 0 {
 		return true
 	}
-	claimed, err := k.Peers.Claim(ctx, rank[0], peer.Claiming{Record: r})
+	claimed, err := k.Peers.Claim(ctx, rank[0], peer.ClaimRequest{Record: r})
 	if err != nil {
 		return true
 	}
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -104,10 +104,10 @@
 			continue
 		}
 		if r.Model && usage.Tokens() == 0 && k.View().Gone(r.Entry) {
-			k.release(ctx, peer.Ending{Record: r, NotRun: true})
+			k.release(ctx, peer.EndRequest{Record: r, NotRun: true})
 			continue
 		}
-		k.End(ctx, peer.Ending{Record: r, Usage: usage})
+		k.End(ctx, peer.EndRequest{Record: r, Usage: usage})
 		k.Events.Add(event.Event{Request: r.Request, Step: event.Settle, Peer: string(r.Entry.Node()), Decision: "settled from the engine's outcome", Reason: "its entry does not answer"})
 	}
 }
@@ -182,7 +182,7 @@
 		alone = alone || second == "" || second == k.Incarnation()
 		needed[second] = true
 	}
-	departed := k.View().Departed(k.Self.Zone)
+	departed := k.View().GoneMembers(k.Self.Zone)
 	for _, d := range departed[max(0, len(departed)-maxRecovered):] {
 		if !needed[d.Incarnation] && len(k.uncopied(d.Incarnation)) == 0 {
 			recovered = append(recovered, membership.Recovery{Gone: d.Incarnation, KeptBy: k.keptBy(d.Incarnation)})
--- a/fleet/keeper/sync.go
+++ b/fleet/keeper/sync.go
@@ -144,7 +144,7 @@
 	}
 	for _, donor := range k.donors(s) {
 		recallCtx, stop := context.WithTimeout(ctx, recallTimeout)
-		surrendered, err := k.Peers.Surrender(recallCtx, donor, peer.Surrendering{Slot: s.Slot, Budget: s.Budget, Need: shortfall, For: k.Incarnation()})
+		surrendered, err := k.Peers.Surrender(recallCtx, donor, peer.SurrenderRequest{Slot: s.Slot, Budget: s.Budget, Need: shortfall, For: k.Incarnation()})
 		stop()
 		if err != nil {
 			continue
@@ -200,19 +200,19 @@
 
 // Surrender returns tokens that another holder needs. With a need of zero the holder
 // only syncs with the ledger again.
-func (k *Keeper) Surrender(ctx context.Context, in peer.Surrendering) peer.Surrendered {
+func (k *Keeper) Surrender(ctx context.Context, in peer.SurrenderRequest) peer.SurrenderResponse {
 	surrendered, ok := k.handle(holder.Surrender{Slot: in.Slot, Budget: in.Budget, Need: in.Need}).(holder.Surrendered)
 	if !ok {
-		return peer.Surrendered{}
+		return peer.SurrenderResponse{}
 	}
 	k.slotSync(in.Slot).invalidate()
 	if err := k.syncSlot(ctx, in.Slot, holder.Credit{Budget: in.Budget, To: in.For, Tokens: surrendered.Tokens}); err != nil {
-		return peer.Surrendered{}
+		return peer.SurrenderResponse{}
 	}
 	if surrendered.Tokens > 0 {
 		k.Events.Add(event.Event{Step: event.Return, Peer: string(in.Budget), Decision: "returned", Reason: "another zone is short"})
 	}
-	return peer.Surrendered{Tokens: surrendered.Tokens}
+	return peer.SurrenderResponse{Tokens: surrendered.Tokens}
 }
 
 // Open opens accounts for the budgets of all slots that this node holds.
--- a/fleet/keeper/world_test.go
+++ b/fleet/keeper/world_test.go
@@ -209,7 +209,7 @@
 		for _, from := range w.ordered() {
 			for _, to := range w.ordered() {
 				if from != to && !from.dead && !to.dead && !from.unreachable && !to.unreachable {
-					to.view, _ = to.view.Handle(membership.Heard{At: w.clock.Now(), Members: from.view.Digest()})
+					to.view, _ = to.view.Handle(membership.Received{At: w.clock.Now(), Members: from.view.Digest()})
 				}
 			}
 		}
@@ -272,13 +272,13 @@
 }
 
 // admit asks a holder to admit a request for an entry VM.
-func (w *world) admit(h, entry *vm) (request, peer.Verdict) {
+func (w *world) admit(h, entry *vm) (request, peer.AdmitResponse) {
 	id := ident.NewRequest("z", 0, w.newSerial())
 	r := holder.Record{
 		Request: id, Customer: customer, Bound: bound, Model: true, Entry: entry.Incarnation(),
 		Attempts: []holder.Attempt{{Number: 1, Endpoint: "e"}}, At: w.clock.Now(),
 	}
-	verdict := h.Admit(context.Background(), peer.Admission{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
+	verdict := h.Admit(context.Background(), peer.AdmitRequest{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
 	q := request{id: id, entry: entry, holder: h}
 	if verdict.Admitted != nil {
 		q.record = *verdict.Admitted
@@ -297,7 +297,7 @@
 // end reports the end of a request as an entry VM does: to the holder if it is alive, else to all other VMs.
 func (w *world) end(q request, tokens int64) {
 	w.run(q, backend.StateDone, tokens)
-	in := peer.Ending{Record: q.record, Usage: holder.Usage{Prompt: 10, Output: tokens}}
+	in := peer.EndRequest{Record: q.record, Usage: holder.Usage{Prompt: 10, Output: tokens}}
 	q.entry.Ended(q.id, in.Usage)
 	if !q.holder.dead {
 		q.holder.End(context.Background(), in)
@@ -351,15 +351,15 @@
 	return other, nil
 }
 
-func (v *vm) Claim(_ context.Context, to membership.Member, in peer.Claiming) (peer.Claimed, error) {
+func (v *vm) Claim(_ context.Context, to membership.Member, in peer.ClaimRequest) (peer.ClaimResponse, error) {
 	other, err := v.reach(to)
 	if err != nil {
-		return peer.Claimed{}, err
+		return peer.ClaimResponse{}, err
 	}
 	return other.Keeper.Claim(in), nil
 }
 
-func (v *vm) Forget(_ context.Context, to membership.Member, in peer.Forgetting) error {
+func (v *vm) Forget(_ context.Context, to membership.Member, in peer.ForgetRequest) error {
 	other, err := v.reach(to)
 	if err == nil {
 		other.Keeper.Forget(in)
@@ -367,15 +367,15 @@
 	return err
 }
 
-func (v *vm) Store(_ context.Context, to membership.Member, in peer.Storing) (peer.Stored, error) {
+func (v *vm) Store(_ context.Context, to membership.Member, in peer.StoreRequest) (peer.StoreResponse, error) {
 	other, err := v.reach(to)
 	if err != nil {
-		return peer.Stored{}, err
+		return peer.StoreResponse{}, err
 	}
 	return other.Keeper.Store(in), nil
 }
 
-func (v *vm) Drop(_ context.Context, to membership.Member, in peer.Dropping) error {
+func (v *vm) Drop(_ context.Context, to membership.Member, in peer.DropRequest) error {
 	other, err := v.reach(to)
 	if err == nil {
 		other.Keeper.Drop(in)
@@ -383,26 +383,26 @@
 	return err
 }
 
-func (v *vm) Fence(_ context.Context, to membership.Member, in peer.Fencing) (peer.Fenced, error) {
+func (v *vm) Fence(_ context.Context, to membership.Member, in peer.FenceRequest) (peer.FenceResponse, error) {
 	other, err := v.reach(to)
 	if err != nil {
-		return peer.Fenced{}, err
+		return peer.FenceResponse{}, err
 	}
 	return other.Keeper.Fence(in), nil
 }
 
-func (v *vm) Surrender(ctx context.Context, to membership.Member, in peer.Surrendering) (peer.Surrendered, error) {
+func (v *vm) Surrender(ctx context.Context, to membership.Member, in peer.SurrenderRequest) (peer.SurrenderResponse, error) {
 	other, err := v.reach(to)
 	if err != nil {
-		return peer.Surrendered{}, err
+		return peer.SurrenderResponse{}, err
 	}
 	return other.Keeper.Surrender(ctx, in), nil
 }
 
-func (v *vm) Lend(_ context.Context, to membership.Member, in peer.Lending) (peer.Lent, error) {
+func (v *vm) Lend(_ context.Context, to membership.Member, in peer.LendRequest) (peer.LendResponse, error) {
 	other, err := v.reach(to)
 	if err != nil {
-		return peer.Lent{}, err
+		return peer.LendResponse{}, err
 	}
 	return other.Keeper.Lend(in), nil
 }
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -83,8 +83,8 @@
 	return o
 }
 
-// Departed is a gone incarnation with its last known state.
-type Departed struct {
+// GoneMember is a gone incarnation with its last known state.
+type GoneMember struct {
 	Member
 	At time.Time // when this node learned of it
 }
@@ -102,7 +102,7 @@
 	options  Options
 	self     Member
 	members  map[ident.Node]knownMember
-	gone     map[ident.Incarnation]Departed
+	gone     map[ident.Incarnation]GoneMember
 	revision int64     // of the platform's list
 	ticked   time.Time // last heartbeat round
 }
@@ -113,7 +113,7 @@
 		options: o.withDefaults(),
 		self:    self,
 		members: map[ident.Node]knownMember{},
-		gone:    map[ident.Incarnation]Departed{},
+		gone:    map[ident.Incarnation]GoneMember{},
 	}
 }
 
@@ -126,7 +126,7 @@
 	for n, m := range s.members {
 		next.members[n] = m
 	}
-	next.gone = make(map[ident.Incarnation]Departed, len(s.gone))
+	next.gone = make(map[ident.Incarnation]GoneMember, len(s.gone))
 	for i, m := range s.gone {
 		next.gone[i] = m
 	}
@@ -224,10 +224,10 @@
 	return m, ok && m.Incarnation == i
 }
 
-// Departed lists the incarnations of a zone that are gone, in order.
-func (s State) Departed(z ident.Zone) []Departed {
-	departed := lo.Filter(lo.Values(s.gone), func(d Departed, _ int) bool { return d.Zone == z })
-	slices.SortFunc(departed, func(x, y Departed) int { return cmp.Compare(x.Incarnation, y.Incarnation) })
+// GoneMembers lists the incarnations of a zone that are gone, in order.
+func (s State) GoneMembers(z ident.Zone) []GoneMember {
+	departed := lo.Filter(lo.Values(s.gone), func(d GoneMember, _ int) bool { return d.Zone == z })
+	slices.SortFunc(departed, func(x, y GoneMember) int { return cmp.Compare(x.Incarnation, y.Incarnation) })
 	return departed
 }
 
@@ -261,8 +261,8 @@
 	List platform.VMList
 }
 
-// Heard carries a heartbeat received from a peer, or the answer to one that was sent.
-type Heard struct {
+// Received carries a heartbeat received from a peer, or the answer to one that was sent.
+type Received struct {
 	At      time.Time
 	Members []Member
 }
@@ -276,9 +276,9 @@
 // Message is a Listed, Heard or Ticked.
 type Message interface{ message() }
 
-func (Listed) message() {}
-func (Heard) message()  {}
-func (Ticked) message() {}
+func (Listed) message()   {}
+func (Received) message() {}
+func (Ticked) message()   {}
 
 // Beat is a heartbeat to send.
 type Beat struct {
@@ -291,7 +291,7 @@
 	switch m := m.(type) {
 	case Listed:
 		return s.listed(m), nil
-	case Heard:
+	case Received:
 		return s.received(m), nil
 	case Ticked:
 		return s.tick(m)
@@ -324,7 +324,7 @@
 func (s State) withoutMissing(at time.Time) State {
 	for n, known := range s.members {
 		if known.missing && at.Sub(known.advanced) > s.options.SuspectAfter {
-			s.gone[known.Incarnation] = Departed{Member: known.Member, At: at}
+			s.gone[known.Incarnation] = GoneMember{Member: known.Member, At: at}
 			delete(s.members, n)
 		}
 	}
@@ -344,7 +344,7 @@
 	return known
 }
 
-func (s State) received(m Heard) State {
+func (s State) received(m Received) State {
 	next := s.clone()
 	for _, update := range m.Members {
 		if update.Phase == Gone {
@@ -359,7 +359,7 @@
 			continue
 		}
 		if ok && old.Incarnation != "" && old.Incarnation != update.Incarnation {
-			next.gone[old.Incarnation] = Departed{Member: old.Member, At: m.At}
+			next.gone[old.Incarnation] = GoneMember{Member: old.Member, At: m.At}
 		}
 		next.members[update.Node] = knownMember{Member: update, advanced: m.At, listed: old.listed, missing: old.missing}
 	}
@@ -371,7 +371,7 @@
 	if _, known := s.gone[dead.Incarnation]; known || dead.Incarnation == s.self.Incarnation {
 		return
 	}
-	s.gone[dead.Incarnation] = Departed{Member: dead, At: at}
+	s.gone[dead.Incarnation] = GoneMember{Member: dead, At: at}
 	if m, ok := s.members[dead.Node]; ok && m.Incarnation == dead.Incarnation {
 		delete(s.members, dead.Node)
 	}
@@ -386,9 +386,9 @@
 
 // recentlyGone lists the incarnations of the own zone that were lost last, the newest first.
 func (s State) recentlyGone() []Member {
-	departed := lo.Filter(s.Departed(s.self.Zone), func(d Departed, _ int) bool { return s.ticked.Sub(d.At) <= goneInBeatFor })
-	slices.SortFunc(departed, func(x, y Departed) int { return y.At.Compare(x.At) })
-	return lo.Map(departed[:min(len(departed), maxGoneInBeat)], func(d Departed, _ int) Member {
+	departed := lo.Filter(s.GoneMembers(s.self.Zone), func(d GoneMember, _ int) bool { return s.ticked.Sub(d.At) <= goneInBeatFor })
+	slices.SortFunc(departed, func(x, y GoneMember) int { return y.At.Compare(x.At) })
+	return lo.Map(departed[:min(len(departed), maxGoneInBeat)], func(d GoneMember, _ int) Member {
 		d.Phase = Gone
 		return d.Member
 	})
--- a/fleet/membership/membership_test.go
+++ b/fleet/membership/membership_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-func received(after time.Duration, members ...membership.Member) membership.Heard {
-	return membership.Heard{At: start.Add(after), Members: members}
+func received(after time.Duration, members ...membership.Member) membership.Received {
+	return membership.Received{At: start.Add(after), Members: members}
 }
 
 func listed(after time.Duration, revision int64, names ...ident.Node) membership.Listed {
--- a/fleet/node/peers.go
+++ b/fleet/node/peers.go
@@ -18,40 +18,40 @@
 type peers struct{ caller *peer.Caller }
 
 // Claim implements keeper.Peers.
-func (p peers) Claim(ctx context.Context, to membership.Member, in peer.Claiming) (peer.Claimed, error) {
-	return peer.Call[peer.Claimed](ctx, p.caller, to, peer.VerbClaim, in)
+func (p peers) Claim(ctx context.Context, to membership.Member, in peer.ClaimRequest) (peer.ClaimResponse, error) {
+	return peer.Call[peer.ClaimResponse](ctx, p.caller, to, peer.VerbClaim, in)
 }
 
 // Forget implements keeper.Peers.
-func (p peers) Forget(ctx context.Context, to membership.Member, in peer.Forgetting) error {
+func (p peers) Forget(ctx context.Context, to membership.Member, in peer.ForgetRequest) error {
 	_, err := peer.Call[peer.Nothing](ctx, p.caller, to, peer.VerbForget, in)
 	return err
 }
 
 // Store implements keeper.Peers.
-func (p peers) Store(ctx context.Context, to membership.Member, in peer.Storing) (peer.Stored, error) {
-	return peer.Call[peer.Stored](ctx, p.caller, to, peer.VerbStore, in)
+func (p peers) Store(ctx context.Context, to membership.Member, in peer.StoreRequest) (peer.StoreResponse, error) {
+	return peer.Call[peer.StoreResponse](ctx, p.caller, to, peer.VerbStore, in)
 }
 
 // Drop implements keeper.Peers.
-func (p peers) Drop(ctx context.Context, to membership.Member, in peer.Dropping) error {
+func (p peers) Drop(ctx context.Context, to membership.Member, in peer.DropRequest) error {
 	_, err := peer.Call[peer.Nothing](ctx, p.caller, to, peer.VerbDrop, in)
 	return err
 }
 
 // Fence implements keeper.Peers.
-func (p peers) Fence(ctx context.Context, to membership.Member, in peer.Fencing) (peer.Fenced, error) {
-	return peer.Call[peer.Fenced](ctx, p.caller, to, peer.VerbFence, in)
+func (p peers) Fence(ctx context.Context, to membership.Member, in peer.FenceRequest) (peer.FenceResponse, error) {
+	return peer.Call[peer.FenceResponse](ctx, p.caller, to, peer.VerbFence, in)
 }
 
 // Surrender implements keeper.Peers.
-func (p peers) Surrender(ctx context.Context, to membership.Member, in peer.Surrendering) (peer.Surrendered, error) {
-	return peer.Call[peer.Surrendered](ctx, p.caller, to, peer.VerbSurrender, in)
+func (p peers) Surrender(ctx context.Context, to membership.Member, in peer.SurrenderRequest) (peer.SurrenderResponse, error) {
+	return peer.Call[peer.SurrenderResponse](ctx, p.caller, to, peer.VerbSurrender, in)
 }
 
 // Lend implements keeper.Peers.
-func (p peers) Lend(ctx context.Context, to membership.Member, in peer.Lending) (peer.Lent, error) {
-	return peer.Call[peer.Lent](ctx, p.caller, to, peer.VerbLend, in)
+func (p peers) Lend(ctx context.Context, to membership.Member, in peer.LendRequest) (peer.LendResponse, error) {
+	return peer.Call[peer.LendResponse](ctx, p.caller, to, peer.VerbLend, in)
 }
 
 // HandOver implements keeper.Peers.
@@ -104,40 +104,40 @@
 
 // servePeers registers the handlers for the calls of other nodes.
 func (n *Node) servePeers(s *peer.Server) {
-	peer.Handle(s, peer.VerbAdmit, func(ctx context.Context, in peer.Admission) (peer.Verdict, error) {
+	peer.Handle(s, peer.VerbAdmit, func(ctx context.Context, in peer.AdmitRequest) (peer.AdmitResponse, error) {
 		return n.keeper.Admit(ctx, in), nil
 	})
-	peer.Handle(s, peer.VerbEnd, func(ctx context.Context, in peer.Ending) (peer.Known, error) {
+	peer.Handle(s, peer.VerbEnd, func(ctx context.Context, in peer.EndRequest) (peer.RecordLookup, error) {
 		return n.keeper.End(ctx, in), nil
 	})
-	peer.Handle(s, peer.VerbNote, func(ctx context.Context, in peer.Noting) (peer.Known, error) {
+	peer.Handle(s, peer.VerbNote, func(ctx context.Context, in peer.NoteRequest) (peer.RecordLookup, error) {
 		return n.keeper.Note(ctx, in), nil
 	})
-	peer.Handle(s, peer.VerbTakeOver, func(_ context.Context, in peer.TakeOver) (peer.Known, error) {
+	peer.Handle(s, peer.VerbTakeOver, func(_ context.Context, in peer.TakeOver) (peer.RecordLookup, error) {
 		return n.keeper.TakeOver(in), nil
 	})
-	peer.Handle(s, peer.VerbFind, func(_ context.Context, in peer.Known) (peer.Known, error) {
+	peer.Handle(s, peer.VerbFind, func(_ context.Context, in peer.RecordLookup) (peer.RecordLookup, error) {
 		return n.keeper.Find(in.Record.Request), nil
 	})
-	peer.Handle(s, peer.VerbClaim, func(_ context.Context, in peer.Claiming) (peer.Claimed, error) {
+	peer.Handle(s, peer.VerbClaim, func(_ context.Context, in peer.ClaimRequest) (peer.ClaimResponse, error) {
 		return n.keeper.Claim(in), nil
 	})
-	peer.Handle(s, peer.VerbStore, func(_ context.Context, in peer.Storing) (peer.Stored, error) {
+	peer.Handle(s, peer.VerbStore, func(_ context.Context, in peer.StoreRequest) (peer.StoreResponse, error) {
 		return n.keeper.Store(in), nil
 	})
-	peer.Handle(s, peer.VerbFence, func(_ context.Context, in peer.Fencing) (peer.Fenced, error) {
+	peer.Handle(s, peer.VerbFence, func(_ context.Context, in peer.FenceRequest) (peer.FenceResponse, error) {
 		return n.keeper.Fence(in), nil
 	})
-	peer.Handle(s, peer.VerbSurrender, func(ctx context.Context, in peer.Surrendering) (peer.Surrendered, error) {
+	peer.Handle(s, peer.VerbSurrender, func(ctx context.Context, in peer.SurrenderRequest) (peer.SurrenderResponse, error) {
 		return n.keeper.Surrender(ctx, in), nil
 	})
-	peer.Handle(s, peer.VerbLend, func(_ context.Context, in peer.Lending) (peer.Lent, error) {
+	peer.Handle(s, peer.VerbLend, func(_ context.Context, in peer.LendRequest) (peer.LendResponse, error) {
 		return n.keeper.Lend(in), nil
 	})
 	peer.Handle(s, peer.VerbForget, oneWay(n.keeper.Forget))
 	peer.Handle(s, peer.VerbDrop, oneWay(n.keeper.Drop))
 	peer.Handle(s, peer.VerbHandOver, oneWay(n.keeper.TakeKeys))
-	peer.Handle(s, peer.VerbCancel, oneWay(func(in peer.Known) { n.entry.Cancel(in.Record.Request) }))
+	peer.Handle(s, peer.VerbCancel, oneWay(func(in peer.RecordLookup) { n.entry.Cancel(in.Record.Request) }))
 	peer.Handle(s, peer.VerbDrain, oneWay(func(peer.Nothing) { n.StartDrain() }))
 	peer.Handle(s, peer.VerbBeat, func(_ context.Context, in peer.Beat) (peer.Beat, error) {
 		return n.receiveBeat(in), nil
--- a/fleet/node/run.go
+++ b/fleet/node/run.go
@@ -162,7 +162,7 @@
 }
 
 func (n *Node) mergeBeat(in peer.Beat) {
-	n.handle(membership.Heard{At: n.clock.Now(), Members: in.Members})
+	n.handle(membership.Received{At: n.clock.Now(), Members: in.Members})
 	n.mergeLoads(in.Loads)
 }
 
--- a/fleet/operator/api.go
+++ b/fleet/operator/api.go
@@ -170,7 +170,7 @@
 		if errors.Is(err, platform.ErrUnknown) {
 			outcome = problem.Unknown
 		}
-		return problem.New(problem.PlatformOut, err.Error()).WithOutcome(outcome).At("edit", "platform")
+		return problem.New(problem.PlatformUnreachable, err.Error()).WithOutcome(outcome).At("edit", "platform")
 	case faults.Conflict():
 		return problem.New(problem.EditConflict, faults.Error()).At("edit", faults[0].Row.String())
 	case strings.Contains(faults[0].Rule, "spent or committed"):
@@ -203,7 +203,7 @@
 func (a *API) bills(ctx context.Context, in *billsInput) (*output[[]bill.Bill], error) {
 	bills, err := a.desk.Bills(ctx, ident.Budget(in.Budget))
 	if err != nil {
-		return nil, refusal(problem.New(problem.PlatformOut, err.Error()).At("bills", "platform"))
+		return nil, refusal(problem.New(problem.PlatformUnreachable, err.Error()).At("bills", "platform"))
 	}
 	return &output[[]bill.Bill]{Body: bills}, nil
 }
--- a/fleet/peer/wire.go
+++ b/fleet/peer/wire.go
@@ -10,8 +10,8 @@
 	"github.com/lynxshed/lynxshed/fleet/problem"
 )
 
-// Admission asks a slot's holder to admit a request.
-type Admission struct {
+// AdmitRequest asks a slot's holder to admit a request.
+type AdmitRequest struct {
 	Record  holder.Record       `json:"record"`
 	Budgets []holder.BudgetLine `json:"budgets,omitempty"`
 	Limits  []limit.Line        `json:"limits,omitempty"`
@@ -19,15 +19,15 @@
 	Try     int                 `json:"try,omitempty"`
 }
 
-// Verdict is the holder's answer; exactly one field is set.
-type Verdict struct {
+// AdmitResponse is the holder's answer; exactly one field is set.
+type AdmitResponse struct {
 	Admitted *holder.Record   `json:"admitted,omitempty"`
 	Existing *holder.Record   `json:"existing,omitempty"`
 	Refused  *problem.Problem `json:"refused,omitempty"`
 }
 
-// Ending reports how a request ended.
-type Ending struct {
+// EndRequest reports how a request ended.
+type EndRequest struct {
 	Record holder.Record  `json:"record"` // as the entry has it
 	Usage  holder.Usage   `json:"usage"`
 	Answer *holder.Answer `json:"answer,omitempty"`
@@ -36,15 +36,15 @@
 	Awaiting []holder.Attempt `json:"awaiting,omitempty"`
 }
 
-// Noting adds an attempt to a request.
-type Noting struct {
+// NoteRequest adds an attempt to a request.
+type NoteRequest struct {
 	Request ident.Request  `json:"requestId"`
 	Attempt holder.Attempt `json:"attempt"`
 	Extra   int64          `json:"extra,omitempty"` // tokens to reserve in addition
 }
 
-// Known carries a record; Found is false if the node has none.
-type Known struct {
+// RecordLookup carries a record; Found is false if the node has none.
+type RecordLookup struct {
 	Found  bool          `json:"found"`
 	Record holder.Record `json:"record"`
 }
@@ -56,53 +56,53 @@
 	EntryURL string            `json:"entryUrl"`
 }
 
-// Claiming asks whether an idempotency key is known; Store leaves a copy with the runner-up.
-type Claiming struct {
+// ClaimRequest asks whether an idempotency key is known; Store leaves a copy with the runner-up.
+type ClaimRequest struct {
 	Record holder.Record `json:"record"`
 	Store  bool          `json:"store,omitempty"`
 }
 
-// Claimed answers a Claiming with the record that already holds the key, or with a refusal.
-type Claimed struct {
+// ClaimResponse answers a Claiming with the record that already holds the key, or with a refusal.
+type ClaimResponse struct {
 	Existing *holder.Record   `json:"existing,omitempty"`
 	Refused  *problem.Problem `json:"refused,omitempty"`
 }
 
-// Forgetting deletes the copy of a key.
-type Forgetting struct {
+// ForgetRequest deletes the copy of a key.
+type ForgetRequest struct {
 	Key     holder.KeyID  `json:"key"`
 	Request ident.Request `json:"requestId"`
 }
 
-// Storing stores records with a witness.
-type Storing struct {
+// StoreRequest stores records with a witness.
+type StoreRequest struct {
 	Records []holder.Record `json:"records"`
 }
 
-// Stored answers a Storing with the holder that is fenced at the witness, if any.
-type Stored struct {
+// StoreResponse answers a Storing with the holder that is fenced at the witness, if any.
+type StoreResponse struct {
 	Fenced ident.Incarnation `json:"fenced,omitempty"`
 }
 
-// Dropping names the records that a witness may delete.
-type Dropping struct {
+// DropRequest names the records that a witness may delete.
+type DropRequest struct {
 	Requests []ident.Request `json:"requests"`
 }
 
-// Fencing asks a witness to fence a holder: to accept no more records from it.
-type Fencing struct {
+// FenceRequest asks a witness to fence a holder: to accept no more records from it.
+type FenceRequest struct {
 	Holder ident.Incarnation `json:"holder"`
 }
 
-// Fenced answers a Fencing with the witness's records of the fenced holder.
-type Fenced struct {
+// FenceResponse answers a Fencing with the witness's records of the fenced holder.
+type FenceResponse struct {
 	From    ident.Incarnation  `json:"from"`
 	Records []holder.Record    `json:"records"`
 	Last    *membership.Member `json:"last,omitempty"`
 }
 
-// Surrendering asks a holder for tokens that another holder needs.
-type Surrendering struct {
+// SurrenderRequest asks a holder for tokens that another holder needs.
+type SurrenderRequest struct {
 	Slot   ident.Slot   `json:"slot"`
 	Budget ident.Budget `json:"budget"`
 	Need   int64        `json:"need"`
@@ -110,18 +110,18 @@
 	For ident.Incarnation `json:"for,omitempty"`
 }
 
-// Surrendered answers a Surrendering with the tokens returned to the pool.
-type Surrendered struct {
+// SurrenderResponse answers a Surrendering with the tokens returned to the pool.
+type SurrenderResponse struct {
 	Tokens int64 `json:"tokens"`
 }
 
-// Lending asks the holder of a slot in another zone for the unused share of a limit.
-type Lending struct {
+// LendRequest asks the holder of a slot in another zone for the unused share of a limit.
+type LendRequest struct {
 	Line limit.Line `json:"line"`
 }
 
-// Lent answers a Lending with the share that was lent, 0 to 1 of the whole limit.
-type Lent struct {
+// LendResponse answers a Lending with the share that was lent, 0 to 1 of the whole limit.
+type LendResponse struct {
 	Part float64 `json:"part"`
 }
 
--- a/fleet/relay/forward/silence.go
+++ b/fleet/relay/forward/silence.go
@@ -38,5 +38,5 @@
 	if timeout <= 0 {
 		return func() {}
 	}
-	return clock.WaitFor(timeout, func() { cancel(errSilent) }).Stop
+	return clock.StartTimeout(timeout, func() { cancel(errSilent) }).Stop
 }
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -141,7 +141,7 @@
 // Otherwise a version that turns slow while all calls move to it would get further calls for as
 // long as its slow answers take.
 type slowTimer struct {
-	timer *clock.Patience
+	timer *clock.Timeout
 	mu    sync.Mutex
 	over  bool // the answer has arrived, or the attempt was reported
 	bad   bool // it was reported and counted as bad
@@ -149,7 +149,7 @@
 
 func newSlowTimer(after time.Duration, report func() bool) *slowTimer {
 	s := &slowTimer{}
-	s.timer = clock.WaitFor(after, func() {
+	s.timer = clock.StartTimeout(after, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.over {
--- a/fleet/relay/peer/source.go
+++ b/fleet/relay/peer/source.go
@@ -240,7 +240,7 @@
 	var answer objectsAnswer
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := clock.WaitFor(wait+r.slack(), func() { cancel(errSilent) })
+	timer := clock.StartTimeout(wait+r.slack(), func() { cancel(errSilent) })
 	defer timer.Stop()
 	if r.firsthand {
 		query.Set(firsthand, "")
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -110,7 +110,7 @@
 	metrics            *Metrics
 	leaving            atomic.Bool
 	confirmation       confirmation
-	stalls             *clock.Standstills
+	stalls             *clock.StallDetector
 	dropAllIdle        func() int // closes idle connections to all endpoints
 }
 
@@ -129,8 +129,8 @@
 // New builds a node.
 func New(s Settings, a Adapter, l log.Interface) (*Node, error) {
 	limitMemory(s.MemoryMB)
-	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStandstills(), log: l}
-	n.health = store.NewHealth().WithStalls(n.stalls.Since)
+	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStallDetector(), log: l}
+	n.health = store.NewHealth().WithStalls(n.stalls.StalledSince)
 	if err := n.initTelemetry(); err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 		Wire: a.Wire(), Policy: &n.policy, Engines: &n.engines, Trials: &n.moves, Samples: n.trials, Allowance: n.allowance, Picker: n.picker,
 		Retries:    retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
 		Returns:    limit.NewReturns(),
-		Quarantine: n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Backlog: n.stalls.Unread, Stalled: n.stalls.Since, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
+		Quarantine: n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Backlog: n.stalls.Backlog, Stalled: n.stalls.StalledSince, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
 	})
 	if n.ingress, err = ingress.Listen(s.Listen, n.handler, l); err != nil {
 		return nil, errors.CombineErrors(err, gossip.Close())
--- a/fleet/relay/settings.go
+++ b/fleet/relay/settings.go
@@ -152,12 +152,12 @@
 // fields is the schema of the settings. Unknown fields are ignored, so that an older node can read
 // a newer file.
 var fields = schema.Schema{Open: true, Fields: []schema.Field{
-	{Name: "node", Required: true, Text: schema.Some},
-	{Name: "zone", Required: true, Text: schema.Some},
+	{Name: "node", Required: true, Text: schema.NonEmpty},
+	{Name: "zone", Required: true, Text: schema.NonEmpty},
 	{Name: "listen", Required: true, Text: schema.Address},
 	{Name: "ready", Required: true, Fields: []schema.Field{
 		{Name: "address", Required: true, Text: schema.Address},
-		{Name: "path", Text: schema.Some},
+		{Name: "path", Text: schema.NonEmpty},
 		{Name: "noticeS", Number: schema.Number(0, maxSeconds)},
 	}},
 	{Name: "peer", Required: true, Text: schema.Address},
@@ -181,7 +181,7 @@
 		{Name: "tolerance", Number: schema.Number(0, 1<<20)},
 		{Name: "rollbackMs", Number: schema.Number(100, 1000*maxSeconds)},
 	}},
-	{Name: "regions", Each: schema.Some},
+	{Name: "regions", Each: schema.NonEmpty},
 	{Name: "bytes", Fields: []schema.Field{
 		{Name: "zoneTokens", Number: schema.Number(0, 1<<30)},
 		{Name: "regionTokens", Number: schema.Number(0, 1<<30)},
@@ -193,7 +193,7 @@
 	{Name: "logLevel", Text: schema.OneOf("debug", "info", "warn", "error")},
 	{Name: "trace", Fields: []schema.Field{
 		{Name: "otlpEndpoint", Text: schema.OrEmpty(schema.URL)},
-		{Name: "file", Text: schema.OrEmpty(schema.Some)},
+		{Name: "file", Text: schema.OrEmpty(schema.NonEmpty)},
 	}},
 	{Name: "retry", Fields: []schema.Field{
 		{Name: "ratio", Number: schema.Number(0, 10)},
--- a/fleet/relay/suspended.go
+++ b/fleet/relay/suspended.go
@@ -24,7 +24,7 @@
 func (n *Node) watchSuspensions(ctx context.Context) {
 	known := clock.Suspended()
 	every(ctx, suspensionCheckInterval, func() {
-		if d := n.stalls.Look(); d > 0 {
+		if d := n.stalls.Check(); d > 0 {
 			n.log.WithField("ms", d.Milliseconds()).Warn("process stalled: store calls that failed meanwhile are no evidence against the store")
 		}
 		if d := clock.Suspended() - known; d >= minSuspension {
--- a/fleet/settings/fields.go
+++ b/fleet/settings/fields.go
@@ -12,8 +12,8 @@
 	{Name: "advertise", Required: true, Text: schema.URL},
 	{Name: "platform", Required: true, Text: schema.URL},
 	{Name: "peers", List: schema.URL},
-	{Name: "fleetKeyFile", Required: true, Text: schema.Some},
-	{Name: "operatorHashesFile", Required: true, Text: schema.Some},
+	{Name: "fleetKeyFile", Required: true, Text: schema.NonEmpty},
+	{Name: "operatorHashesFile", Required: true, Text: schema.NonEmpty},
 	{Name: "slots", Number: schema.Whole(1, 4096)},
 	{Name: "timing", Fields: []schema.Field{
 		{Name: "beatMs", Number: schema.Whole(10, maxMs)},
--- a/fleet/settings/schema/rules.go
+++ b/fleet/settings/schema/rules.go
@@ -31,8 +31,8 @@
 	return ""
 }
 
-// Some requires a text that is not empty.
-func Some(s string) string {
+// NonEmpty requires a text that is not empty.
+func NonEmpty(s string) string {
 	if s == "" {
 		return "some text"
 	}
