--- a/fleet/backend/backend.go
+++ b/fleet/backend/backend.go
@@ -53,11 +53,11 @@
 
 // The states of a run at an engine; StateNever means that it never started there.
 const (
-	StateNever     State = "never-started"
-	StateQueued    State = "queued"
-	StateRunning   State = "running"
-	StateDone      State = "done"
-	StateCancelled State = "cancelled"
+	StateNeverStarted State = "never-started"
+	StateQueued       State = "queued"
+	StateRunning      State = "running"
+	StateDone         State = "done"
+	StateCancelled    State = "cancelled"
 )
 
 // Outcome is the state of an attempt at its engine, with its cost so far.
@@ -69,7 +69,7 @@
 
 // Ended reports whether the cost of the run is final.
 func (o Outcome) Ended() bool {
-	return o.State == StateNever || o.State == StateDone || o.State == StateCancelled
+	return o.State == StateNeverStarted || o.State == StateDone || o.State == StateCancelled
 }
 
 // Usage returns the cost of the run so far.
@@ -118,7 +118,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusNotFound {
-		return Outcome{State: StateNever}, nil
+		return Outcome{State: StateNeverStarted}, nil
 	}
 	if res.StatusCode != http.StatusOK {
 		return Outcome{}, errors.Newf("step outcome, peer %s: status %d", a.Endpoint, res.StatusCode)
@@ -163,9 +163,9 @@
 	Customer    ident.Customer
 }
 
-// Plain calls a plain service and reads its complete answer. The error is marked
+// CallService calls a plain service and reads its complete answer. The error is marked
 // ErrNotStarted only if the service answered with status 503 or the request was not sent.
-func (c *Client) Plain(ctx context.Context, a holder.Attempt, call Call) (holder.Answer, error) {
+func (c *Client) CallService(ctx context.Context, a holder.Attempt, call Call) (holder.Answer, error) {
 	ctx, span := c.tracer.Start(ctx, "endpoint "+string(a.Endpoint), trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.Int("attempt", a.Number)))
 	defer span.End()
--- a/fleet/dispatch/dispatch.go
+++ b/fleet/dispatch/dispatch.go
@@ -143,8 +143,8 @@
 	return t
 }
 
-// Report records load reports of endpoints and places queued calls that now fit.
-func (d *Dispatcher) Report(loads []peer.Load) {
+// RecordLoads records load reports of endpoints and places queued calls that now fit.
+func (d *Dispatcher) RecordLoads(loads []peer.Load) {
 	nodes := map[ident.Zone]int{}
 	for _, z := range lo.Uniq(lo.Map(loads, func(l peer.Load, _ int) ident.Zone { return d.zoneOf(l.Endpoint) })) {
 		nodes[z] = d.nodes(z)
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -178,8 +178,8 @@
 	if failure != attempt.NotStarted && j.run.relayed() == 0 {
 		// Nothing was relayed. If the engine never started the request, another one may run it.
 		o, askErr := j.entry.Backend.Outcome(ctx, j.attempt(), j.record.Request)
-		resumable = askErr == nil && o.State != backend.StateNever
-		if askErr == nil && o.State == backend.StateNever && failure != attempt.Rejected {
+		resumable = askErr == nil && o.State != backend.StateNeverStarted
+		if askErr == nil && o.State == backend.StateNeverStarted && failure != attempt.Rejected {
 			failure = attempt.NotStarted
 		}
 	}
@@ -258,7 +258,7 @@
 		j.explain(event.Cancel, "cost not known yet", err.Error())
 		return
 	}
-	if o.State == backend.StateNever {
+	if o.State == backend.StateNeverStarted {
 		j.notStarted = append(j.notStarted, j.attempt())
 	}
 	j.spent = j.spent.Plus(o.Usage())
--- a/fleet/entry/entry.go
+++ b/fleet/entry/entry.go
@@ -59,8 +59,8 @@
 	return value
 }
 
-// Parts are the dependencies of an entry.
-type Parts struct {
+// Dependencies are the dependencies of an entry.
+type Dependencies struct {
 	Self     membership.Member
 	Keeper   *keeper.Keeper
 	Caller   *peer.Caller
@@ -79,7 +79,7 @@
 
 // Entry runs the requests that arrive at a node. It is created by New.
 type Entry struct {
-	Parts
+	Dependencies
 	options Options
 	base    context.Context
 	stop    context.CancelFunc
@@ -94,9 +94,9 @@
 }
 
 // New returns an entry without runs. When base is cancelled, all runs end.
-func New(base context.Context, p Parts, o Options) *Entry {
+func New(base context.Context, p Dependencies, o Options) *Entry {
 	base, stop := context.WithCancel(base)
-	return &Entry{Parts: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, evicted: newSummaries()}
+	return &Entry{Dependencies: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, evicted: newSummaries()}
 }
 
 // Routes registers the handlers of callers' requests.
--- a/fleet/entry/plainjob.go
+++ b/fleet/entry/plainjob.go
@@ -90,7 +90,7 @@
 	j.explain(event.Send, "sent", "")
 	call := j.call.call
 	call.Request = j.record.Request
-	return j.entry.Backend.Plain(ctx, j.attempt(), call)
+	return j.entry.Backend.CallService(ctx, j.attempt(), call)
 }
 
 func (j *plainJob) nextStep(err error) attempt.Step {
--- a/fleet/ingress/callers_test.go
+++ b/fleet/ingress/callers_test.go
@@ -26,7 +26,7 @@
 func testStrayBytes(t *testing.T, bytes string) {
 	t.Helper()
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
-	l.Bound(ingress.Bounds{HeaderTimeout: 2 * time.Second}.Or(ingress.DefaultBounds))
+	l.SetBounds(ingress.Bounds{HeaderTimeout: 2 * time.Second}.WithDefaults(ingress.DefaultBounds))
 	c, r := dial(t, l)
 	assert.Equal(t, http.StatusOK, ask(t, c, r, 1))
 	time.Sleep(20 * time.Millisecond)
@@ -140,7 +140,7 @@
 					close(start)
 					time.Sleep(time.Duration(round) * 150 * time.Microsecond)
 					l.DisableKeepAlives()
-					l.Bound(ingress.Bounds{HeaderBytes: 8<<10 + round}.Or(ingress.DefaultBounds))
+					l.SetBounds(ingress.Bounds{HeaderBytes: 8<<10 + round}.WithDefaults(ingress.DefaultBounds))
 					done.Wait()
 					assert.Eventually(t, func() bool { return ingress.Conns(l) == 0 && l.Busy() == 0 }, waitTimeout, time.Millisecond, "connections are left")
 					if begun.Load() != answered.Load() {
@@ -193,7 +193,7 @@
 	require.NoError(t, l.Close())
 	closed := func() bool { return ingress.Serving(l) == 0 }
 	require.Eventually(t, closed, waitTimeout, time.Millisecond, "the server must end after Close")
-	l.Bound(ingress.Bounds{HeaderBytes: 9 << 10}.Or(ingress.DefaultBounds))
+	l.SetBounds(ingress.Bounds{HeaderBytes: 9 << 10}.WithDefaults(ingress.DefaultBounds))
 	time.Sleep(50 * time.Millisecond)
 	assert.Zero(t, ingress.Serving(l), "a server was started after Close")
 }
--- a/fleet/ingress/ingress.go
+++ b/fleet/ingress/ingress.go
@@ -30,8 +30,8 @@
 // DefaultBounds apply until bounds are configured.
 var DefaultBounds = Bounds{HeaderBytes: 64 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second}
 
-// Or returns the bounds with unset fields, except ReadTimeout, taken from defaults.
-func (b Bounds) Or(defaults Bounds) Bounds {
+// WithDefaults returns the bounds with unset fields, except ReadTimeout, taken from defaults.
+func (b Bounds) WithDefaults(defaults Bounds) Bounds {
 	if b.HeaderBytes <= 0 {
 		b.HeaderBytes = defaults.HeaderBytes
 	}
@@ -74,14 +74,14 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for callers at %s", address)
 	}
-	return On(listener, h, l), nil
+	return NewListener(listener, h, l), nil
 }
 
-// On returns a listener that accepts callers from an open net.Listener, with the default bounds.
-func On(listener net.Listener, h http.Handler, l log.Interface) *Listener {
+// NewListener returns a listener that accepts callers from an open net.Listener, with the default bounds.
+func NewListener(listener net.Listener, h http.Handler, l log.Interface) *Listener {
 	ln := &Listener{listener: listener, closeTimeout: defaultCloseTimeout, log: l, conns: map[*conn]struct{}{}}
 	ln.handler = ln.trackCalls(h)
-	ln.Bound(DefaultBounds)
+	ln.SetBounds(DefaultBounds)
 	return ln
 }
 
@@ -123,8 +123,8 @@
 // Address returns the address of the listener.
 func (l *Listener) Address() net.Addr { return l.listener.Addr() }
 
-// Bound sets the bounds of new connections and reports whether they changed.
-func (l *Listener) Bound(b Bounds) bool {
+// SetBounds sets the bounds of new connections and reports whether they changed.
+func (l *Listener) SetBounds(b Bounds) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended || l.current != nil && b == l.bounds {
--- a/fleet/ingress/ingress_test.go
+++ b/fleet/ingress/ingress_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := ingress.On(wrappingListener{listener, wrap}, h, discardLog())
+	l := ingress.NewListener(wrappingListener{listener, wrap}, h, discardLog())
 	go func() { _ = l.Serve() }()
 	t.Cleanup(func() { _ = l.Close() })
 	return l
@@ -75,9 +75,9 @@
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
 	before, fromBefore := dial(t, l)
 	assert.Equal(t, http.StatusOK, ask(t, before, fromBefore, 20_000))
-	tighter := ingress.Bounds{HeaderBytes: 4 << 10, IdleTimeout: 100 * time.Millisecond}.Or(ingress.DefaultBounds)
-	assert.True(t, l.Bound(tighter))
-	assert.False(t, l.Bound(tighter), "nothing has changed")
+	tighter := ingress.Bounds{HeaderBytes: 4 << 10, IdleTimeout: 100 * time.Millisecond}.WithDefaults(ingress.DefaultBounds)
+	assert.True(t, l.SetBounds(tighter))
+	assert.False(t, l.SetBounds(tighter), "nothing has changed")
 
 	after, fromAfter := dial(t, l)
 	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, ask(t, after, fromAfter, 20_000))
@@ -90,7 +90,7 @@
 
 func TestASlowHeaderTimesOut(t *testing.T) {
 	l := open(t, func(http.ResponseWriter, *http.Request) { t.Error("the header was never complete") })
-	l.Bound(ingress.Bounds{HeaderTimeout: 100 * time.Millisecond}.Or(ingress.DefaultBounds))
+	l.SetBounds(ingress.Bounds{HeaderTimeout: 100 * time.Millisecond}.WithDefaults(ingress.DefaultBounds))
 	c, r := dial(t, l)
 	_, err := c.Write([]byte("GET / HTTP/1.1\r\nHost:"))
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 	})
 	old, fromOld := dial(t, l)
 	assert.Equal(t, http.StatusOK, ask(t, old, fromOld, 1))
-	l.Bound(ingress.Bounds{HeaderBytes: 8 << 10}.Or(ingress.DefaultBounds))
+	l.SetBounds(ingress.Bounds{HeaderBytes: 8 << 10}.WithDefaults(ingress.DefaultBounds))
 	busy, fromBusy := dial(t, l)
 	_, err := busy.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\nX: xx\r\n\r\n"))
 	require.NoError(t, err)
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -143,7 +143,7 @@
 		if err == nil && !o.Ended() && k.Clock.Since(r.At) > k.options.Abandon {
 			o, err = k.Outcomes.Cancel(ctx, a, r.Request)
 		}
-		if err != nil || !o.Ended() || (o.State == backend.StateNever && !entryOver) {
+		if err != nil || !o.Ended() || (o.State == backend.StateNeverStarted && !entryOver) {
 			ended = false
 			continue
 		}
--- a/fleet/keeper/world_test.go
+++ b/fleet/keeper/world_test.go
@@ -118,7 +118,7 @@
 	if o, ok := e.outcomes[id]; ok {
 		return o, nil
 	}
-	return backend.Outcome{State: backend.StateNever}, nil
+	return backend.Outcome{State: backend.StateNeverStarted}, nil
 }
 
 func (e *fakeEngine) Cancel(ctx context.Context, a holder.Attempt, id ident.Request) (backend.Outcome, error) {
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -132,9 +132,9 @@
 		cancel()
 		return nil, errors.Wrapf(err, "listen on %s", o.Settings.Listen)
 	}
-	n.ingress = ingress.On(listener, n.handler, n.log)
+	n.ingress = ingress.NewListener(listener, n.handler, n.log)
 	bounds := ingress.Bounds{HeaderBytes: o.Settings.Limits.HeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
-	n.ingress.Bound(bounds.Or(ingress.DefaultBounds))
+	n.ingress.SetBounds(bounds.WithDefaults(ingress.DefaultBounds))
 	return n, nil
 }
 
--- a/fleet/node/run.go
+++ b/fleet/node/run.go
@@ -178,7 +178,7 @@
 	}
 	n.loadsMu.Unlock()
 	if len(newer) > 0 {
-		n.dispatch.Report(newer)
+		n.dispatch.RecordLoads(newer)
 	}
 }
 
--- a/fleet/node/wire.go
+++ b/fleet/node/wire.go
@@ -115,7 +115,7 @@
 func provideEntry(i do.Injector) (*entry.Entry, error) {
 	n := do.MustInvoke[*Node](i)
 	t := do.MustInvoke[*telemetry.Telemetry](i)
-	n.entry = entry.New(do.MustInvoke[context.Context](i), entry.Parts{
+	n.entry = entry.New(do.MustInvoke[context.Context](i), entry.Dependencies{
 		Self:      n.self,
 		Keeper:    do.MustInvoke[*keeper.Keeper](i),
 		Caller:    do.MustInvoke[*peer.Caller](i),
--- a/fleet/relay/apply.go
+++ b/fleet/relay/apply.go
@@ -49,8 +49,8 @@
 	if n.ingress == nil {
 		return
 	}
-	b := ingress.Bounds{HeaderBytes: l.HeaderBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}.Or(ingress.DefaultBounds)
-	if n.ingress.Bound(b) {
+	b := ingress.Bounds{HeaderBytes: l.HeaderBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}.WithDefaults(ingress.DefaultBounds)
+	if n.ingress.SetBounds(b) {
 		n.log.WithField("headerBytes", b.HeaderBytes).WithField("headerMs", b.HeaderTimeout.Milliseconds()).WithField("idleMs", b.IdleTimeout.Milliseconds()).Info("bounds of connections in force")
 	}
 }
