--- a/ctl/capacity/mechanisms.go
+++ b/ctl/capacity/mechanisms.go
@@ -127,7 +127,7 @@
 		for z := range accountsPerBudget {
 			b.Accounts = append(b.Accounts, ledger.Account{
 				Holder: ident.NewIncarnation(ident.Node(fmt.Sprintf("region-1-zone-%d-vm-17", z)), "01JABCDEFGHJKMNPQRSTVWXYZ0"), Zone: ident.Zone(fmt.Sprintf("zone-%d", z)),
-				Drawn: 9_876_543, Returned: 1_234_567, Settled: 3_456_789, Reserved: 4_321, Rate: 123.456789, Lump: 512, Segment: 54321,
+				Drawn: 9_876_543, Returned: 1_234_567, Settled: 3_456_789, Reserved: 4_321, Rate: 123.456789, ReservationSize: 512, Segment: 54321,
 			})
 		}
 		s.Budgets = append(s.Budgets, b)
@@ -154,7 +154,7 @@
 		}
 		p := ledger.Post{Holder: s.Budgets[0].Accounts[0].Holder, Zone: "zone-0"}
 		for _, b := range s.Budgets {
-			p.Lines = append(p.Lines, ledger.Line{Budget: b.Name, Limit: b.Limit, Version: b.Version, Drawn: 9_876_543, Returned: 1_234_567, Settled: 3_456_900, Place: true})
+			p.Lines = append(p.Lines, ledger.Line{Budget: b.Name, Limit: b.Limit, Version: b.Version, Drawn: 9_876_543, Returned: 1_234_567, Settled: 3_456_900, DrawShare: true})
 		}
 		next, err := s.Apply(p)
 		if err != nil {
--- a/fleet/entry/holder.go
+++ b/fleet/entry/holder.go
@@ -58,7 +58,7 @@
 	if verdict.Admitted == nil {
 		return verdict, nil
 	}
-	if err := e.Keeper.Remember(*verdict.Admitted); err != nil {
+	if err := e.Keeper.StoreEntryRecord(*verdict.Admitted); err != nil {
 		e.enqueueEnding(peer.EndRequest{Record: *verdict.Admitted, NotRun: true})
 		return peer.AdmitResponse{}, errors.Wrapf(err, "step %s, peer %s", event.Admit, to.Node)
 	}
@@ -71,7 +71,7 @@
 	ctx, span := e.Tracer.Start(ctx, "settle")
 	defer span.End()
 	if !ending.NotRun {
-		e.Keeper.Ended(ending.Record.Request, ending.Usage)
+		e.Keeper.RecordEnd(ending.Record.Request, ending.Usage)
 	}
 	if err := e.sendEnding(ctx, ending); err != nil {
 		e.Events.Add(event.Event{Request: ending.Record.Request, Step: event.Settle, Peer: string(ending.Record.Holder), Decision: "will be reported again", Reason: err.Error()})
@@ -150,12 +150,12 @@
 func (e *Entry) noteAttempt(ctx context.Context, r holder.Record, a holder.Attempt, extra int64) bool {
 	noting := peer.NoteRequest{Request: r.Request, Attempt: a, Extra: extra}
 	if r.Holder == e.Keeper.Incarnation() {
-		return e.Keeper.Note(ctx, noting).Found
+		return e.Keeper.AddAttempt(ctx, noting).Found
 	}
 	to, ok := e.View().Member(r.Holder.Node())
 	if !ok || to.Incarnation != r.Holder {
 		return false
 	}
 	known, err := peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbNote, noting)
-	return err == nil && known.Found && e.Keeper.Remember(known.Record) == nil
+	return err == nil && known.Found && e.Keeper.StoreEntryRecord(known.Record) == nil
 }
--- a/fleet/holder/sync.go
+++ b/fleet/holder/sync.go
@@ -53,7 +53,7 @@
 			Rate:            d.perSecond(),
 			ReservationSize: int64(d.size),
 			Need:            max(0, wants[a.line.Name]-a.spendable()),
-			Place:           true,
+			DrawShare:       true,
 		}
 		if credit.Budget == a.line.Name {
 			line.CreditTo, line.Credit = credit.To, credit.Tokens
--- a/fleet/keeper/closing.go
+++ b/fleet/keeper/closing.go
@@ -57,11 +57,11 @@
 func (k *Keeper) setStranded(failed map[ident.Incarnation]error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	stranded := map[ident.Incarnation]Stranding{}
+	stranded := map[ident.Incarnation]StrandedHolder{}
 	for dead, err := range failed {
 		s, known := k.stranded[dead]
 		if !known {
-			s = Stranding{Holder: dead, Zone: k.Self.Zone, Since: k.Clock.Now()}
+			s = StrandedHolder{Holder: dead, Zone: k.Self.Zone, Since: k.Clock.Now()}
 		}
 		if s.Why != err.Error() {
 			s.Why = err.Error()
@@ -91,7 +91,7 @@
 }
 
 // Stranded returns the dead holders whose accounts can't be closed yet.
-func (k *Keeper) Stranded() []Stranding {
+func (k *Keeper) Stranded() []StrandedHolder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return lo.Values(k.stranded)
--- a/fleet/keeper/end.go
+++ b/fleet/keeper/end.go
@@ -89,8 +89,8 @@
 	return "budget " + string(r.Budget)
 }
 
-// Note adds an attempt to an open request.
-func (k *Keeper) Note(ctx context.Context, in peer.NoteRequest) peer.RecordLookup {
+// AddAttempt adds an attempt to an open request.
+func (k *Keeper) AddAttempt(ctx context.Context, in peer.NoteRequest) peer.RecordLookup {
 	effect := k.handle(holder.Noted{Request: in.Request, Attempt: in.Attempt, Extra: in.Extra})
 	if short, ok := effect.(holder.Short); ok {
 		k.topUp(ctx, short)
@@ -125,17 +125,17 @@
 	return peer.RecordLookup{Found: ok, Record: r}
 }
 
-// Remember stores a record that this node runs as the entry VM under another holder.
+// StoreEntryRecord stores a record that this node runs as the entry VM under another holder.
 // It returns ErrFenced if that holder is fenced.
-func (k *Keeper) Remember(r holder.Record) error {
+func (k *Keeper) StoreEntryRecord(r holder.Record) error {
 	if fenced, ok := k.handleWitness(witness.Store{Record: r}).(witness.Fenced); ok {
 		return errors.Wrapf(ErrFenced, "holder %s", fenced.Holder)
 	}
 	return nil
 }
 
-// Ended records the end of a request that this node ran as the entry VM.
-func (k *Keeper) Ended(id ident.Request, u holder.Usage) {
+// RecordEnd records the end of a request that this node ran as the entry VM.
+func (k *Keeper) RecordEnd(id ident.Request, u holder.Usage) {
 	k.handleWitness(witness.Settle{Request: id, Usage: u, At: k.Clock.Now()})
 }
 
--- a/fleet/keeper/keeper.go
+++ b/fleet/keeper/keeper.go
@@ -41,10 +41,10 @@
 
 // Options of a keeper. A zero value selects the default.
 type Options struct {
-	Slots        int           // default 16
-	KeyRetention time.Duration // how long keys are kept; default 15 min
-	LedgerEvery  time.Duration // between background updates of a slot's ledger; default: at each flush
-	Abandon      time.Duration // age from which a running request without an entry VM is cancelled; default 30 s
+	Slots          int           // default 16
+	KeyRetention   time.Duration // how long keys are kept; default 15 min
+	LedgerInterval time.Duration // between background updates of a slot's ledger; default: at each flush
+	AbandonAfter   time.Duration // age from which a running request without an entry VM is cancelled; default 30 s
 }
 
 func (o Options) withDefaults() Options {
@@ -54,14 +54,14 @@
 	if o.KeyRetention == 0 {
 		o.KeyRetention = 15 * time.Minute
 	}
-	if o.Abandon == 0 {
-		o.Abandon = 30 * time.Second
+	if o.AbandonAfter == 0 {
+		o.AbandonAfter = 30 * time.Second
 	}
 	return o
 }
 
-// Parts are the dependencies of a keeper.
-type Parts struct {
+// Dependencies are the dependencies of a keeper.
+type Dependencies struct {
 	Self     membership.Member
 	Platform platform.Store
 	Peers    Peers
@@ -77,7 +77,7 @@
 
 // Keeper runs the slots that a node holds and its witness records.
 type Keeper struct {
-	Parts
+	Dependencies
 	options Options
 
 	mu       sync.Mutex
@@ -86,7 +86,7 @@
 	wants    holder.Wants
 	denied   map[ident.Budget]denial
 	segments segmentWriter
-	stranded map[ident.Incarnation]Stranding
+	stranded map[ident.Incarnation]StrandedHolder
 	copies   map[ident.Request]recordCopy
 	borrowed map[string]time.Time // when other nodes were last asked to lend, by limit
 
@@ -100,17 +100,17 @@
 }
 
 // New returns a keeper without accounts.
-func New(p Parts, o Options) *Keeper {
+func New(p Dependencies, o Options) *Keeper {
 	return &Keeper{
-		Parts:    p,
-		options:  o.withDefaults(),
-		holding:  holder.New(p.Self.Incarnation, p.Self.Zone),
-		witness:  witness.New(),
-		wants:    holder.Wants{},
-		denied:   map[ident.Budget]denial{},
-		stranded: map[ident.Incarnation]Stranding{},
-		copies:   map[ident.Request]recordCopy{},
-		borrowed: map[string]time.Time{},
+		Dependencies: p,
+		options:      o.withDefaults(),
+		holding:      holder.New(p.Self.Incarnation, p.Self.Zone),
+		witness:      witness.New(),
+		wants:        holder.Wants{},
+		denied:       map[ident.Budget]denial{},
+		stranded:     map[ident.Incarnation]StrandedHolder{},
+		copies:       map[ident.Request]recordCopy{},
+		borrowed:     map[string]time.Time{},
 	}
 }
 
--- a/fleet/keeper/matrix_test.go
+++ b/fleet/keeper/matrix_test.go
@@ -208,7 +208,7 @@
 func (w *world) admitRemembering(h, entry *vm) (holder.Record, peer.AdmitResponse) {
 	r := holder.Record{Request: "z.0.x", Customer: customer, Bound: bound, Model: true, Entry: entry.Incarnation(), At: w.clock.Now()}
 	verdict := h.Admit(context.Background(), peer.AdmitRequest{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
-	if verdict.Admitted != nil && entry.Remember(*verdict.Admitted) != nil {
+	if verdict.Admitted != nil && entry.StoreEntryRecord(*verdict.Admitted) != nil {
 		return *verdict.Admitted, peer.AdmitResponse{}
 	}
 	return r, verdict
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -21,8 +21,8 @@
 // clockSkew is the maximum difference between the clocks of two VMs.
 const clockSkew = 10 * time.Second
 
-// Stranding is a dead holder whose accounts can't be closed yet, and why.
-type Stranding struct {
+// StrandedHolder is a dead holder whose accounts can't be closed yet, and why.
+type StrandedHolder struct {
 	Holder ident.Incarnation `json:"holder"`
 	Zone   ident.Zone        `json:"zone"`
 	Why    string            `json:"why"`
@@ -140,7 +140,7 @@
 	}
 	for _, a := range attempts {
 		o, err := k.Outcomes.Outcome(ctx, a, r.Request)
-		if err == nil && !o.Ended() && k.Clock.Since(r.At) > k.options.Abandon {
+		if err == nil && !o.Ended() && k.Clock.Since(r.At) > k.options.AbandonAfter {
 			o, err = k.Outcomes.Cancel(ctx, a, r.Request)
 		}
 		if err != nil || !o.Ended() || (o.State == backend.StateNeverStarted && !entryOver) {
--- a/fleet/keeper/sync.go
+++ b/fleet/keeper/sync.go
@@ -105,7 +105,7 @@
 	s := k.slotSync(slot)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return k.Clock.Since(s.posted) >= k.options.LedgerEvery
+	return k.Clock.Since(s.posted) >= k.options.LedgerInterval
 }
 
 // SyncSlot updates the ledger of a slot with the holder's accounts and draws the wanted tokens.
--- a/fleet/keeper/world_test.go
+++ b/fleet/keeper/world_test.go
@@ -183,7 +183,7 @@
 func (w *world) start(n ident.Node) *vm {
 	self := membership.Member{Node: n, Zone: "z", Incarnation: ident.NewIncarnation(n, w.newSerial()), Phase: membership.Live}
 	v := &vm{world: w, view: membership.New(self, membership.Options{})}
-	v.Keeper = keeper.New(keeper.Parts{
+	v.Keeper = keeper.New(keeper.Dependencies{
 		Self: self, Platform: w.store, Peers: v, Outcomes: w.engine,
 		View:    func() membership.State { return v.view },
 		Catalog: func() *catalog.Catalog { return w.catalog },
@@ -283,7 +283,7 @@
 	if verdict.Admitted != nil {
 		q.record = *verdict.Admitted
 		if entry != h {
-			require.NoError(w.t, entry.Remember(q.record))
+			require.NoError(w.t, entry.StoreEntryRecord(q.record))
 		}
 	}
 	return q, verdict
@@ -298,7 +298,7 @@
 func (w *world) end(q request, tokens int64) {
 	w.run(q, backend.StateDone, tokens)
 	in := peer.EndRequest{Record: q.record, Usage: holder.Usage{Prompt: 10, Output: tokens}}
-	q.entry.Ended(q.id, in.Usage)
+	q.entry.RecordEnd(q.id, in.Usage)
 	if !q.holder.dead {
 		q.holder.End(context.Background(), in)
 		return
--- a/fleet/ledger/ledger.go
+++ b/fleet/ledger/ledger.go
@@ -30,15 +30,15 @@
 
 // Account is the account of one holder incarnation in a budget. Amounts are in tokens.
 type Account struct {
-	Holder   ident.Incarnation `json:"holder"`
-	Zone     ident.Zone        `json:"zone"`
-	Drawn    int64             `json:"drawn"`
-	Returned int64             `json:"returned"`
-	Settled  int64             `json:"settled"`
-	Reserved int64             `json:"reserved"` // as of the last update
-	Rate     float64           `json:"rate"`     // demand, tokens per second
-	Lump     int64             `json:"lump"`     // size of a typical reservation
-	Segment  int64             `json:"segment"`  // last segment of bills that Settled covers
+	Holder          ident.Incarnation `json:"holder"`
+	Zone            ident.Zone        `json:"zone"`
+	Drawn           int64             `json:"drawn"`
+	Returned        int64             `json:"returned"`
+	Settled         int64             `json:"settled"`
+	Reserved        int64             `json:"reserved"` // as of the last update
+	Rate            float64           `json:"rate"`     // demand, tokens per second
+	ReservationSize int64             `json:"lump"`     // size of a typical reservation
+	Segment         int64             `json:"segment"`  // last segment of bills that Settled covers
 	// Frozen marks the account of a dead holder whose open requests have not all ended.
 	Frozen bool `json:"frozen,omitempty"`
 }
--- a/fleet/ledger/ledger_test.go
+++ b/fleet/ledger/ledger_test.go
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := ledger.Budget{Name: budget, Limit: c.limit}
 			for i, rate := range c.rates {
-				b = b.WithAccount(ledger.Account{Holder: holder(i), Rate: rate, Lump: c.size})
+				b = b.WithAccount(ledger.Account{Holder: holder(i), Rate: rate, ReservationSize: c.size})
 			}
 			for i, want := range c.want {
 				assert.Equal(t, want, b.Desired(holder(i)))
@@ -141,7 +141,7 @@
 		incarnations := 1
 		send := func(h *modelHolder, line ledger.Line, lost bool) {
 			line.Limit, line.Version, line.Drawn = limit, version, h.drawn
-			line.Returned, line.Settled, line.Reserved, line.Place = h.returned, h.settled, h.reserved, true
+			line.Returned, line.Settled, line.Reserved, line.DrawShare = h.returned, h.settled, h.reserved, true
 			next, err := slot.Apply(post(h.id, line))
 			if err != nil {
 				require.ErrorIs(t, err, ledger.ErrClosed)
--- a/fleet/ledger/placement.go
+++ b/fleet/ledger/placement.go
@@ -62,7 +62,7 @@
 	}
 	live := lo.Filter(b.Accounts, func(a Account, _ int) bool { return !a.Frozen })
 	shares := lo.Map(live, func(a Account, _ int) share {
-		return share{holder: a.Holder, weight: a.Rate + floor, size: a.Lump}
+		return share{holder: a.Holder, weight: a.Rate + floor, size: a.ReservationSize}
 	})
 	slices.SortStableFunc(shares, func(x, y share) int {
 		return lo.Ternary(x.weight > y.weight, -1, lo.Ternary(x.weight < y.weight, 1, 0))
--- a/fleet/ledger/placement_bench_test.go
+++ b/fleet/ledger/placement_bench_test.go
@@ -106,7 +106,7 @@
 	line := ledger.Line{Budget: budget, Limit: limit, Version: 1, Drawn: h.drawn, Settled: h.settled, Reserved: h.reserved, Rate: r.rates[zone], ReservationSize: modelBound, Need: need}
 	switch r.policy {
 	case planned:
-		line.Place = true
+		line.DrawShare = true
 		if b, ok := r.slot.Budget(budget); ok {
 			h.returned += b.Surplus(h.id, h.drawn-h.returned, h.spendable())
 		}
--- a/fleet/ledger/post.go
+++ b/fleet/ledger/post.go
@@ -22,8 +22,8 @@
 	ReservationSize int64   // size of a typical reservation
 	// Need is how many more tokens the holder needs now; it draws as many as the pool has.
 	Need int64
-	// Place asks to draw up to the planned share of the holding as well.
-	Place bool
+	// DrawShare asks to draw up to the planned share of the holding as well.
+	DrawShare bool
 	// CreditTo gets up to Credit of the tokens that this update returns, so that
 	// another holder can't draw them from the pool first. It must have an account.
 	CreditTo ident.Incarnation
@@ -70,7 +70,7 @@
 	a.Returned += returning
 	a.Settled = line.Settled // only its holder posts it; a voided bill lowers it
 	a.Segment = max(a.Segment, p.Segment)
-	a.Reserved, a.Rate, a.Lump = line.Reserved, line.Rate, line.ReservationSize
+	a.Reserved, a.Rate, a.ReservationSize = line.Reserved, line.Rate, line.ReservationSize
 	b = b.WithAccount(a).credited(line.CreditTo, min(line.Credit, returning))
 	if p.Leave {
 		return b.leave(a).credited(p.Successor, a.Unspent()), nil
@@ -93,7 +93,7 @@
 // draw moves tokens from the pool to an account, to cover its need or to fill its planned share.
 func (b Budget) draw(a Account, line Line) Account {
 	want := line.Need
-	if line.Place {
+	if line.DrawShare {
 		want = max(want, b.Desired(a.Holder)-a.Held())
 	}
 	if draw := min(want, b.Pool()); draw > 0 {
--- a/fleet/node/peers.go
+++ b/fleet/node/peers.go
@@ -111,7 +111,7 @@
 		return n.keeper.End(ctx, in), nil
 	})
 	peer.Handle(s, peer.VerbNote, func(ctx context.Context, in peer.NoteRequest) (peer.RecordLookup, error) {
-		return n.keeper.Note(ctx, in), nil
+		return n.keeper.AddAttempt(ctx, in), nil
 	})
 	peer.Handle(s, peer.VerbTakeOver, func(_ context.Context, in peer.TakeOver) (peer.RecordLookup, error) {
 		return n.keeper.TakeOver(in), nil
--- a/fleet/node/wire.go
+++ b/fleet/node/wire.go
@@ -97,7 +97,7 @@
 
 func provideKeeper(i do.Injector) (*keeper.Keeper, error) {
 	n := do.MustInvoke[*Node](i)
-	n.keeper = keeper.New(keeper.Parts{
+	n.keeper = keeper.New(keeper.Dependencies{
 		Self:      n.self,
 		Platform:  do.MustInvoke[*platform.Monitored](i),
 		Peers:     peers{caller: do.MustInvoke[*peer.Caller](i)},
@@ -108,7 +108,7 @@
 		Clock:     n.clock,
 		Log:       n.log,
 		NewSerial: n.newSerial,
-	}, keeper.Options{Slots: n.options.Settings.Slots, LedgerEvery: n.options.Settings.Timing.Ledger()})
+	}, keeper.Options{Slots: n.options.Settings.Slots, LedgerInterval: n.options.Settings.Timing.Ledger()})
 	return n.keeper, nil
 }
 
--- a/fleet/operator/budgets.go
+++ b/fleet/operator/budgets.go
@@ -24,7 +24,7 @@
 
 // statusFromLedger combines the ledger's line of a budget with the holders' reports, which are
 // newer. The unsettled tokens of a holder that does not answer are stranded.
-func statusFromLedger(b catalog.Budget, line ledger.Budget, reports []Report, stranded []keeper.Stranding) BudgetStatus {
+func statusFromLedger(b catalog.Budget, line ledger.Budget, reports []Report, stranded []keeper.StrandedHolder) BudgetStatus {
 	s := BudgetStatus{Name: b.Name, Customer: b.Customer, Limit: line.Limit, Spent: line.Closed, AsOf: "ledger", Holdings: []ZoneHolding{}}
 	if line.Version < b.Version && line.Target == nil {
 		s.Limit = b.Limit
@@ -49,8 +49,8 @@
 }
 
 // whyStranded returns the reason why the tokens of an account are stranded.
-func whyStranded(stranded []keeper.Stranding, a ledger.Account) string {
-	if s, ok := lo.Find(stranded, func(s keeper.Stranding) bool { return s.Holder == a.Holder }); ok {
+func whyStranded(stranded []keeper.StrandedHolder, a ledger.Account) string {
+	if s, ok := lo.Find(stranded, func(s keeper.StrandedHolder) bool { return s.Holder == a.Holder }); ok {
 		return s.Why
 	}
 	return "its holder does not answer; it is freed when the holder answers or its account is closed"
--- a/fleet/operator/desk.go
+++ b/fleet/operator/desk.go
@@ -168,7 +168,7 @@
 // reports alone while the platform is unavailable.
 func (d *Desk) Budgets(ctx context.Context, budgets []catalog.Budget) []BudgetStatus {
 	reports := reportsOf(d.ask(ctx))
-	stranded := lo.FlatMap(reports, func(r Report, _ int) []keeper.Stranding { return r.Stranded })
+	stranded := lo.FlatMap(reports, func(r Report, _ int) []keeper.StrandedHolder { return r.Stranded })
 	slots := map[ident.Slot]*ledger.Slot{}
 	return lo.Map(budgets, func(b catalog.Budget, _ int) BudgetStatus {
 		slot := d.SlotOf(b.Customer)
--- a/fleet/operator/report.go
+++ b/fleet/operator/report.go
@@ -15,18 +15,18 @@
 
 // Report is the state of one node, sent to the node that serves an operator.
 type Report struct {
-	Node        ident.Node         `json:"node"`
-	Zone        ident.Zone         `json:"zone"`
-	Incarnation ident.Incarnation  `json:"incarnation"`
-	State       string             `json:"state"`
-	Revision    int64              `json:"revision"`
-	Running     int                `json:"running"`
-	Endpoints   []dispatch.State   `json:"endpoints"`
-	Holdings    []holder.Holding   `json:"holdings"`
-	Bills       []bill.Bill        `json:"bills"` // settled on the node and not durable yet
-	Stranded    []keeper.Stranding `json:"stranded"`
-	Degraded    []Degraded         `json:"degraded"`
-	Events      []event.Event      `json:"events"`
+	Node        ident.Node              `json:"node"`
+	Zone        ident.Zone              `json:"zone"`
+	Incarnation ident.Incarnation       `json:"incarnation"`
+	State       string                  `json:"state"`
+	Revision    int64                   `json:"revision"`
+	Running     int                     `json:"running"`
+	Endpoints   []dispatch.State        `json:"endpoints"`
+	Holdings    []holder.Holding        `json:"holdings"`
+	Bills       []bill.Bill             `json:"bills"` // settled on the node and not durable yet
+	Stranded    []keeper.StrandedHolder `json:"stranded"`
+	Degraded    []Degraded              `json:"degraded"`
+	Events      []event.Event           `json:"events"`
 }
 
 // Degraded is a part of the fleet that does not work properly, and the reason.
