--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -17,10 +17,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/cold"
 	"github.com/lynxshed/lynxshed/fleet/relay/distance"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Picker chooses endpoints and remembers what was sent where. It is safe for concurrent use.
@@ -29,9 +29,9 @@
 	places  distance.Places
 	gate    *bound.Gate
 	cold    cold.Rule
-	limits  *limit.Tracker  // nil: limits that endpoints name are ignored
-	notices *notice.Tracker // nil: notices in answers are ignored
-	doubts  *doubt.Tracker  // nil: failures that peers report are ignored
+	limits  *limit.Tracker     // nil: limits that endpoints name are ignored
+	notices *notice.Tracker    // nil: notices in answers are ignored
+	doubts  *suspicion.Tracker // nil: failures that peers report are ignored
 
 	mu            sync.Mutex
 	endpoints     map[string]*endpoint
@@ -83,7 +83,7 @@
 
 // WithDoubts makes the picker avoid endpoints suspected by several nodes, and report this node's
 // failures.
-func (p *Picker) WithDoubts(b *doubt.Tracker) *Picker {
+func (p *Picker) WithDoubts(b *suspicion.Tracker) *Picker {
 	p.doubts = b
 	return p
 }
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Placement is a call placed at an endpoint. It must be closed once.
@@ -157,11 +157,11 @@
 	life := t.Engine.Incarnation()
 	switch r {
 	case Good:
-		t.picker.doubts.Observe(life, doubt.Succeeded, now)
+		t.picker.doubts.Observe(life, suspicion.Succeeded, now)
 	case Cut:
-		t.picker.doubts.Observe(life, doubt.Interrupted, now)
+		t.picker.doubts.Observe(life, suspicion.Interrupted, now)
 	case Bad, Unreached:
-		t.picker.doubts.Observe(life, doubt.Failed, now)
+		t.picker.doubts.Observe(life, suspicion.Failed, now)
 	case Rejected, Gone, Neutral:
 	}
 }
--- a/fleet/relay/choice/suspicion_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // A call that may run only once avoids an endpoint that two nodes suspect, unless no other one
@@ -19,7 +19,7 @@
 func TestNonRepeatableCallsAvoidSuspectedEndpoints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := engines(3)
-	reports := []doubt.Report{{Endpoint: all[0].ID, Reporters: []doubt.Reporter{{Node: "b", Interrupted: true}}}, {Endpoint: all[0].ID, Reporters: []doubt.Reporter{{Node: "c", Interrupted: true}}}}
+	reports := []suspicion.Report{{Endpoint: all[0].ID, Reporters: []suspicion.Reporter{{Node: "b", Interrupted: true}}}, {Endpoint: all[0].ID, Reporters: []suspicion.Reporter{{Node: "c", Interrupted: true}}}}
 	cases := []struct {
 		name      string
 		announced bool
@@ -36,7 +36,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := choice.NewPicker("z0", choice.DefaultTuning())
 			if c.announced {
-				b := doubt.NewTracker("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
+				b := suspicion.NewTracker("a", "z0", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 				b.Engines(all)
 				b.Nodes(map[string]string{"a": "z0", "b": "z0", "c": "z0"})
 				b.Receive("b", reports[:1], now)
@@ -72,26 +72,26 @@
 	all := []engine.Engine{{ID: "e0", Born: 5, Service: "s", Slots: 8}, {ID: "e1", Service: "s", Slots: 8}}
 	cases := []struct {
 		result choice.Result
-		want   []doubt.Reporter
+		want   []suspicion.Reporter
 	}{
 		{choice.Good, nil},
 		{choice.Rejected, nil},
 		{choice.Neutral, nil},
 		{choice.Gone, nil},
-		{choice.Bad, []doubt.Reporter{{Node: "a"}}},
-		{choice.Unreached, []doubt.Reporter{{Node: "a"}}},
-		{choice.Cut, []doubt.Reporter{{Node: "a", Interrupted: true}}},
+		{choice.Bad, []suspicion.Reporter{{Node: "a"}}},
+		{choice.Unreached, []suspicion.Reporter{{Node: "a"}}},
+		{choice.Cut, []suspicion.Reporter{{Node: "a", Interrupted: true}}},
 	}
 	for _, c := range cases {
-		b := doubt.NewTracker("a", "z0", doubt.DefaultRule(), func(doubt.Avoided) {})
+		b := suspicion.NewTracker("a", "z0", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 		b.Engines(all)
 		p := choice.NewPicker("z0", choice.DefaultTuning()).WithDoubts(b)
 		placed, ok := p.Pick(ask(call.Call{ID: "c"}, all[:1], now))
 		require.True(t, ok)
 		placed.Close(c.result, now)
-		var want []doubt.Report
+		var want []suspicion.Report
 		if c.want != nil {
-			want = []doubt.Report{{Endpoint: "e0", Born: 5, Reporters: c.want}}
+			want = []suspicion.Report{{Endpoint: "e0", Born: 5, Reporters: c.want}}
 		}
 		assert.Equal(t, want, b.Reports(false, now), "result %d", c.result)
 	}
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -14,15 +14,15 @@
 
 	"github.com/lynxshed/lynxshed/fleet/clock"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // A stream resumed on a connection that this node closed itself was never sent there: it continues
 // on another connection, and no failure of the endpoint is reported.
 func TestResumeOnClosedConnectionUsesAnother(t *testing.T) {
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
-	tracker := doubt.NewTracker("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+	tracker := suspicion.NewTracker("n", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 	tracker.Engines(f.engines)
 	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
 	connects := 0
--- a/fleet/relay/forward/suspicions_test.go
+++ b/fleet/relay/forward/suspicions_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Only an endpoint that closed the connection instead of answering is reported as interrupting
@@ -30,7 +30,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := doubt.NewTracker("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+			tracker := suspicion.NewTracker("n", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 			f := newFleet(t, 1000, c.script)
 			tracker.Engines(append([]engine.Engine{{ID: "other", Service: "s"}}, f.engines...))
 			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Whatever a datagram contains, the node keeps running, no tokens appear that were not drawn
@@ -42,7 +42,7 @@
 		gossip, err := Listen("127.0.0.1:0", registry, choice.NewPicker("z", choice.DefaultTuning()), allowance, func() bool { return false })
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
-		suspicions := doubt.NewTracker("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+		suspicions := suspicion.NewTracker("a", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 		gossip.WithRollouts(&fakeTalk{}).WithSuspicions(suspicions)
 		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
 		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -19,10 +19,10 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/account"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
 	"github.com/lynxshed/lynxshed/fleet/relay/distance"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Intervals and sizes of messages.
@@ -52,13 +52,13 @@
 	elsewhere   atomic.Bool // a writer of another zone reported that it reaches the store
 	sources     atomic.Pointer[[]store.Source]
 	client      *http.Client
-	rollouts    RolloutExchange // nil: no orders on this node
-	busy        func() bool     // reports whether this node's link is busy
-	suspicions  *doubt.Tracker  // nil: no reports on endpoints that fail
-	quarantine  Quarantine      // nil: no reports on requests under which endpoints end
-	limits      *limit.Tracker  // nil: no reports on limits that endpoints name
-	notices     *notice.Tracker // nil: no reports on signals of endpoints in answers
-	eras        *store.Eras     // known to this node
+	rollouts    RolloutExchange    // nil: no orders on this node
+	busy        func() bool        // reports whether this node's link is busy
+	suspicions  *suspicion.Tracker // nil: no reports on endpoints that fail
+	quarantine  Quarantine         // nil: no reports on requests under which endpoints end
+	limits      *limit.Tracker     // nil: no reports on limits that endpoints name
+	notices     *notice.Tracker    // nil: no reports on signals of endpoints in answers
+	eras        *store.Eras        // known to this node
 
 	chooseMu  sync.Mutex // guards the choice of writers and what follows from it
 	delegates *delegates
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -8,10 +8,10 @@
 
 	"github.com/lynxshed/lynxshed/fleet/relay/account"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // message is a datagram from one node to another.
@@ -30,7 +30,7 @@
 	Requests      []transferRequest               `json:"requests,omitempty"`
 	Grants        []grant                         `json:"grants,omitempty"`
 	Rollouts      *RolloutReport                  `json:"rollouts,omitempty"`   // open orders
-	Suspicions    []doubt.Report                  `json:"doubts,omitempty"`     // endpoints at which calls failed recently
+	Suspicions    []suspicion.Report              `json:"doubts,omitempty"`     // endpoints at which calls failed recently
 	Quarantine    *quarantine.Report              `json:"quarantine,omitempty"` // requests under which endpoints end
 	Limits        []limit.Report                  `json:"limits,omitempty"`     // limits that endpoints name
 	Notices       []notice.Report                 `json:"notices,omitempty"`    // signals of endpoints in their answers
--- a/fleet/relay/peer/suspicions.go
+++ b/fleet/relay/peer/suspicions.go
@@ -6,7 +6,7 @@
 	"github.com/samber/lo"
 
 	"github.com/lynxshed/lynxshed/fleet/clock"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // A node reports to the delegates of its zone at once that one of its calls failed at an
@@ -16,7 +16,7 @@
 // costs a second at most. In a fleet where all nodes write, each sends to all others.
 
 // WithSuspicions exchanges reports on endpoints that fail. It must be called before Run.
-func (g *Gossip) WithSuspicions(b *doubt.Tracker) *Gossip {
+func (g *Gossip) WithSuspicions(b *suspicion.Tracker) *Gossip {
 	g.suspicions = b
 	g.registry.OnChange(func(members []Member) {
 		b.Nodes(lo.SliceToMap(members, func(m Member) (string, string) { return m.Name, m.Zone }))
@@ -39,7 +39,7 @@
 	}
 	now := clock.Now()
 	audience := g.suspicions.Audience(g.passesOn(), now)
-	if audience == doubt.Nobody {
+	if audience == suspicion.Nobody {
 		return
 	}
 	reports := g.suspicionReports(now)
@@ -47,19 +47,19 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	if audience == doubt.All {
+	if audience == suspicion.All {
 		self := g.registry.self
 		near = addresses(lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone }))
 	}
 	to := near
-	if audience == doubt.All || g.Writes() && !g.passesOn() {
+	if audience == suspicion.All || g.Writes() && !g.passesOn() {
 		to = append(near, far...)
 	}
 	g.send(g.withSender(message{Suspicions: reports}), to...)
 }
 
 // suspicionReports returns the reports on endpoints that fail.
-func (g *Gossip) suspicionReports(now time.Time) []doubt.Report {
+func (g *Gossip) suspicionReports(now time.Time) []suspicion.Report {
 	if g.suspicions == nil {
 		return nil
 	}
--- a/fleet/relay/peer/suspicions_test.go
+++ b/fleet/relay/peer/suspicions_test.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 	"github.com/stretchr/testify/assert"
 
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // network passes datagrams between the nodes of a fleet in one process.
@@ -47,7 +47,7 @@
 }
 
 // suspicionFleet returns a fleet of size nodes in three zones that track failing endpoints.
-func suspicionFleet(size, endpoints int) (*network, []*Gossip, []*doubt.Tracker) {
+func suspicionFleet(size, endpoints int) (*network, []*Gossip, []*suspicion.Tracker) {
 	all := members(size)
 	for i := range all {
 		all[i].Zone, all[i].Address = fmt.Sprint("z", i%3), fmt.Sprint("10.0.0.1:", 1000+i)
@@ -58,11 +58,11 @@
 	}
 	wire := &network{at: map[string]*Gossip{}}
 	var gossips []*Gossip
-	var trackers []*doubt.Tracker
+	var trackers []*suspicion.Tracker
 	for _, m := range all {
 		g, _ := trafficGossipOf(all, nil, m)
 		g.socket = port{network: wire, address: m.Address}
-		b := doubt.NewTracker(m.Name, m.Zone, doubt.DefaultRule(), func(doubt.Avoided) {})
+		b := suspicion.NewTracker(m.Name, m.Zone, suspicion.DefaultRule(), func(suspicion.Avoided) {})
 		g.number = 1 // the next two beats send no digest to all
 		g.WithSuspicions(b)
 		b.Engines(engines)
@@ -91,7 +91,7 @@
 				failing := lo.Filter(lo.Range(c.size), func(i int, _ int) bool { return gossips[i].registry.self.Zone == self.Zone })
 				for _, i := range failing[len(failing)-c.failing:] {
 					for range 5 {
-						trackers[i].Observe(unhealthy, doubt.Interrupted, time.Now())
+						trackers[i].Observe(unhealthy, suspicion.Interrupted, time.Now())
 					}
 				}
 				for range 2 {
@@ -117,11 +117,11 @@
 		wire, gossips, trackers := suspicionFleet(60, 3)
 		gossips[1].suspicions = nil
 		for i := range gossips {
-			trackers[i].Observe(engine.Incarnation{ID: "i-0000000001", Born: 1_764_722_185_123}, doubt.Succeeded, time.Now())
+			trackers[i].Observe(engine.Incarnation{ID: "i-0000000001", Born: 1_764_722_185_123}, suspicion.Succeeded, time.Now())
 			gossips[i].broadcast()
 		}
 		assert.Zero(t, wire.reports)
-		gossips[1].receive(message{Node: "b", Suspicions: []doubt.Report{{Endpoint: "i-0000000001", Reporters: []doubt.Reporter{{Node: "b", Interrupted: true}}}}}, "10.0.0.1:1000")
+		gossips[1].receive(message{Node: "b", Suspicions: []suspicion.Report{{Endpoint: "i-0000000001", Reporters: []suspicion.Reporter{{Node: "b", Interrupted: true}}}}}, "10.0.0.1:1000")
 	})
 }
 
@@ -140,7 +140,7 @@
 				for n := range seconds * beatsPerSecond {
 					for i, g := range gossips {
 						if i%3 == 0 && (i/3)%5 == n%5 {
-							trackers[i].Observe(engine.Incarnation{ID: "i-0000000000", Born: 1_764_722_185_123}, doubt.Interrupted, time.Now())
+							trackers[i].Observe(engine.Incarnation{ID: "i-0000000000", Born: 1_764_722_185_123}, suspicion.Interrupted, time.Now())
 						}
 						from := wire.bytes
 						g.broadcast()
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -26,7 +26,6 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
 	"github.com/lynxshed/lynxshed/fleet/relay/cold"
 	"github.com/lynxshed/lynxshed/fleet/relay/distance"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/evacuation"
 	"github.com/lynxshed/lynxshed/fleet/relay/forward"
@@ -40,6 +39,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/retry"
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 	"github.com/lynxshed/lynxshed/fleet/telemetry"
 	"github.com/lynxshed/lynxshed/fleet/version"
 )
@@ -94,7 +94,7 @@
 	allowance          *account.Allowance
 	syncer             *account.Syncer
 	picker             *choice.Picker
-	suspicions         *doubt.Tracker     // nil: failures that other nodes report are ignored
+	suspicions         *suspicion.Tracker // nil: failures that other nodes report are ignored
 	quarantine         *quarantineManager // nil: no request is quarantined
 	places             distance.Places
 	registry           *peer.Registry
--- a/fleet/relay/doubt/findings.go
+++ b/fleet/relay/suspicion/findings.go
@@ -1,4 +1,4 @@
-package doubt
+package suspicion
 
 import (
 	"cmp"
--- a/fleet/relay/doubt/doubt.go
+++ b/fleet/relay/suspicion/suspicion.go
@@ -1,8 +1,8 @@
-// Package doubt implements the suspicion of failing endpoints, based on failures that nodes
+// Package suspicion implements the suspicion of failing endpoints, based on failures that nodes
 // report to each other. An endpoint is avoided if two nodes report failures, or if one does and
 // this node observed a failure itself. The report of a single node is never enough. All state
 // belongs to one incarnation of an endpoint.
-package doubt
+package suspicion
 
 import (
 	"time"
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -4,8 +4,8 @@
 	"github.com/apex/log"
 	"github.com/samber/lo"
 
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/peer"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // enableFailureReports has the node avoid endpoints at which other nodes report failures, and
@@ -14,17 +14,17 @@
 	if !n.settings.Enabled(failureReportsMechanism) {
 		return
 	}
-	n.suspicions = doubt.NewTracker(n.settings.Node, n.settings.Zone, doubt.DefaultRule(), n.logAvoided)
+	n.suspicions = suspicion.NewTracker(n.settings.Node, n.settings.Zone, suspicion.DefaultRule(), n.logAvoided)
 	n.picker.WithDoubts(n.suspicions)
 	g.WithSuspicions(n.suspicions)
 }
 
 // logAvoided logs that an endpoint is avoided, and which nodes reported it.
-func (n *Node) logAvoided(a doubt.Avoided) {
+func (n *Node) logAvoided(a suspicion.Avoided) {
 	fields := log.Fields{
 		"endpoint": a.Engine.ID, "born": a.Engine.Born, "service": a.Engine.Service, "zone": a.Engine.Zone, "forMs": a.For.Milliseconds(), "again": a.Again,
-		"tellers": lo.Map(a.Reporters, func(t doubt.Reporter, _ int) string { return t.Node }),
-		"ageMs":   lo.Map(a.Reporters, func(t doubt.Reporter, _ int) int64 { return t.AgeMs }),
+		"tellers": lo.Map(a.Reporters, func(t suspicion.Reporter, _ int) string { return t.Node }),
+		"ageMs":   lo.Map(a.Reporters, func(t suspicion.Reporter, _ int) int64 { return t.AgeMs }),
 	}
 	n.log.WithFields(fields).Info("endpoint avoided: nodes report failures")
 }
--- a/fleet/relay/suspicions_test.go
+++ b/fleet/relay/suspicions_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/peer"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Failures are reported unless the settings disable that, and the log names the nodes that
@@ -35,8 +35,8 @@
 		all := []engine.Engine{{ID: "e", Born: 7, Service: "s", Zone: "z"}, {ID: "f", Service: "s", Zone: "z"}}
 		n.suspicions.Engines(all)
 		n.suspicions.Nodes(map[string]string{"a": "z", "b": "z"})
-		n.suspicions.Observe(all[0].Incarnation(), doubt.Interrupted, now)
-		n.suspicions.Receive("b", []doubt.Report{{Endpoint: "e", Born: 7, Reporters: []doubt.Reporter{{Node: "b", AgeMs: 300, Interrupted: true}}}}, now)
+		n.suspicions.Observe(all[0].Incarnation(), suspicion.Interrupted, now)
+		n.suspicions.Receive("b", []suspicion.Report{{Endpoint: "e", Born: 7, Reporters: []suspicion.Reporter{{Node: "b", AgeMs: 300, Interrupted: true}}}}, now)
 		require.Len(t, lines.Entries, 1)
 		fields := lines.Entries[0].Fields
 		assert.Equal(t, "e", fields["endpoint"])
