--- a/fleet/relay/telling/telling.go
+++ b/fleet/relay/announce/announce.go
@@ -1,7 +1,7 @@
-// Package telling schedules when a node announces what it knows to other nodes: updates at once, and
+// Package announce schedules when a node announces what it knows to other nodes: updates at once, and
 // then for a while together with its digests, since datagrams get lost and in a large fleet an
 // announcement does not reach all nodes at once.
-package telling
+package announce
 
 import "time"
 
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // Tracker tracks the limits that a node knows. It is safe for concurrent use.
 type Tracker struct {
 	Rule
 	changed func(Change)
-	urgent  telling.Urgent
+	urgent  announce.Urgent
 	count   atomic.Int64 // of known entries; 0 skips the lock
 
 	mu     sync.Mutex
@@ -43,7 +43,7 @@
 	by        string
 	own       bool // the latest answer was to this node
 	placed    time.Time
-	due       telling.Schedule
+	due       announce.Schedule
 }
 
 // signal is what an answer signals about a limit.
@@ -56,7 +56,7 @@
 
 // NewTracker returns an empty tracker. It calls changed on each change.
 func NewTracker(r Rule, changed func(Change)) *Tracker {
-	return &Tracker{Rule: r, changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
+	return &Tracker{Rule: r, changed: changed, urgent: announce.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
 }
 
 // Engines sets the listed endpoints. The state of all others, and of ended incarnations, is
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // leaving is the state of a notice that an endpoint leaves. The zero value means there was none.
@@ -13,7 +13,7 @@
 	observed time.Time // latest answer to any node with the notice
 	own      bool      // an answer to this node had it
 	by       string    // the node that reported it
-	due      telling.Schedule
+	due      announce.Schedule
 }
 
 // answered records the notice of an answer to this node. It returns true if it did not hold
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -7,9 +7,9 @@
 
 	"github.com/samber/lo"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // Report reports an endpoint's notices to another node.
@@ -36,15 +36,15 @@
 // Updates returns what this node learned since the last call: from answers and, if it forwards,
 // from reports.
 func (b *Tracker) Updates(forward bool, now time.Time) []Report {
-	return b.reports(forward, now, func(d *telling.Schedule) bool { return d.TakeUpdate() })
+	return b.reports(forward, now, func(d *announce.Schedule) bool { return d.TakeUpdate() })
 }
 
 // Reports returns the reports to be sent along with the digests.
 func (b *Tracker) Reports(forward bool, now time.Time) []Report {
-	return b.reports(forward, now, func(d *telling.Schedule) bool { return d.WithDigests(now) })
+	return b.reports(forward, now, func(d *announce.Schedule) bool { return d.WithDigests(now) })
 }
 
-func (b *Tracker) reports(forward bool, now time.Time, due func(*telling.Schedule) bool) []Report {
+func (b *Tracker) reports(forward bool, now time.Time, due func(*announce.Schedule) bool) []Report {
 	if b.count.Load() == 0 {
 		return nil // the common case
 	}
@@ -76,7 +76,7 @@
 }
 
 // report returns what is due to be sent of one incarnation.
-func (k *known) report(life engine.Incarnation, forward bool, now time.Time, due func(*telling.Schedule) bool) Report {
+func (k *known) report(life engine.Incarnation, forward bool, now time.Time, due func(*announce.Schedule) bool) Report {
 	w := Report{Endpoint: life.ID, Born: life.Born}
 	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
 		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/lynxshed/lynxshed/fleet/ident"
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // Use is how far a node uses an endpoint that asked for rest.
@@ -41,7 +41,7 @@
 	peerUntil    time.Time // end of the rest requested from another node
 	by           string    // that node
 	probed       time.Time // when the first call after the rest was sent
-	due          telling.Schedule
+	due          announce.Schedule
 }
 
 // requested records that this node is to send nothing for a while. It returns true if no rest
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // Tracker tracks the notices that a node knows. It is safe for concurrent use.
@@ -20,7 +20,7 @@
 	rule    Rule
 	self    uint64 // hash of this node's name
 	changed func(Change)
-	urgent  telling.Urgent
+	urgent  announce.Urgent
 	count   atomic.Int64 // of known incarnations; 0 skips the lock
 
 	mu     sync.Mutex
@@ -55,7 +55,7 @@
 
 // NewTracker returns an empty tracker of a node. It calls changed on each change.
 func NewTracker(self string, r Rule, changed func(Change)) *Tracker {
-	return &Tracker{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
+	return &Tracker{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: announce.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
 }
 
 // Engines sets the listed endpoints. The state of others is dropped after entryRetention.
