--- a/fleet/relay/account/demand.go
+++ b/fleet/relay/account/demand.go
@@ -18,7 +18,7 @@
 	MinReport float64       // spending that is worth a report, as a share of the budget
 }
 
-// DefaultTuning returns the measured defaults; see docs/design/07-platform.md.
+// DefaultTuning returns the defaults; see docs/design/07-platform.md.
 func DefaultTuning() Tuning {
 	return Tuning{Horizon: 10 * time.Second, Exposure: 0.4, Reserve: 1, MinShare: 0.07, Margin: 1.25, First: 0.2, MinDraw: 0.2, Surplus: 1.5, MinReport: 0.02}
 }
--- a/fleet/relay/forward/quarantine.go
+++ b/fleet/relay/forward/quarantine.go
@@ -16,9 +16,9 @@
 // are interrupted when their endpoint ends are recorded by the fingerprint of the request. A request
 // with which several endpoints ended is quarantined and no longer sent, whatever its call id.
 
-// fingerprint identifies the call's request under any call id. It is computed once and on demand,
+// print identifies the call's request under any call id. It is computed once and on demand,
 // since it reads the whole body.
-func (j *job) fingerprint() quarantine.Fingerprint {
+func (j *job) print() quarantine.Fingerprint {
 	if j.cachedFingerprint == (quarantine.Fingerprint{}) {
 		j.cachedFingerprint = quarantine.FingerprintOf(j.tenant.Name, j.r.Method, j.r.Host, j.r.RequestURI, j.body)
 	}
@@ -31,21 +31,21 @@
 	if !j.inQuarantine() || j.attempts == 0 && j.isProbe() {
 		return false
 	}
-	j.note = "fingerprint " + j.fingerprint().String()
+	j.note = "fingerprint " + j.print().String()
 	return true
 }
 
 // refusedOnArrival reports whether the request is quarantined and no probe of it is due.
 func (j *job) refusedOnArrival() bool {
-	if !j.inQuarantine() || j.Quarantine.Armed(j.fingerprint(), clock.Now()) {
+	if !j.inQuarantine() || j.Quarantine.Armed(j.print(), clock.Now()) {
 		return false
 	}
-	j.note = "fingerprint " + j.fingerprint().String()
+	j.note = "fingerprint " + j.print().String()
 	return true
 }
 
 func (j *job) inQuarantine() bool {
-	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.IsQuarantined(j.fingerprint(), clock.Now())
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.IsQuarantined(j.print(), clock.Now())
 }
 
 // isProbe reports whether this call probes whether endpoints survive a quarantined request.
@@ -53,10 +53,10 @@
 	if j.probeRound > 0 {
 		return true
 	}
-	round, ok := j.Quarantine.Probe(j.fingerprint(), clock.Now())
+	round, ok := j.Quarantine.Probe(j.print(), clock.Now())
 	if ok {
 		j.probeRound = round
-		j.Log.WithFields(log.Fields{"request": j.call.ID, "print": j.fingerprint().String(), "customer": j.tenant.Name}).Info("quarantined request is probed by this call")
+		j.Log.WithFields(log.Fields{"request": j.call.ID, "print": j.print().String(), "customer": j.tenant.Name}).Info("quarantined request is probed by this call")
 	}
 	return ok
 }
@@ -64,13 +64,13 @@
 // returnProbe lets another call be the probe if this one reached no endpoint.
 func (j *job) returnProbe() {
 	if j.probeRound > 0 && j.attempts == 0 {
-		j.Quarantine.ReturnProbe(j.fingerprint(), j.probeRound)
+		j.Quarantine.ReturnProbe(j.print(), j.probeRound)
 	}
 }
 
 // nearQuarantine reports whether the end of one more endpoint would quarantine the request.
 func (j *job) nearQuarantine() bool {
-	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.ForbidsRetry(j.fingerprint(), clock.Now())
+	return j.Quarantine != nil && j.Quarantine.Watches(j.tenant.Name) && j.Quarantine.ForbidsRetry(j.print(), clock.Now())
 }
 
 // recordInterrupted records a call that its endpoint interrupted, possibly by ending.
@@ -78,7 +78,7 @@
 	if j.Quarantine == nil || ctx.Err() != nil {
 		return
 	}
-	s := quarantine.Suspect{Print: j.fingerprint(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
+	s := quarantine.Suspect{Print: j.print(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
 	j.Quarantine.Interrupted(t.Engine, s, clock.Now())
 }
 
@@ -94,9 +94,9 @@
 		return
 	}
 	now := clock.Now()
-	j.Quarantine.Answered(j.fingerprint(), now)
+	j.Quarantine.Answered(j.print(), now)
 	if j.Quarantine.Watches(j.tenant.Name) {
-		j.Quarantine.Served(j.fingerprint(), now)
+		j.Quarantine.Served(j.print(), now)
 	}
 }
 
@@ -104,7 +104,7 @@
 // together, and those of one fingerprint whether the same request was interrupted before.
 func (j *job) logBroken(t *choice.Placement, events int64, err error) {
 	j.Log.WithFields(log.Fields{
-		"request": j.call.ID, "print": j.fingerprint().String(), "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts,
+		"request": j.call.ID, "print": j.print().String(), "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts,
 		"events": events, "left": j.r.Context().Err() != nil, "error": err.Error(),
 	}).Info("stream broke off")
 }
--- a/fleet/relay/forward/quarantine_test.go
+++ b/fleet/relay/forward/quarantine_test.go
@@ -107,8 +107,8 @@
 	tracker, _ := f.withQuarantine(3)
 	f.do(t, f.request(t, "GET", "/repeat/", ""))
 	assert.Len(t, f.received(), 2, "there was no suspicion yet")
-	fingerprint := quarantine.FingerprintOf("t", "GET", "h", "/repeat/", nil)
-	require.Eventually(t, func() bool { return tracker.ForbidsRetry(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+	print := quarantine.FingerprintOf("t", "GET", "h", "/repeat/", nil)
+	require.Eventually(t, func() bool { return tracker.ForbidsRetry(print, time.Now()) }, time.Second, time.Millisecond)
 	f.do(t, f.request(t, "GET", "/repeat/", "", "Call", "c2"))
 	assert.Len(t, f.received(), 3)
 }
@@ -117,13 +117,13 @@
 func TestAnswerClearsASuspectRequest(t *testing.T) {
 	f := newFleet(t, 1000, reset)
 	tracker, _ := f.withQuarantine(2)
-	fingerprint := quarantine.FingerprintOf("t", "GET", "h", "/single/", nil)
+	print := quarantine.FingerprintOf("t", "GET", "h", "/single/", nil)
 	f.do(t, f.request(t, "GET", "/single/", ""))
-	require.Eventually(t, func() bool { return tracker.ForbidsRetry(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return tracker.ForbidsRetry(print, time.Now()) }, time.Second, time.Millisecond)
 	f.engines = []engine.Engine{f.startEngine(t, "healthy", good("x"))}
 	f.directory.Store(engine.NewDirectory(2, f.engines))
 	require.Equal(t, http.StatusOK, f.do(t, f.request(t, "GET", "/single/", "", "Call", "c2")).status)
-	assert.False(t, tracker.ForbidsRetry(fingerprint, time.Now()))
+	assert.False(t, tracker.ForbidsRetry(print, time.Now()))
 }
 
 // A probe must reach only one endpoint, whatever that answers.
@@ -144,20 +144,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 1000, reset, reset)
 			tracker, _ := f.withQuarantine(2)
-			fingerprint := quarantine.FingerprintOf("t", "GET", "h", c.path, nil)
+			print := quarantine.FingerprintOf("t", "GET", "h", c.path, nil)
 			for _, id := range []string{"c1", "c2"} {
 				f.do(t, f.request(t, "GET", c.path, "", "Call", id))
 			}
-			require.Eventually(t, func() bool { return tracker.IsQuarantined(fingerprint, time.Now()) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return tracker.IsQuarantined(print, time.Now()) }, time.Second, time.Millisecond)
 			f.engines = []engine.Engine{f.startEngine(t, "probed", c.script), f.startEngine(t, "another", c.script)}
 			f.directory.Store(engine.NewDirectory(2, f.engines))
-			h, _ := tracker.Lookup(fingerprint)
+			h, _ := tracker.Lookup(print)
 			tracker.Arm(h)
 			ran := len(f.received())
 			f.do(t, f.request(t, "GET", c.path, "", "Call", "c3"))
 			assert.Len(t, f.received(), ran+1)
-			assert.False(t, tracker.Armed(fingerprint, time.Now()))
-			assert.Equal(t, c.heldAfter, tracker.IsQuarantined(fingerprint, time.Now()))
+			assert.False(t, tracker.Armed(print, time.Now()))
+			assert.Equal(t, c.heldAfter, tracker.IsQuarantined(print, time.Now()))
 		})
 	}
 }
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -80,7 +80,7 @@
 		j.describeNotices(fields)
 		j.Log.WithFields(fields).WithField("status", o.status).Info("attempt refused as not run")
 	case failed:
-		fields["print"] = j.fingerprint().String()
+		fields["print"] = j.print().String()
 		j.Log.WithFields(fields).WithField("error", o.err.Error()).Info("attempt failed")
 	case answered:
 	}
@@ -105,7 +105,7 @@
 func (j *job) choiceRequest(tried map[engine.Incarnation]bool, now time.Time) choice.Request {
 	return choice.Request{
 		Call: j.regionScopedCall(), AllowedRegions: j.regions.regions, Exclude: tried, Profile: profile(j.service),
-		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.connectionShare(), Now: now,
+		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.cap(), Now: now,
 	}
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// connectionShare returns this node's share of an endpoint's connections.
-func (j *job) connectionShare() int {
+// cap returns this node's share of an endpoint's connections.
+func (j *job) cap() int {
 	if j.service.MaxConnections <= 0 {
 		return idlePerHost
 	}
--- a/fleet/relay/overload/gate.go
+++ b/fleet/relay/overload/gate.go
@@ -22,7 +22,7 @@
 	HeavyShare   float64       // minimum share of the calls of a heavy customer
 }
 
-// DefaultRule returns the measured defaults; see docs/design/09-scale.md.
+// DefaultRule returns the defaults; see docs/design/09-scale.md.
 func DefaultRule() Rule {
 	return Rule{
 		MaxWait: 8 * time.Millisecond, MaxBodyTime: 50 * time.Millisecond, MaxSlowShare: 0.5,
--- a/fleet/relay/overload/intake.go
+++ b/fleet/relay/overload/intake.go
@@ -23,7 +23,7 @@
 	MaxClosed int
 }
 
-// DefaultIntakeRule returns the measured defaults; see docs/design/14-hot-customers.md.
+// DefaultIntakeRule returns the defaults; see docs/design/14-hot-customers.md.
 func DefaultIntakeRule() IntakeRule {
 	return IntakeRule{CloseAbove: 0.6, OpenBelow: 0.4, HeavyShare: 0.4, Stay: 11, Smoothing: 0.5, MaxClosed: 20}
 }
