--- a/ctl/command/rollouts.go
+++ b/ctl/command/rollouts.go
@@ -9,7 +9,7 @@
 	"github.com/integrii/flaggy"
 	"github.com/samber/lo"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 func (a *app) rolloutsCommand() *flaggy.Subcommand {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	rollouts := story.Rollouts(lines)
+	rollouts := logs.Rollouts(lines)
 	if a.flags.output == formatJSON {
 		return a.print(rollouts, nil, nil)
 	}
@@ -39,7 +39,7 @@
 }
 
 // printRollout prints the steps, the answers and the reports of a bad target of one order.
-func (a *app) printRollout(r story.Rollout) error {
+func (a *app) printRollout(r logs.Rollout) error {
 	steps := make([][]string, 0, len(r.Steps))
 	for _, s := range r.Steps {
 		stage := lo.Ternary(s.State == "in-progress", s.Stage, "")
--- a/ctl/command/story.go
+++ b/ctl/command/story.go
@@ -12,7 +12,7 @@
 	"github.com/integrii/flaggy"
 	"github.com/samber/lo"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 func (a *app) storyCommand() *flaggy.Subcommand {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	selected := story.CallLines(lines, a.flags.argument)
+	selected := logs.CallLines(lines, a.flags.argument)
 	if len(selected) == 0 {
 		return errors.Newf("no line tells of call %s", a.flags.argument)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	losses := story.SummarizeLosses(lines, a.flags.slice)
+	losses := logs.SummarizeLosses(lines, a.flags.slice)
 	cells := make([][]string, 0, len(losses))
 	for _, l := range losses {
 		cells = append(cells, []string{l.From.Format(time.RFC3339), l.Route, l.Reason, strconv.Itoa(l.Calls), strconv.Itoa(l.Total), l.Example})
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	rows := story.SummarizeSpending(lines, a.flags.slice)
+	rows := logs.SummarizeSpending(lines, a.flags.slice)
 	cells := make([][]string, 0, len(rows))
 	for _, s := range rows {
 		row := []string{lo.Ternary(s.From.IsZero(), "all", s.From.Format(time.RFC3339)), s.Customer}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	placements := story.SummarizePlacements(lines)
+	placements := logs.SummarizePlacements(lines)
 	cells := make([][]string, 0, len(placements))
 	for _, p := range placements {
 		row := []string{p.Node, p.Route}
@@ -123,7 +123,7 @@
 }
 
 // otherFields returns the fields of a line without its node, request and source, as JSON members.
-func otherFields(l story.Line) string {
+func otherFields(l logs.Line) string {
 	fields := map[string]any{}
 	for name, value := range l.Fields {
 		if name != "node" && name != "request" && name != "source" {
@@ -138,18 +138,18 @@
 }
 
 // readSlicedLogs checks the slice flag and reads the logs.
-func (a *app) readSlicedLogs() ([]story.Line, error) {
+func (a *app) readSlicedLogs() ([]logs.Line, error) {
 	if a.flags.slice <= 0 {
 		return nil, usage("slice %s: want a time above 0", a.flags.slice)
 	}
 	return a.readLogs()
 }
 
-func (a *app) readLogs() ([]story.Line, error) {
+func (a *app) readLogs() ([]logs.Line, error) {
 	if len(a.flags.logs) == 0 {
-		return story.Read(os.Stdin)
+		return logs.Read(os.Stdin)
 	}
-	var all []story.Line
+	var all []logs.Line
 	for _, path := range a.flags.logs {
 		lines, err := readLog(path)
 		if err != nil {
@@ -160,11 +160,11 @@
 	return all, nil
 }
 
-func readLog(path string) ([]story.Line, error) {
+func readLog(path string) ([]logs.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
 	defer file.Close()
-	return story.Read(io.Reader(file))
+	return logs.Read(io.Reader(file))
 }
--- a/ctl/story/story.go
+++ b/ctl/logs/logs.go
@@ -1,7 +1,7 @@
-// Package story analyzes the logs of relaying nodes. It reconstructs the course of a call on all nodes,
+// Package logs analyzes the logs of relaying nodes. It reconstructs the course of a call on all nodes,
 // with the state known to each node at that time, and summarizes unserved calls, spending, placements
 // and rollouts.
-package story
+package logs
 
 import (
 	"bufio"
--- a/ctl/story/story_test.go
+++ b/ctl/logs/logs_test.go
@@ -1,4 +1,4 @@
-package story_test
+package logs_test
 
 import (
 	"strings"
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 // Logs of several nodes, mixed and out of order, with text between them that is not JSON.
-const logs = `building
+const sampleLogs = `building
   4.0 node-a {"fields":{"node":"a","request":"other","reason":"streamed"},"level":"info","timestamp":"2026-01-01T00:00:04Z","message":"call ended"}
   1.0 node-a {"fields":{"node":"a","policy":2},"level":"info","timestamp":"2026-01-01T00:00:01Z","message":"policy in force"}
 {"fields":{"node":"b","policy":3},"level":"info","timestamp":"2026-01-01T00:00:02Z","message":"policy in force"}
@@ -28,7 +28,7 @@
 `
 
 func TestCallLines(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(logs))
+	lines, err := logs.Read(strings.NewReader(sampleLogs))
 	require.NoError(t, err)
 	cases := []struct {
 		request string
@@ -40,11 +40,11 @@
 	}
 	for _, c := range cases {
 		var got []string
-		for _, l := range story.CallLines(lines, c.request) {
+		for _, l := range logs.CallLines(lines, c.request) {
 			got = append(got, l.Node()+" "+l.Message)
 		}
 		assert.Equal(t, c.want, got)
 	}
-	assert.Equal(t, "v2", story.CallLines(lines, "c")[2].Fields["version"], "version of the attempted endpoint")
-	assert.EqualValues(t, 3, story.CallLines(lines, "c")[0].Fields["policy"], "policy in force at the time of the call")
+	assert.Equal(t, "v2", logs.CallLines(lines, "c")[2].Fields["version"], "version of the attempted endpoint")
+	assert.EqualValues(t, 3, logs.CallLines(lines, "c")[0].Fields["policy"], "policy in force at the time of the call")
 }
--- a/ctl/story/losses_test.go
+++ b/ctl/logs/losses_test.go
@@ -1,4 +1,4 @@
-package story_test
+package logs_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 func TestLossesAreSummarizedByWindowRouteAndReason(t *testing.T) {
@@ -26,13 +26,13 @@
 		fmt.Fprintf(&log, `{"timestamp":"2026-12-02T%sZ","message":"call ended","fields":{"node":"n","route":%q,"reason":%q,"request":%q}}`+"\n", e.at, e.route, e.reason, e.id)
 	}
 	log.WriteString(`{"timestamp":"2026-12-02T10:00:01Z","message":"policy in force","fields":{"node":"n"}}` + "\n")
-	lines, err := story.Read(strings.NewReader(log.String()))
+	lines, err := logs.Read(strings.NewReader(log.String()))
 	require.NoError(t, err)
 	from := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	next := from.Add(4 * time.Second)
-	assert.Equal(t, []story.Loss{
+	assert.Equal(t, []logs.Loss{
 		{From: from, Route: "a", Reason: "budget-insufficient-here", Calls: 2, Total: 3, Example: "2"},
 		{From: from, Route: "b", Reason: "broken-off", Calls: 1, Total: 1, Example: "4"},
 		{From: next, Route: "a", Reason: "budget-insufficient-here", Calls: 1, Total: 1, Example: "5"},
-	}, story.SummarizeLosses(lines, 4*time.Second))
+	}, logs.SummarizeLosses(lines, 4*time.Second))
 }
--- a/ctl/story/rollouts_test.go
+++ b/ctl/logs/rollouts_test.go
@@ -1,4 +1,4 @@
-package story_test
+package logs_test
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 // The lines of two nodes about three orders: one reverted, one deleted and one invalid. The lines of the
@@ -31,9 +31,9 @@
 `
 
 func TestRolloutsAreGroupedByOrder(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(rolloutLog))
+	lines, err := logs.Read(strings.NewReader(rolloutLog))
 	require.NoError(t, err)
-	all := story.Rollouts(lines)
+	all := logs.Rollouts(lines)
 	require.Len(t, all, 3)
 	at := func(ms int) time.Time { return time.Date(2026, 12, 2, 10, 0, 0, ms*int(time.Millisecond), time.UTC) }
 	r := all[0]
@@ -42,8 +42,8 @@
 	assert.EqualValues(t, 12000, r.DurationMs)
 	assert.Equal(t, `bad: route "r"`, r.Why)
 	assert.Equal(t, 1, r.RefusedWrites)
-	assert.Equal(t, []story.RouteAnswers{{Route: "q", Old: 3, Target: 1}, {Route: "r", Old: 90, OldBad: 1, Target: 15, TargetBad: 8}}, r.Answers)
-	assert.Equal(t, []story.BadTargetReport{{At: at(3100), Node: "b", Reporter: "a", Why: `route "r"`}}, r.BadReports)
+	assert.Equal(t, []logs.RouteAnswers{{Route: "q", Old: 3, Target: 1}, {Route: "r", Old: 90, OldBad: 1, Target: 15, TargetBad: 8}}, r.Answers)
+	assert.Equal(t, []logs.BadTargetReport{{At: at(3100), Node: "b", Reporter: "a", Why: `route "r"`}}, r.BadReports)
 	steps := []struct {
 		at     time.Time
 		state  string
@@ -82,10 +82,10 @@
 {"timestamp":"2026-12-03T10:00:04Z","message":"status of a rollout written","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":9,"toState":"reverted","at":7,"atEra":2,"why":"bad","written":true}}
 {"timestamp":"2026-12-03T10:00:04.1Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":7,"era":2,"state":"reverted"}}
 `
-	lines, err := story.Read(strings.NewReader(log))
+	lines, err := logs.Read(strings.NewReader(log))
 	require.NoError(t, err)
-	all := story.Rollouts(lines)
+	all := logs.Rollouts(lines)
 	require.Len(t, all, 1)
-	assert.Equal(t, []string{"ordered", "in-progress", "reverted"}, lo.Map(all[0].Steps, func(s story.RolloutStep, _ int) string { return s.State }))
+	assert.Equal(t, []string{"ordered", "in-progress", "reverted"}, lo.Map(all[0].Steps, func(s logs.RolloutStep, _ int) string { return s.State }))
 	assert.Equal(t, "reverted", all[0].State)
 }
--- a/ctl/story/spending.go
+++ b/ctl/logs/spending.go
@@ -1,4 +1,4 @@
-package story
+package logs
 
 import (
 	"cmp"
--- a/ctl/story/spending_test.go
+++ b/ctl/logs/spending_test.go
@@ -1,4 +1,4 @@
-package story_test
+package logs_test
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/lynxshed/lynxshed/ctl/story"
+	"github.com/lynxshed/lynxshed/ctl/logs"
 )
 
 const budgetLog = `{"timestamp":"2026-12-02T10:00:00Z","message":"policy in force","fields":{"node":"n","prepaid":{"a":1000,"b":50}}}
@@ -21,16 +21,16 @@
 `
 
 func TestSpendingIsSummarizedByCustomerAndWindow(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(budgetLog))
+	lines, err := logs.Read(strings.NewReader(budgetLog))
 	require.NoError(t, err)
 	from := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	next := from.Add(4 * time.Second)
-	assert.Equal(t, []story.Spending{
+	assert.Equal(t, []logs.Spending{
 		{Customer: "a", Prepaid: 1000, Requested: 180, Refused: 80, RefusedCalls: 1, Spent: 60, Drawn: 290, Lost: 240, PoolRemaining: 710},
 		{Customer: "b", Prepaid: 50},
 		{From: from, Customer: "a", Requested: 100, Spent: 60, Drawn: 300, PoolRemaining: 700},
 		{From: next, Customer: "a", Requested: 80, Refused: 80, RefusedCalls: 1, Drawn: -10, Lost: 240, PoolRemaining: 710},
-	}, story.SummarizeSpending(lines, 4*time.Second))
+	}, logs.SummarizeSpending(lines, 4*time.Second))
 }
 
 func TestPlacementsCompareExpectedWithObservedTimes(t *testing.T) {
@@ -41,10 +41,10 @@
 {"message":"call ended","fields":{"node":"m","route":"r","reason":"broken-off","expectedFirstMs":10,"firstMs":900}}
 {"message":"call ended","fields":{"node":"m","route":"plain","reason":"answered"}}
 `
-	lines, err := story.Read(strings.NewReader(log))
+	lines, err := logs.Read(strings.NewReader(log))
 	require.NoError(t, err)
-	assert.Equal(t, []story.PlacementStats{
+	assert.Equal(t, []logs.PlacementStats{
 		{Node: "n", Route: "r", Streams: 3, Expected: 120, Observed: 150, LateP90: 600, Fetched: 1.0 / 3},
 		{Node: "m", Route: "r", Streams: 1, Expected: 10, Observed: 20, LateP90: 10},
-	}, story.SummarizePlacements(lines))
+	}, logs.SummarizePlacements(lines))
 }
