--- a/ctl/command/quarantine.go
+++ b/ctl/command/quarantine.go
@@ -50,7 +50,7 @@
 	}
 	lines := lo.Map(quarantined, func(h quarantine.QuarantineReport, _ int) []string {
 		since, left := roundedSeconds(h.AgeMs), roundedSeconds(h.ForMs-h.AgeMs)
-		return []string{h.Print.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
+		return []string{h.Fingerprint.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
 	})
 	return a.print(quarantined, []string{"PRINT", "CUSTOMER", "ROUTE", "ROUND", "SINCE", "LEFT", "ENDED"}, lines)
 }
--- a/fleet/relay/choice/bounds.go
+++ b/fleet/relay/choice/bounds.go
@@ -40,8 +40,8 @@
 		return nil
 	}
 	var stale []engine.Engine
-	for _, life := range p.limits.Unconfirmed(r.Now) {
-		if e, ok := find(r.Engines, life.ID); ok && e.Incarnation() == life {
+	for _, incarnation := range p.limits.Unconfirmed(r.Now) {
+		if e, ok := find(r.Engines, incarnation.ID); ok && e.Incarnation() == incarnation {
 			stale = append(stale, e)
 		}
 	}
@@ -72,14 +72,14 @@
 // Limit records what an answer signals about the endpoint's limit. Only a successful answer
 // shows that there is none: others may come from an intermediary.
 func (t *Placement) Limit(l call.Limit, good bool, sent, now time.Time) {
-	limits, life := t.picker.limits, t.Engine.Incarnation()
+	limits, incarnation := t.picker.limits, t.Engine.Incarnation()
 	if limits == nil {
 		return
 	}
 	switch {
 	case l.Kind == call.ValidLimit:
-		limits.Named(life, l.PerSecond, now)
+		limits.Named(incarnation, l.PerSecond, now)
 	case l.Kind == call.NoLimit && good:
-		limits.Unnamed(life, sent, now)
+		limits.Unnamed(incarnation, sent, now)
 	}
 }
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -25,13 +25,13 @@
 
 // Picker chooses endpoints and remembers what was sent where. It is safe for concurrent use.
 type Picker struct {
-	tuning  Tuning
-	places  distance.Places
-	gate    *bound.Gate
-	cold    cold.Rule
-	limits  *limit.Tracker     // nil: limits that endpoints name are ignored
-	notices *notice.Tracker    // nil: notices in answers are ignored
-	doubts  *suspicion.Tracker // nil: failures that peers report are ignored
+	tuning     Tuning
+	places     distance.Places
+	gate       *bound.Gate
+	cold       cold.Rule
+	limits     *limit.Tracker     // nil: limits that endpoints name are ignored
+	notices    *notice.Tracker    // nil: notices in answers are ignored
+	suspicions *suspicion.Tracker // nil: failures that peers report are ignored
 
 	mu            sync.Mutex
 	endpoints     map[string]*endpoint
@@ -81,10 +81,10 @@
 	return p
 }
 
-// WithDoubts makes the picker avoid endpoints suspected by several nodes, and report this node's
+// WithSuspicions makes the picker avoid endpoints suspected by several nodes, and report this node's
 // failures.
-func (p *Picker) WithDoubts(b *suspicion.Tracker) *Picker {
-	p.doubts = b
+func (p *Picker) WithSuspicions(b *suspicion.Tracker) *Picker {
+	p.suspicions = b
 	return p
 }
 
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -77,11 +77,11 @@
 	maxReads = 128
 )
 
-func (l *recentReads) add(by engine.Incarnation, parts []call.Part, homes []string, rare bool, now time.Time) {
+func (l *recentReads) add(by engine.Incarnation, parts []call.Part, allowedRegions []string, rare bool, now time.Time) {
 	if len(parts) == 0 {
 		return
 	}
-	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, AllowedRegions: homes}, at: now, rare: rare}
+	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, AllowedRegions: allowedRegions}, at: now, rare: rare}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, p.ID)
 		r.Tokens = append(r.Tokens, p.Tokens)
--- a/fleet/relay/choice/endpoint.go
+++ b/fleet/relay/choice/endpoint.go
@@ -29,10 +29,10 @@
 }
 
 // endpoint returns the state of the present incarnation, even if the caller names another one.
-func (p *Picker) endpoint(life engine.Incarnation, capacity int64) *endpoint {
-	s, ok := p.endpoints[life.ID]
+func (p *Picker) endpoint(incarnation engine.Incarnation, capacity int64) *endpoint {
+	s, ok := p.endpoints[incarnation.ID]
 	if !ok {
-		s = p.newIncarnation(life, capacity)
+		s = p.newIncarnation(incarnation, capacity)
 	}
 	if capacity > 0 {
 		s.cache.capacity = capacity
@@ -41,9 +41,9 @@
 }
 
 // newIncarnation replaces the state of an endpoint by that of a new incarnation.
-func (p *Picker) newIncarnation(life engine.Incarnation, capacity int64) *endpoint {
-	s := &endpoint{born: life.Born, peers: map[string]Digest{}, cache: newPrefixCache(max(capacity, 1), life.ID, p.holders)}
-	p.endpoints[life.ID] = s
+func (p *Picker) newIncarnation(incarnation engine.Incarnation, capacity int64) *endpoint {
+	s := &endpoint{born: incarnation.Born, peers: map[string]Digest{}, cache: newPrefixCache(max(capacity, 1), incarnation.ID, p.holders)}
+	p.endpoints[incarnation.ID] = s
 	return s
 }
 
--- a/fleet/relay/choice/incarnation.go
+++ b/fleet/relay/choice/incarnation.go
@@ -19,55 +19,55 @@
 
 // Dropped is the state that was discarded with an ended incarnation.
 type Dropped struct {
-	Ended   bool // an earlier incarnation was known, and this is its state
-	Born    int64
-	Parts   int       // prompt parts that it was assumed to cache
-	Calls   int       // calls of this node in flight there
-	Peers   int       // peers that had reported it
-	Doubted bool      // it was suspected or taken for gone
-	Placed  time.Time // when a call was last placed there; zero: never
+	Ended     bool // an earlier incarnation was known, and this is its state
+	Born      int64
+	Parts     int       // prompt parts that it was assumed to cache
+	Calls     int       // calls of this node in flight there
+	Peers     int       // peers that had reported it
+	Suspected bool      // it was suspected or taken for gone
+	Placed    time.Time // when a call was last placed there; zero: never
 }
 
 // Begin records which incarnation of an endpoint is listed. The state of an earlier one is
 // discarded: cached parts, load, speed, pauses and failures. What peers already reported of the
 // new one is kept.
-func (p *Picker) Begin(life engine.Incarnation, now time.Time) Dropped {
+func (p *Picker) Begin(incarnation engine.Incarnation, now time.Time) Dropped {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before, known := p.endpoints[life.ID]
-	if known && before.isSameIncarnation(life) {
-		before.born, before.listed = life.Born, true
+	before, known := p.endpoints[incarnation.ID]
+	if known && before.isSameIncarnation(incarnation) {
+		before.born, before.listed = incarnation.Born, true
 		return Dropped{}
 	}
 	if !known {
-		p.newIncarnation(life, 0).listed = true
+		p.newIncarnation(incarnation, 0).listed = true
 		return Dropped{}
 	}
 	dropped := Dropped{
 		Ended: before.listed, Born: before.born, Parts: len(before.cache.byID), Calls: before.inFlight, Placed: before.placed,
-		Doubted: before.gone || before.failures > 0 || now.Before(before.suspectedUntil),
+		Suspected: before.gone || before.failures > 0 || now.Before(before.suspectedUntil),
 	}
-	s := p.replaceIncarnation(before, life)
+	s := p.replaceIncarnation(before, incarnation)
 	s.listed, s.replacedAt = true, now
-	p.zones.forget(life.ID)
-	p.recent.forget(life)
+	p.zones.forget(incarnation.ID)
+	p.recent.forget(incarnation)
 	dropped.Peers = len(before.peers) - len(s.peers)
 	return dropped
 }
 
 // isSameIncarnation reports whether the known state may belong to a listed incarnation: it has
 // the same start time, or consists only of peers' reports without one.
-func (s *endpoint) isSameIncarnation(life engine.Incarnation) bool {
-	return s.born == life.Born || !s.listed && s.born == 0 && !s.gone
+func (s *endpoint) isSameIncarnation(incarnation engine.Incarnation) bool {
+	return s.born == incarnation.Born || !s.listed && s.born == 0 && !s.gone
 }
 
 // replaceIncarnation starts an incarnation in place of another one.
-func (p *Picker) replaceIncarnation(before *endpoint, life engine.Incarnation) *endpoint {
+func (p *Picker) replaceIncarnation(before *endpoint, incarnation engine.Incarnation) *endpoint {
 	capacity := before.cache.capacity
 	before.cache.clear()
-	s := p.newIncarnation(life, capacity)
+	s := p.newIncarnation(incarnation, capacity)
 	for peer, d := range before.peers {
-		if d.Born == life.Born {
+		if d.Born == incarnation.Born {
 			s.peers[peer] = d
 			s.gone = s.gone || d.Gone
 		}
@@ -76,8 +76,8 @@
 }
 
 // forget drops the reads of earlier incarnations, so that peers no longer receive them.
-func (l *recentReads) forget(life engine.Incarnation) {
-	l.reads = slices.DeleteFunc(l.reads, func(r timedRead) bool { return r.Endpoint == life.ID && r.Born != life.Born })
+func (l *recentReads) forget(incarnation engine.Incarnation) {
+	l.reads = slices.DeleteFunc(l.reads, func(r timedRead) bool { return r.Endpoint == incarnation.ID && r.Born != incarnation.Born })
 }
 
 // forget drops the connect failures of an earlier incarnation.
--- a/fleet/relay/choice/incarnation_test.go
+++ b/fleet/relay/choice/incarnation_test.go
@@ -17,10 +17,10 @@
 func TestPeerReportsCountForTheirIncarnation(t *testing.T) {
 	start := time.Unix(1000, 0)
 	const before, now, after = 5, 9, 11
-	life := func(born int64) engine.Incarnation { return engine.Incarnation{ID: "e", Born: born} }
+	incarnation := func(born int64) engine.Incarnation { return engine.Incarnation{ID: "e", Born: born} }
 	begun := func(p *Picker, born ...int64) {
 		for _, b := range born {
-			p.Begin(life(b), start)
+			p.Begin(incarnation(b), start)
 		}
 	}
 	cases := []struct {
@@ -114,7 +114,7 @@
 	assert.Equal(t, Dropped{}, p.Begin(e.Incarnation(), now))
 	assert.True(t, p.zones["away"].failed["e"])
 	next := engine.Incarnation{ID: "e", Born: 9}
-	assert.Equal(t, Dropped{Ended: true, Born: 5, Parts: 2, Calls: 1, Peers: 1, Doubted: true, Placed: now}, p.Begin(next, now))
+	assert.Equal(t, Dropped{Ended: true, Born: 5, Parts: 2, Calls: 1, Peers: 1, Suspected: true, Placed: now}, p.Begin(next, now))
 	assert.False(t, p.zones["away"].failed["e"], "whether the new incarnation can be reached is unknown")
 	assert.Equal(t, int64(5000), p.endpoints["e"].cache.capacity, "the capacity is the service's, not the incarnation's")
 	placed.Close(Good, now)
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -151,17 +151,17 @@
 
 // recordOutcome records the outcome for the failures that nodes report to each other.
 func (t *Placement) recordOutcome(r Result, now time.Time) {
-	if t.picker.doubts == nil {
+	if t.picker.suspicions == nil {
 		return
 	}
-	life := t.Engine.Incarnation()
+	incarnation := t.Engine.Incarnation()
 	switch r {
 	case Good:
-		t.picker.doubts.Observe(life, suspicion.Succeeded, now)
+		t.picker.suspicions.Observe(incarnation, suspicion.Succeeded, now)
 	case Cut:
-		t.picker.doubts.Observe(life, suspicion.Interrupted, now)
+		t.picker.suspicions.Observe(incarnation, suspicion.Interrupted, now)
 	case Bad, Unreached:
-		t.picker.doubts.Observe(life, suspicion.Failed, now)
+		t.picker.suspicions.Observe(incarnation, suspicion.Failed, now)
 	case Rejected, Gone, Neutral:
 	}
 }
--- a/fleet/relay/choice/reason.go
+++ b/fleet/relay/choice/reason.go
@@ -14,17 +14,17 @@
 
 // The reasons.
 const (
-	Usable      Reason = iota
-	Ending             // it signals its end, in its entry or in answers
-	Emptied            // its availability zone is being evacuated
-	Tried              // the call was already there
-	Replaced           // another endpoint has its address, or another incarnation its id
-	Busy               // this node's maximum of calls in flight there is reached
-	Suspected          // it failed or refused a call of this node lately
-	Unreachable        // its availability zone is unreachable
-	Resting            // it asked for no calls for a while
-	Doubted            // several nodes report failures there
-	Bounded            // this node's share of a bound is used: the endpoint is cold or names a limit
+	Usable            Reason = iota
+	Ending                   // it signals its end, in its entry or in answers
+	Emptied                  // its availability zone is being evacuated
+	Tried                    // the call was already there
+	Replaced                 // another endpoint has its address, or another incarnation its id
+	Busy                     // this node's maximum of calls in flight there is reached
+	Suspected                // it failed or refused a call of this node lately
+	Unreachable              // its availability zone is unreachable
+	Resting                  // it asked for no calls for a while
+	SuspectedByOthers        // several nodes report failures there
+	Bounded                  // this node's share of a bound is used: the endpoint is cold or names a limit
 	reasons
 )
 
@@ -52,8 +52,8 @@
 		return s, Suspected
 	case level == healthyOnly && p.unreachable(e.Zone, r.Now):
 		return s, Unreachable
-	case level != allowAll && p.doubts != nil && p.doubts.Avoids(e.Incarnation(), r.Again, key, r.Now):
-		return s, Doubted
+	case level != allowAll && p.suspicions != nil && p.suspicions.Avoids(e.Incarnation(), r.Again, key, r.Now):
+		return s, SuspectedByOthers
 	case !p.withinBounds(*r, *e):
 		return s, Bounded
 	}
--- a/fleet/relay/choice/suspicion_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -41,7 +41,7 @@
 				b.Nodes(map[string]string{"a": "z0", "b": "z0", "c": "z0"})
 				b.Receive("b", reports[:1], now)
 				b.Receive("c", reports[1:], now)
-				p.WithDoubts(b)
+				p.WithSuspicions(b)
 			}
 			for _, e := range all[1:] {
 				if r := ask(call.Call{ID: e.ID}, []engine.Engine{e}, now); c.full {
@@ -85,7 +85,7 @@
 	for _, c := range cases {
 		b := suspicion.NewTracker("a", "z0", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 		b.Engines(all)
-		p := choice.NewPicker("z0", choice.DefaultTuning()).WithDoubts(b)
+		p := choice.NewPicker("z0", choice.DefaultTuning()).WithSuspicions(b)
 		placed, ok := p.Pick(ask(call.Call{ID: "c"}, all[:1], now))
 		require.True(t, ok)
 		placed.Close(c.result, now)
--- a/fleet/relay/forward/quarantine.go
+++ b/fleet/relay/forward/quarantine.go
@@ -78,7 +78,7 @@
 	if j.Quarantine == nil || ctx.Err() != nil {
 		return
 	}
-	s := quarantine.Suspect{Print: j.print(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
+	s := quarantine.Suspect{Fingerprint: j.print(), Progress: p, Customer: j.tenant.Name, Route: j.route.Name}
 	j.Quarantine.Interrupted(t.Engine, s, clock.Now())
 }
 
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -24,7 +24,7 @@
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
 	tracker := suspicion.NewTracker("n", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 	tracker.Engines(f.engines)
-	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
+	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithSuspicions(tracker)
 	connects := 0
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if connects++; connects == 2 {
--- a/fleet/relay/forward/suspicions_test.go
+++ b/fleet/relay/forward/suspicions_test.go
@@ -33,7 +33,7 @@
 			tracker := suspicion.NewTracker("n", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 			f := newFleet(t, 1000, c.script)
 			tracker.Engines(append([]engine.Engine{{ID: "other", Service: "s"}}, f.engines...))
-			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
+			f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithSuspicions(tracker)
 			require.NoError(t, f.do(t, f.request(t, "GET", c.path, "")).err)
 			reports := tracker.Reports(false, time.Now())
 			require.Equal(t, c.reported, len(reports) == 1)
--- a/fleet/relay/incarnations.go
+++ b/fleet/relay/incarnations.go
@@ -41,7 +41,7 @@
 	}
 	t.metrics.Restarted(change)
 	t.log.WithFields(incarnationFields(before, e)).WithFields(log.Fields{
-		"birth": change, "parts": dropped.Parts, "calls": dropped.Calls, "peers": dropped.Peers, "doubted": dropped.Doubted, "connections": idle,
+		"birth": change, "parts": dropped.Parts, "calls": dropped.Calls, "peers": dropped.Peers, "doubted": dropped.Suspected, "connections": idle,
 	}).Info("endpoint restarted under its id: state of the ended incarnation dropped")
 	return e
 }
--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -41,9 +41,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var reports []Report
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		if k.due.TakeUpdate() && (k.own || forward) {
-			reports = append(reports, k.report(life, now))
+			reports = append(reports, k.report(incarnation, now))
 		}
 	}
 	return newest(reports)
@@ -57,9 +57,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var reports []Report
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		if k.due.WithDigests(now) && (k.own || forward) {
-			reports = append(reports, k.report(life, now))
+			reports = append(reports, k.report(incarnation, now))
 		}
 	}
 	return newest(reports)
@@ -73,8 +73,8 @@
 	return reports[:min(len(reports), maxReports)]
 }
 
-func (k *known) report(life engine.Incarnation, now time.Time) Report {
-	w := Report{Endpoint: life.ID, Born: life.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
+func (k *known) report(incarnation engine.Incarnation, now time.Time) Report {
+	w := Report{Endpoint: incarnation.ID, Born: incarnation.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
 	if k.named {
 		w.PerSecond = &k.perSecond
 	}
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -69,38 +69,38 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.listed = listed
-	for life := range b.known {
-		if _, ok := listed[life]; !ok {
-			delete(b.known, life)
+	for incarnation := range b.known {
+		if _, ok := listed[incarnation]; !ok {
+			delete(b.known, incarnation)
 		}
 	}
 	b.count.Store(int64(len(b.known)))
 }
 
 // Named records that an answer to this node named a limit.
-func (b *Tracker) Named(life engine.Incarnation, perSecond float64, now time.Time) {
-	b.record(life, signal{at: now, named: true, perSecond: perSecond}, now)
+func (b *Tracker) Named(incarnation engine.Incarnation, perSecond float64, now time.Time) {
+	b.record(incarnation, signal{at: now, named: true, perSecond: perSecond}, now)
 }
 
 // Unnamed records that an answer named no limit. It ends a limit only if the call was sent after
 // this node knew of the limit: otherwise the answer may be older than the limit.
-func (b *Tracker) Unnamed(life engine.Incarnation, sent, now time.Time) {
+func (b *Tracker) Unnamed(incarnation engine.Incarnation, sent, now time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
-	k, ok := b.known[life]
+	k, ok := b.known[incarnation]
 	before := ok && k.named && sent.Before(k.since)
 	b.mu.Unlock()
 	if ok && !before {
-		b.record(life, signal{at: now}, now)
+		b.record(incarnation, signal{at: now}, now)
 	}
 }
 
 // record stores the signal of the latest answer, to this node or another one.
-func (b *Tracker) record(life engine.Incarnation, s signal, now time.Time) {
+func (b *Tracker) record(incarnation engine.Incarnation, s signal, now time.Time) {
 	b.mu.Lock()
-	c, changed := b.update(life, s, now)
+	c, changed := b.update(incarnation, s, now)
 	b.mu.Unlock()
 	if !changed {
 		return
@@ -109,15 +109,15 @@
 	b.changed(c)
 }
 
-func (b *Tracker) update(life engine.Incarnation, s signal, now time.Time) (Change, bool) {
-	e, listed := b.listed[life]
-	k, ok := b.known[life]
+func (b *Tracker) update(incarnation engine.Incarnation, s signal, now time.Time) (Change, bool) {
+	e, listed := b.listed[incarnation]
+	k, ok := b.known[incarnation]
 	if !listed || !ok && !s.named || ok && !s.at.After(k.observed) {
 		return Change{}, false
 	}
 	if !ok {
 		k = &known{}
-		b.known[life] = k
+		b.known[incarnation] = k
 		b.count.Store(int64(len(b.known)))
 	}
 	c := Change{Engine: e, Named: s.named, PerSecond: s.perSecond, Before: k.perSecond, WasNamed: k.named, From: s.by, Age: now.Sub(s.at)}
@@ -125,7 +125,7 @@
 	if c.Named != c.WasNamed {
 		k.since = now
 	} else if !c.Named && now.Sub(k.since) > maxAge {
-		delete(b.known, life) // no report of the limit can arrive any more
+		delete(b.known, incarnation) // no report of the limit can arrive any more
 		b.count.Store(int64(len(b.known)))
 		return Change{}, false
 	}
@@ -139,13 +139,13 @@
 }
 
 // Of returns the limit that an endpoint names, and false if it names none.
-func (b *Tracker) Of(life engine.Incarnation) (perSecond float64, named bool) {
+func (b *Tracker) Of(incarnation engine.Incarnation) (perSecond float64, named bool) {
 	if b.count.Load() == 0 {
 		return 0, false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k, ok := b.known[life]
+	k, ok := b.known[incarnation]
 	if !ok || !k.named {
 		return 0, false
 	}
@@ -164,9 +164,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var incarnations []engine.Incarnation
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		if k.named && now.Sub(k.observed) >= confirmInterval && now.Sub(k.placed) >= confirmInterval {
-			incarnations = append(incarnations, life)
+			incarnations = append(incarnations, incarnation)
 		}
 	}
 	return incarnations
@@ -180,10 +180,10 @@
 // MayProbe reports whether a node without a share may send one call to an endpoint whose limit
 // it received nothing about for long. The node may be partitioned from those with a share, and
 // the limit be over. The more nodes there are, the less often each probes.
-func (b *Tracker) MayProbe(life engine.Incarnation, nodes int, now time.Time) bool {
+func (b *Tracker) MayProbe(incarnation engine.Incarnation, nodes int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k, ok := b.known[life]
+	k, ok := b.known[incarnation]
 	if !ok || !k.named {
 		return true
 	}
@@ -193,13 +193,13 @@
 }
 
 // Placed records a call to an endpoint, for MayProbe and Unconfirmed.
-func (b *Tracker) Placed(life engine.Incarnation, now time.Time) {
+func (b *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
 	if b.count.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if k, ok := b.known[life]; ok {
+	if k, ok := b.known[incarnation]; ok {
 		k.placed = now
 	}
 }
@@ -227,11 +227,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := []Listed{}
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		if k.named {
-			e := b.listed[life]
+			e := b.listed[incarnation]
 			all = append(all, Listed{
-				Endpoint: life.ID, Service: e.Service, Zone: e.Zone, PerSecond: k.perSecond,
+				Endpoint: incarnation.ID, Service: e.Service, Zone: e.Zone, PerSecond: k.perSecond,
 				SinceMs: now.Sub(k.since).Milliseconds(), AgeMs: now.Sub(k.observed).Milliseconds(), From: k.by, engine: e,
 			})
 		}
--- a/fleet/relay/limit/tracker_test.go
+++ b/fleet/relay/limit/tracker_test.go
@@ -23,7 +23,7 @@
 // at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func newBook(changes *[]limit.Change) *limit.Tracker {
+func newTracker(changes *[]limit.Change) *limit.Tracker {
 	b := limit.NewTracker(testRule, func(c limit.Change) {
 		if changes != nil {
 			*changes = append(*changes, c)
@@ -48,7 +48,7 @@
 
 func TestLimitEndsWithAnAnswerToALaterCall(t *testing.T) {
 	var changes []limit.Change
-	b := newBook(&changes)
+	b := newTracker(&changes)
 	b.Unnamed(first.Incarnation(), at(0), at(5))
 	assert.Empty(t, changes, "endpoints that name no limit are not tracked")
 	b.Named(first.Incarnation(), 2, at(100))
@@ -70,7 +70,7 @@
 }
 
 func TestLimitBelongsToOneIncarnation(t *testing.T) {
-	b := newBook(nil)
+	b := newTracker(nil)
 	b.Named(engine.Incarnation{ID: "unknown"}, 1, at(0))
 	b.Named(engine.Incarnation{ID: first.ID, Born: 7}, 1, at(0))
 	assert.Empty(t, b.List(at(1)))
@@ -110,7 +110,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBook(nil)
+			b := newTracker(nil)
 			b.Named(first.Incarnation(), 4, at(500))
 			b.Receive("peer", c.reports, at(1000))
 			if c.want < 0 {
@@ -125,7 +125,7 @@
 // A node sends what its answers signaled: changes at once, and then with the digests for a
 // while. Only a node that forwards also sends what it received.
 func TestSentReports(t *testing.T) {
-	b := newBook(nil)
+	b := newTracker(nil)
 	assert.Nil(t, b.Reports(true, at(0)))
 	b.Named(first.Incarnation(), 1.5, at(0))
 	select {
@@ -144,7 +144,7 @@
 	b.Named(first.Incarnation(), 1.5, at(11_000))
 	assert.Len(t, b.Reports(false, at(11_000)), 1, "again, for nodes that received nothing")
 
-	listener := newBook(nil)
+	listener := newTracker(nil)
 	listener.Receive("n", want, at(50))
 	expectLimit(t, listener, 1.5)
 	assert.Empty(t, listener.Reports(false, at(60)))
@@ -157,7 +157,7 @@
 
 // A node that missed the end of a limit learns of it from a later report.
 func TestMissedEndIsSentAgain(t *testing.T) {
-	b, listener := newBook(nil), newBook(nil)
+	b, listener := newTracker(nil), newTracker(nil)
 	b.Named(first.Incarnation(), 1, at(0))
 	listener.Receive("n", b.Reports(false, at(0)), at(0))
 	b.Unnamed(first.Incarnation(), at(100), at(200))
@@ -175,7 +175,7 @@
 		after     time.Duration
 	}{{1, 8, 30 * time.Second}, {1, 300, 600 * time.Second}, {0, 4, 80 * time.Second}, {0.5, 60, 240 * time.Second}}
 	for _, c := range cases {
-		b := newBook(nil)
+		b := newTracker(nil)
 		b.Named(first.Incarnation(), c.perSecond, start)
 		assert.False(t, b.MayProbe(first.Incarnation(), c.nodes, start.Add(c.after-time.Second)), "%+v", c)
 		assert.True(t, b.MayProbe(first.Incarnation(), c.nodes, start.Add(c.after)), "%+v", c)
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -59,10 +59,10 @@
 
 // Leaves reports whether an endpoint is about to end, and until when it may get calls that no
 // other endpoint may take.
-func (b *Tracker) Leaves(life engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
+func (b *Tracker) Leaves(incarnation engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k, ok := b.find(life)
+	k, ok := b.find(incarnation)
 	if !ok || !k.leaving.holds(now) {
 		return time.Time{}, false
 	}
--- a/fleet/relay/notice/leaving_test.go
+++ b/fleet/relay/notice/leaving_test.go
@@ -23,7 +23,7 @@
 // at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func newBook(changes *[]notice.Change) *notice.Tracker {
+func newTracker(changes *[]notice.Change) *notice.Tracker {
 	b := notice.NewTracker("n", rule, func(c notice.Change) {
 		if changes != nil {
 			*changes = append(*changes, c)
@@ -88,7 +88,7 @@
 		}, first, at(100), false},
 	}
 	for _, c := range cases {
-		b := newBook(nil)
+		b := newTracker(nil)
 		c.then(b)
 		assert.Equal(t, c.leaves, leaves(b, c.of, c.now), c.name)
 	}
@@ -98,7 +98,7 @@
 // from the endpoint, or that forward, send it.
 func TestSentLeavingReports(t *testing.T) {
 	var changes []notice.Change
-	b := newBook(&changes)
+	b := newTracker(&changes)
 	assert.Empty(t, b.Updates(true, at(0)))
 	b.Observe(first, call.Leaving{}, at(0))
 	b.Observe(first, call.Leaving{}, at(10))
@@ -110,7 +110,7 @@
 	assert.Empty(t, b.Reports(false, at(5_000)))
 	assert.Equal(t, []notice.Report{leavingReport(10_990)}, b.Reports(false, at(11_000)), "for nodes that received nothing")
 
-	receiver := newBook(nil)
+	receiver := newTracker(nil)
 	receiver.Receive("n", []notice.Report{leavingReport(10)}, at(20))
 	assert.Empty(t, receiver.Reports(false, at(20)))
 	assert.Equal(t, []notice.Report{leavingReport(10)}, receiver.Updates(true, at(20)))
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -51,10 +51,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var reports []Report
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		k.expire(now)
-		b.dropEmpty(life, k)
-		if w := k.report(life, forward, now, due); k.gone.IsZero() && w.hasContent() {
+		b.dropEmpty(incarnation, k)
+		if w := k.report(incarnation, forward, now, due); k.gone.IsZero() && w.hasContent() {
 			reports = append(reports, w)
 		}
 	}
@@ -76,8 +76,8 @@
 }
 
 // report returns what is due to be sent of one incarnation.
-func (k *known) report(life engine.Incarnation, forward bool, now time.Time, due func(*announce.Schedule) bool) Report {
-	w := Report{Endpoint: life.ID, Born: life.Born}
+func (k *known) report(incarnation engine.Incarnation, forward bool, now time.Time, due func(*announce.Schedule) bool) Report {
+	w := Report{Endpoint: incarnation.ID, Born: incarnation.Born}
 	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
 		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
 	}
--- a/fleet/relay/notice/rest_test.go
+++ b/fleet/relay/notice/rest_test.go
@@ -67,7 +67,7 @@
 		{"a report beyond the maximum rest", func(b *notice.Tracker) { b.Receive("n", []notice.Report{restReport(1e12)}, at(0)) }, first, at(100), notice.Free},
 	}
 	for _, c := range cases {
-		b := newBook(nil)
+		b := newTracker(nil)
 		c.then(b)
 		assert.Equal(t, c.use, b.Use(c.of.Incarnation(), c.now), c.name)
 	}
@@ -76,7 +76,7 @@
 // A rest is sent when it begins, unless the others know of one. It is over once a call was accepted.
 func TestSentRestReports(t *testing.T) {
 	var changes []notice.Change
-	b := newBook(&changes)
+	b := newTracker(&changes)
 	askForRest(b, 3*time.Second, 0)
 	askForRest(b, 3*time.Second, 10)
 	assert.Len(t, changes, 1, "it began once")
@@ -88,7 +88,7 @@
 	assert.Equal(t, notice.Ended{Engine: first}, changes[1])
 	assert.Empty(t, b.List(at(3_600)))
 
-	receiver := newBook(nil)
+	receiver := newTracker(nil)
 	receiver.Receive("n", []notice.Report{restReport(3_000)}, at(0))
 	assert.Equal(t, []notice.Report{restReport(3_000)}, receiver.Updates(true, at(0)), "a delegate forwards")
 	askForRest(receiver, time.Second, 100)
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -64,15 +64,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.listed = listed
-	for life, k := range b.known {
-		_, stays := listed[life]
+	for incarnation, k := range b.known {
+		_, stays := listed[incarnation]
 		switch {
 		case stays:
 			k.gone = time.Time{}
 		case k.gone.IsZero():
 			k.gone = now
 		case now.Sub(k.gone) > entryRetention:
-			delete(b.known, life)
+			delete(b.known, incarnation)
 		}
 	}
 	b.count.Store(int64(len(b.known)))
@@ -98,33 +98,33 @@
 
 // get returns the state of an endpoint, creating it if necessary.
 func (b *Tracker) get(e engine.Engine, now time.Time) *known {
-	life := e.Incarnation()
-	k, ok := b.known[life]
+	incarnation := e.Incarnation()
+	k, ok := b.known[incarnation]
 	if !ok {
 		k = &known{engine: e}
-		if _, listed := b.listed[life]; !listed {
+		if _, listed := b.listed[incarnation]; !listed {
 			k.gone = now
 		}
-		b.known[life] = k
+		b.known[incarnation] = k
 		b.count.Store(int64(len(b.known)))
 	}
 	return k
 }
 
 // dropEmpty drops an incarnation without any notice.
-func (b *Tracker) dropEmpty(life engine.Incarnation, k *known) {
+func (b *Tracker) dropEmpty(incarnation engine.Incarnation, k *known) {
 	if k.leaving.observed.IsZero() && k.rest.end().IsZero() {
-		delete(b.known, life)
+		delete(b.known, incarnation)
 		b.count.Store(int64(len(b.known)))
 	}
 }
 
 // find returns the state of an incarnation, and false if there is none.
-func (b *Tracker) find(life engine.Incarnation) (*known, bool) {
+func (b *Tracker) find(incarnation engine.Incarnation) (*known, bool) {
 	if b.count.Load() == 0 {
 		return nil, false
 	}
-	k, ok := b.known[life]
+	k, ok := b.known[incarnation]
 	return k, ok
 }
 
@@ -144,11 +144,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := []Listed{}
-	for life, k := range b.known {
+	for incarnation, k := range b.known {
 		if !k.gone.IsZero() {
 			continue
 		}
-		one := Listed{Endpoint: life.ID, Service: k.engine.Service, Zone: k.engine.Zone}
+		one := Listed{Endpoint: incarnation.ID, Service: k.engine.Service, Zone: k.engine.Zone}
 		if k.leaving.holds(now) {
 			all = append(all, k.leaving.list(one, now))
 		}
--- a/fleet/relay/peer/regions_test.go
+++ b/fleet/relay/peer/regions_test.go
@@ -152,7 +152,7 @@
 }
 
 // A node sends what calls with homes read only to peers in those home regions.
-func TestReadsOfCallsWithHomesStayThere(t *testing.T) {
+func TestReadsStayInAllowedRegions(t *testing.T) {
 	all, regions := regional(12, 3) // all nodes send to all
 	self := all[0]
 	g, _ := trafficGossipOf(all, regions, self)
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -98,7 +98,7 @@
 	some := under[:min(len(under), maxLoggedFingerprints)]
 	q.log.WithFields(log.Fields{
 		"endpoint": incarnation.ID, "born": incarnation.Born, "calls": len(under), "unanswered": lo.CountBy(under, func(s quarantine.Suspect) bool { return s.Progress == quarantine.Nothing }),
-		"prints": lo.Map(some, func(s quarantine.Suspect, _ int) string { return s.Print.String() }),
+		"prints": lo.Map(some, func(s quarantine.Suspect, _ int) string { return s.Fingerprint.String() }),
 	}).Info("endpoint ended during calls of this node")
 }
 
@@ -122,7 +122,7 @@
 // schedules its expiry and probe.
 func (q *quarantineManager) onChange(h quarantine.Held, from string) {
 	fields := log.Fields{
-		"print": h.Print.String(), "customer": h.Customer, "route": h.Route, "round": h.Round, "ends": h.Ends,
+		"print": h.Fingerprint.String(), "customer": h.Customer, "route": h.Route, "round": h.Round, "ends": h.Ends,
 		"ageMs": clock.Since(h.Since).Milliseconds(), "forMs": h.For.Milliseconds(), "from": from,
 	}
 	q.metrics.Quarantined(h.Released)
@@ -137,24 +137,24 @@
 
 // expire deletes an expired request from the store; one node does it.
 func (q *quarantineManager) expire(h quarantine.Held) {
-	now, known := q.Lookup(h.Print)
+	now, known := q.Lookup(h.Fingerprint)
 	if !known || now.Round != h.Round || now.Released {
 		return
 	}
-	q.log.WithFields(log.Fields{"print": h.Print.String(), "customer": h.Customer, "round": h.Round}).Info("quarantine of a request expired: another endpoint that ends under it renews it")
-	if q.slot(h.Print.String()) != 0 {
+	q.log.WithFields(log.Fields{"print": h.Fingerprint.String(), "customer": h.Customer, "round": h.Round}).Info("quarantine of a request expired: another endpoint that ends under it renews it")
+	if q.slot(h.Fingerprint.String()) != 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
-	if err := ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Print.String())); err != nil {
-		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("expired request not deleted: nodes that start quarantine it again")
+	if err := ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Fingerprint.String())); err != nil {
+		q.log.WithField("print", h.Fingerprint.String()).WithField("dependency", "store").WithError(err).Warn("expired request not deleted: nodes that start quarantine it again")
 	}
 }
 
 // persist writes the judgement of this node to the store, unless another node does.
 func (q *quarantineManager) persist(h quarantine.Held) {
-	q.persistInSlot(h, q.slot(h.Print.String()), func(now quarantine.Held) bool { return now.Stored })
+	q.persistInSlot(h, q.slot(h.Fingerprint.String()), func(now quarantine.Held) bool { return now.Stored })
 }
 
 // restorers is how many nodes write back what a copy of the store lacks of one request, one after
@@ -165,7 +165,7 @@
 // restored from a copy.
 func (q *quarantineManager) writeBack() {
 	for _, h := range q.All() {
-		slot := q.slot(h.Print.String())
+		slot := q.slot(h.Fingerprint.String())
 		if slot >= restorers || !h.Released && clock.Since(h.Since) >= h.For {
 			continue
 		}
@@ -178,7 +178,7 @@
 func (q *quarantineManager) persistInSlot(h quarantine.Held, slot int, done func(now quarantine.Held) bool) {
 	time.Sleep(time.Duration(slot) * writeSlot)
 	for attempt := 0; ; attempt++ {
-		now, known := q.Lookup(h.Print)
+		now, known := q.Lookup(h.Fingerprint)
 		over := !now.Released && clock.Since(now.Since) >= now.For
 		if !known || now.Round != h.Round || now.Released != h.Released || over || done(now) {
 			return
@@ -188,7 +188,7 @@
 			q.Stored(now)
 			return
 		}
-		q.log.WithField("print", h.Print.String()).WithField("dependency", "store").WithError(err).Warn("quarantined or released request not written yet")
+		q.log.WithField("print", h.Fingerprint.String()).WithField("dependency", "store").WithError(err).Warn("quarantined or released request not written yet")
 		time.Sleep(store.Jittered(retryDelay(attempt)))
 	}
 }
@@ -208,13 +208,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
 	if h.Released {
-		return ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Print.String()))
+		return ignoreNotFound(q.store.Delete(ctx, quarantineKind, h.Fingerprint.String()))
 	}
 	data, err := encodeHeld(h)
 	if err != nil {
 		return err
 	}
-	o := store.Object{Kind: quarantineKind, Name: h.Print.String(), Data: data}
+	o := store.Object{Kind: quarantineKind, Name: h.Fingerprint.String(), Data: data}
 	there, err := q.store.Put(ctx, o)
 	if !errors.Is(err, store.ErrConflict) {
 		return err
@@ -243,8 +243,8 @@
 	if err := json.Unmarshal(o.Data, &k); err != nil {
 		return k, errors.Wrap(err, "decode quarantined request")
 	}
-	if k.Print.String() != o.Name {
-		return k, errors.Newf("request %s stored under the name %.40q", k.Print, o.Name)
+	if k.Fingerprint.String() != o.Name {
+		return k, errors.Newf("request %s stored under the name %.40q", k.Fingerprint, o.Name)
 	}
 	return k, nil
 }
--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -8,11 +8,11 @@
 
 // Suspect is a call that was interrupted by the end of its endpoint.
 type Suspect struct {
-	Print    Fingerprint `json:"p"`
-	Progress Progress    `json:"a,omitempty"`
-	Customer string      `json:"c,omitempty"`
-	Route    string      `json:"r,omitempty"`
-	Answered bool        `json:"w,omitempty"` // the reporting node had answered the request before
+	Fingerprint Fingerprint `json:"p"`
+	Progress    Progress    `json:"a,omitempty"`
+	Customer    string      `json:"c,omitempty"`
+	Route       string      `json:"r,omitempty"`
+	Answered    bool        `json:"w,omitempty"` // the reporting node had answered the request before
 }
 
 // Progress is how much of its answer a call had received when it was interrupted.
@@ -54,16 +54,16 @@
 
 // add records a suspect and reports whether that changed anything.
 func (e *end) add(s Suspect) bool {
-	if known, ok := e.suspects[s.Print]; ok {
+	if known, ok := e.suspects[s.Fingerprint]; ok {
 		changed := s.Progress < known.Progress || s.Answered && !known.Answered
 		known.Progress, known.Answered = min(known.Progress, s.Progress), known.Answered || s.Answered
-		e.suspects[s.Print] = known
+		e.suspects[s.Fingerprint] = known
 		return changed
 	}
 	if len(e.suspects) >= maxSuspects && !e.makeRoom(s) {
 		return false
 	}
-	e.suspects[s.Print] = s
+	e.suspects[s.Fingerprint] = s
 	return true
 }
 
--- a/fleet/relay/quarantine/fingerprint.go
+++ b/fleet/relay/quarantine/fingerprint.go
@@ -13,10 +13,10 @@
 // Fingerprint is the fingerprint of a request. It stays the same when the caller sends the request
 // again under another id. It is a cryptographic hash, so that nobody can make another customer's
 // request look like this one, and no part of a body is kept or sent.
-type Fingerprint [printBytes]byte
+type Fingerprint [fingerprintBytes]byte
 
-// printBytes is the length of the truncated hash: 128 bits are too many for a search.
-const printBytes = 16
+// fingerprintBytes is the length of the truncated hash: 128 bits are too many for a search.
+const fingerprintBytes = 16
 
 // FingerprintOf returns the fingerprint of a request: its customer, method, host, target and body.
 func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
@@ -26,7 +26,7 @@
 		h.Write([]byte(field))
 	}
 	h.Write(body)
-	return Fingerprint(h.Sum(nil)[:printBytes])
+	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
 // String returns the fingerprint in hexadecimal.
@@ -38,7 +38,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (p *Fingerprint) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
-	if err != nil || len(data) != printBytes {
+	if err != nil || len(data) != fingerprintBytes {
 		return errors.Newf("%.40q is no print of a request", text)
 	}
 	*p = Fingerprint(data)
--- a/fleet/relay/quarantine/fingerprint_test.go
+++ b/fleet/relay/quarantine/fingerprint_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func BenchmarkPrint(b *testing.B) {
+func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 40_000)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
--- a/fleet/relay/quarantine/held.go
+++ b/fleet/relay/quarantine/held.go
@@ -4,20 +4,20 @@
 
 // Held is a request that is or was quarantined.
 type Held struct {
-	Print    Fingerprint
-	Round    int  // how many times it was quarantined; a later round supersedes earlier ones
-	Released bool // in this round: by an operator, an answer, or ends attributed to another request
-	Stored   bool // the store holds this state, so that a quarantine outlasts all nodes
-	Since    time.Time
-	For      time.Duration
-	Customer string
-	Route    string
-	Ends     []string // ids of the last endpoints that ended under it
-	Answered bool     // endpoints had answered it before, so it may have run by chance where they ended
-	Tried    bool     // an endpoint ended under it after its previous hold expired; that send served as a probe
-	Probes   int      // claimed by nodes in this round, as far as this node knows
-	armed    bool     // this node's next call of it is a probe
-	Why      string   // reason for the release
+	Fingerprint Fingerprint
+	Round       int  // how many times it was quarantined; a later round supersedes earlier ones
+	Released    bool // in this round: by an operator, an answer, or ends attributed to another request
+	Stored      bool // the store holds this state, so that a quarantine outlasts all nodes
+	Since       time.Time
+	For         time.Duration
+	Customer    string
+	Route       string
+	Ends        []string // ids of the last endpoints that ended under it
+	Answered    bool     // endpoints had answered it before, so it may have run by chance where they ended
+	Tried       bool     // an endpoint ended under it after its previous hold expired; that send served as a probe
+	Probes      int      // claimed by nodes in this round, as far as this node knows
+	armed       bool     // this node's next call of it is a probe
+	Why         string   // reason for the release
 }
 
 // inForce reports whether the request is quarantined now.
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -22,7 +22,7 @@
 
 func (c countStrategy) interrupt(_ int, _ int64, under []Suspect, _ time.Time) {
 	for _, s := range under {
-		c[s.Print]++
+		c[s.Fingerprint]++
 	}
 }
 func (c countStrategy) served(Fingerprint, time.Time)         {}
@@ -100,7 +100,7 @@
 	ends, calls := 0, 0
 	end := func(e int, now time.Time) {
 		under := lo.Map(at[e], func(c running, _ int) Suspect {
-			return Suspect{Print: printOf(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
+			return Suspect{Fingerprint: fingerprintOf(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
 		})
 		incarnation[e]++
 		down[e] = now.Add(modelDown)
@@ -115,7 +115,7 @@
 	place := func(c running, now time.Time) {
 		e := random.IntN(modelEndpoints)
 		switch {
-		case w.holds(printOf(c.name), now):
+		case w.holds(fingerprintOf(c.name), now):
 			held[c.name] = true
 			return
 		case now.Before(down[e]):
@@ -158,7 +158,7 @@
 				if now.Before(c.until) {
 					return true
 				}
-				w.served(printOf(c.name), now)
+				w.served(fingerprintOf(c.name), now)
 				return false
 			})
 		}
--- a/fleet/relay/quarantine/probe.go
+++ b/fleet/relay/quarantine/probe.go
@@ -21,14 +21,14 @@
 func (b *Tracker) MayProbe(h Held, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.held[h.Print]
+	known := b.held[h.Fingerprint]
 	return b.answered(known) && !known.Tried && known.Round == h.Round && b.probeOpen(known, now)
 }
 
 // answered reports whether any node stated that endpoints had answered a request: with its
 // quarantine, or with an end that the node which quarantined it did not know.
 func (b *Tracker) answered(h Held) bool {
-	return h.Answered || lo.SomeBy(b.ends, func(e *end) bool { return e.suspects[h.Print].Answered })
+	return h.Answered || lo.SomeBy(b.ends, func(e *end) bool { return e.suspects[h.Fingerprint].Answered })
 }
 
 // probeOpen reports whether a request is quarantined and no endpoint has ended under it since
@@ -36,7 +36,7 @@
 func (b *Tracker) probeOpen(h Held, now time.Time) bool {
 	due := b.ProbeAt(h)
 	return h.inForce(now) && lo.NoneBy(b.ends, func(e *end) bool {
-		_, in := e.suspects[h.Print]
+		_, in := e.suspects[h.Fingerprint]
 		return in && !e.at.Before(due)
 	})
 }
@@ -47,9 +47,9 @@
 func (b *Tracker) Arm(claimed Held) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h, ok := b.held[claimed.Print]; ok && h.Round == claimed.Round {
+	if h, ok := b.held[claimed.Fingerprint]; ok && h.Round == claimed.Round {
 		h.armed, h.Probes = true, claimed.Probes
-		b.held[h.Print] = h
+		b.held[h.Fingerprint] = h
 	}
 }
 
--- a/fleet/relay/quarantine/probe_test.go
+++ b/fleet/relay/quarantine/probe_test.go
@@ -13,17 +13,17 @@
 // quarantinedNode returns a node that has just quarantined a request, and that request.
 func quarantinedNode(t *testing.T) (*node, Held) {
 	n := newNode(Peer)
-	n.Answered(printOf("popular"), n.now)
+	n.Answered(fingerprintOf("popular"), n.now)
 	for i := range DefaultRule().Ends {
 		n.endUnder(i, suspects(Nothing, "popular")...)
 	}
 	require.True(t, n.holds("popular"))
-	h, _ := n.Lookup(printOf("popular"))
+	h, _ := n.Lookup(fingerprintOf("popular"))
 	return n, h
 }
 
 func (n *node) takesProbe() bool {
-	_, ok := n.Probe(printOf("popular"), n.now)
+	_, ok := n.Probe(fingerprintOf("popular"), n.now)
 	return ok
 }
 
@@ -43,7 +43,7 @@
 			n.now = n.ProbeAt(h)
 			n.endNow(9, suspects(Nothing, "another")...)
 		}, true},
-		{"it was released", func(n *node, h Held) { n.Release(h.Print, n.now) }, false},
+		{"it was released", func(n *node, h Held) { n.Release(h.Fingerprint, n.now) }, false},
 		{"it is quarantined in a later round", func(n *node, h Held) {
 			h.Round++
 			n.Receive(Report{Held: []QuarantineReport{ReportOf(h, n.now)}}, n.now)
@@ -99,14 +99,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode(Peer)
-			n.Answered(printOf(c.answered), n.now)
+			n.Answered(fingerprintOf(c.answered), n.now)
 			for i := range c.others {
-				n.Answered(printOf(fmt.Sprint("other", i)), n.now)
+				n.Answered(fingerprintOf(fmt.Sprint("other", i)), n.now)
 			}
 			for i := range DefaultRule().Ends {
 				n.endUnder(i, suspects(Nothing, "deadly")...)
 			}
-			h, _ := n.Lookup(printOf("deadly"))
+			h, _ := n.Lookup(fingerprintOf("deadly"))
 			assert.Equal(t, c.want, h.Answered)
 			assert.Equal(t, c.want, n.MayProbe(h, n.ProbeAt(h)))
 			assert.Equal(t, c.want, ReportOf(h, n.now).Answered, "reported to other nodes")
@@ -117,7 +117,7 @@
 func TestUnsentProbeIsLeftToTheNextCall(t *testing.T) {
 	n, h := quarantinedNode(t)
 	n.Arm(h)
-	n.ReturnProbe(h.Print, n.takeProbe(t))
+	n.ReturnProbe(h.Fingerprint, n.takeProbe(t))
 	assert.True(t, n.takesProbe())
 }
 
@@ -155,9 +155,9 @@
 			}
 			c.do(n, h)
 			if c.unsent {
-				n.ReturnProbe(h.Print, round)
+				n.ReturnProbe(h.Fingerprint, round)
 			}
-			assert.Equal(t, c.want, n.Armed(h.Print, n.now))
+			assert.Equal(t, c.want, n.Armed(h.Fingerprint, n.now))
 			assert.Equal(t, c.want, n.takesProbe())
 		})
 	}
@@ -166,7 +166,7 @@
 // takeProbe takes the armed probe and returns the round of its claim.
 func (n *node) takeProbe(t *testing.T) int {
 	t.Helper()
-	round, ok := n.Probe(printOf("popular"), n.now)
+	round, ok := n.Probe(fingerprintOf("popular"), n.now)
 	require.True(t, ok)
 	return round
 }
@@ -223,7 +223,7 @@
 	const step = 700 * time.Millisecond // so that no call comes exactly when a hold expires
 	due := 0                            // last round with a claimed probe
 	for at := 10; n.now.Sub(h.Since) < time.Hour; n.now = n.now.Add(step) {
-		if now, _ := n.Lookup(h.Print); now.Round > due && n.now.After(n.ProbeAt(now)) && n.MayProbe(now, n.now) {
+		if now, _ := n.Lookup(h.Fingerprint); now.Round > due && n.now.After(n.ProbeAt(now)) && n.MayProbe(now, n.now) {
 			n.Arm(now)
 			due = now.Round
 		}
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -33,37 +33,37 @@
 
 // ServedReport reports a suspect that the sender served.
 type ServedReport struct {
-	Print Fingerprint `json:"p"`
-	AgeMs int64       `json:"ms"`
+	Fingerprint Fingerprint `json:"p"`
+	AgeMs       int64       `json:"ms"`
 }
 
 // NearReport reports a suspect that is one end short of quarantine.
 type NearReport struct {
-	Print    Fingerprint `json:"p"`
-	Customer string      `json:"c,omitempty"`
+	Fingerprint Fingerprint `json:"p"`
+	Customer    string      `json:"c,omitempty"`
 }
 
 // QuarantineReport reports a quarantined or released request.
 type QuarantineReport struct {
-	Print    Fingerprint `json:"p"`
-	Round    int         `json:"n"`
-	Released bool        `json:"free,omitempty"`
-	Why      string      `json:"why,omitempty"`
-	Stored   bool        `json:"kept,omitempty"`
-	Answered bool        `json:"answered,omitempty"` // before endpoints ended under it
-	Tried    bool        `json:"tried,omitempty"`    // after its previous hold expired
-	Probes   int         `json:"probes,omitempty"`   // claimed in this round
-	AgeMs    int64       `json:"ms"`
-	ForMs    int64       `json:"for"`
-	Customer string      `json:"c,omitempty"`
-	Route    string      `json:"r,omitempty"`
-	Ends     []string    `json:"ends,omitempty"`
+	Fingerprint Fingerprint `json:"p"`
+	Round       int         `json:"n"`
+	Released    bool        `json:"free,omitempty"`
+	Why         string      `json:"why,omitempty"`
+	Stored      bool        `json:"kept,omitempty"`
+	Answered    bool        `json:"answered,omitempty"` // before endpoints ended under it
+	Tried       bool        `json:"tried,omitempty"`    // after its previous hold expired
+	Probes      int         `json:"probes,omitempty"`   // claimed in this round
+	AgeMs       int64       `json:"ms"`
+	ForMs       int64       `json:"for"`
+	Customer    string      `json:"c,omitempty"`
+	Route       string      `json:"r,omitempty"`
+	Ends        []string    `json:"ends,omitempty"`
 }
 
 // ReportOf returns a request in the form that is sent and stored.
 func ReportOf(h Held, now time.Time) QuarantineReport {
 	return QuarantineReport{
-		Print: h.Print, Round: h.Round, Released: h.Released, Why: h.Why, Stored: h.Stored, Answered: h.Answered, Tried: h.Tried, Probes: h.Probes, AgeMs: now.Sub(h.Since).Milliseconds(),
+		Fingerprint: h.Fingerprint, Round: h.Round, Released: h.Released, Why: h.Why, Stored: h.Stored, Answered: h.Answered, Tried: h.Tried, Probes: h.Probes, AgeMs: now.Sub(h.Since).Milliseconds(),
 		ForMs: h.For.Milliseconds(), Customer: h.Customer, Route: h.Route, Ends: h.Ends,
 	}
 }
@@ -117,7 +117,7 @@
 
 func (o *outbox) addServed(p Fingerprint, at time.Time) {
 	if len(o.served) < maxServed {
-		o.served = append(o.served, queued[ServedReport]{ServedReport{Print: p}, at, sendCount})
+		o.served = append(o.served, queued[ServedReport]{ServedReport{Fingerprint: p}, at, sendCount})
 	}
 }
 
@@ -202,8 +202,8 @@
 		w.Ends, w.Served = nil, nil
 	}
 	for _, n := range w.Near[:min(len(w.Near), maxNearReports)] {
-		if _, known := b.near[n.Print]; known || len(b.near) < maxNear {
-			b.near[n.Print] = nearSuspect{n.Customer, now}
+		if _, known := b.near[n.Fingerprint]; known || len(b.near) < maxNear {
+			b.near[n.Fingerprint] = nearSuspect{n.Customer, now}
 		}
 	}
 	if len(w.Near) > 0 {
@@ -218,7 +218,7 @@
 	for _, s := range w.Served[:min(len(w.Served), maxServedReports)] {
 		age := time.Duration(s.AgeMs) * time.Millisecond
 		if s.AgeMs >= 0 && age < b.rule.Memory {
-			b.markServed(s.Print, now.Add(-age), now)
+			b.markServed(s.Fingerprint, now.Add(-age), now)
 		}
 	}
 	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return b.learn(h, now) })
@@ -236,9 +236,9 @@
 }
 
 func (b *Tracker) learn(w QuarantineReport, now time.Time) (Held, bool) {
-	known, ok := b.held[w.Print]
+	known, ok := b.held[w.Fingerprint]
 	h := Held{
-		Print: w.Print, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
+		Fingerprint: w.Fingerprint, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
 		For: min(time.Duration(w.ForMs)*time.Millisecond, b.rule.MaxHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
 	}
 	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*b.rule.MaxHold.Milliseconds() {
@@ -248,18 +248,18 @@
 		if known.sameState(h) {
 			known.Stored, known.Probes = known.Stored || h.Stored, max(known.Probes, h.Probes)
 			known.Answered, known.Tried = known.Answered || h.Answered, known.Tried || h.Tried
-			b.held[w.Print] = known
+			b.held[w.Fingerprint] = known
 		}
 		if known.supersedes(h) && b.role() != Witness {
-			b.outbox.addReleased(w.Print) // the sender missed the release
+			b.outbox.addReleased(w.Fingerprint) // the sender missed the release
 		}
 		return Held{}, false
 	}
 	if h.Released {
-		b.served[w.Print] = now
+		b.served[w.Fingerprint] = now
 	}
 	if h.Released && b.role() == Judge {
-		b.outbox.addReleased(w.Print) // its zone may have missed the release
+		b.outbox.addReleased(w.Fingerprint) // its zone may have missed the release
 	}
 	b.put(h, now)
 	b.updateWatched()
--- a/fleet/relay/quarantine/report_test.go
+++ b/fleet/relay/quarantine/report_test.go
@@ -102,7 +102,7 @@
 		f[0].endUnder(i, suspects(Nothing, "deadly")...)
 	}
 	f[1].now = f[0].now
-	old, _ := f[0].Lookup(printOf("deadly"))
+	old, _ := f[0].Lookup(fingerprintOf("deadly"))
 	f.exchange(noneLost)
 	joined := newNode(Peer)
 	joined.now = f[0].now
@@ -112,7 +112,7 @@
 		f.exchange(noneLost)
 	}
 	assert.True(t, joined.holds("deadly"))
-	require.True(t, joined.Release(printOf("deadly"), joined.now))
+	require.True(t, joined.Release(fingerprintOf("deadly"), joined.now))
 	f.exchange(noneLost)
 	f[0].Receive(Report{Held: []QuarantineReport{ReportOf(old, f[0].now)}}, f[0].now)
 	late := newNode(Peer) // it missed the release
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -104,7 +104,7 @@
 // Interrupted records a call of this node that its endpoint ended before the whole answer. The call
 // counts once the endpoint is known to have ended.
 func (b *Tracker) Interrupted(e engine.Engine, s Suspect, now time.Time) {
-	s.Answered = b.history.contains(s.Print)
+	s.Answered = b.history.contains(s.Fingerprint)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ended := b.findEnd(e.Incarnation(), now); ended != nil {
@@ -190,7 +190,7 @@
 	b.ends = b.ends[max(len(b.ends)-maxEnds, 0):]
 	for _, s := range suspects {
 		changed = e.add(s) || changed
-		b.clearIfServedSince(s.Print, e.at, now)
+		b.clearIfServedSince(s.Fingerprint, e.at, now)
 	}
 	b.ends = lo.Filter(b.ends, func(e *end, _ int) bool { return now.Sub(e.at) < b.rule.Memory })
 	maps.DeleteFunc(b.near, func(_ Fingerprint, n nearSuspect) bool { return now.Sub(n.announcedAt) > b.rule.Memory })
@@ -343,7 +343,7 @@
 	before := b.held[p]
 	round := before.Round + 1
 	h := Held{
-		Print: p, Round: round, Since: now, For: b.rule.holdFor(round), Customer: s.Customer, Route: s.Route,
+		Fingerprint: p, Round: round, Since: now, For: b.rule.holdFor(round), Customer: s.Customer, Route: s.Route,
 		Ends:     lo.Map(ends[max(len(ends)-maxNamedEnds, 0):], func(e *end, _ int) string { return e.incarnation.ID }),
 		Answered: lo.SomeBy(ends, func(e *end) bool { return e.suspects[p].Answered }),
 		Tried:    before.Round > 0 && !before.Released,
@@ -357,7 +357,7 @@
 // put stores a quarantined or released request. Beyond the bound it drops the oldest entry,
 // beginning with those that are not in force.
 func (b *Tracker) put(h Held, now time.Time) {
-	b.held[h.Print] = h
+	b.held[h.Fingerprint] = h
 	if len(b.held) <= maxHeld {
 		return
 	}
@@ -368,13 +368,13 @@
 		}
 		return a.Since.Compare(b.Since)
 	})
-	delete(b.held, all[0].Print)
+	delete(b.held, all[0].Fingerprint)
 }
 
 func (b *Tracker) release(h Held, why string, now time.Time) {
 	h.Released, h.Why, h.Stored = true, why, false
 	b.put(h, now)
-	b.outbox.addReleased(h.Print)
+	b.outbox.addReleased(h.Fingerprint)
 	b.signalUrgent()
 	b.observer.Judged(h)
 }
@@ -398,9 +398,9 @@
 func (b *Tracker) Stored(h Held) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if known, ok := b.held[h.Print]; ok && known.sameState(h) {
+	if known, ok := b.held[h.Fingerprint]; ok && known.sameState(h) {
 		known.Stored = true
-		b.held[h.Print] = known
+		b.held[h.Fingerprint] = known
 	}
 }
 
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -51,13 +51,13 @@
 	return lo.Times(n, func(i int) engine.Engine { return endpointOf(i, born) })
 }
 
-func printOf(name string) Fingerprint {
+func fingerprintOf(name string) Fingerprint {
 	return FingerprintOf("customer", "POST", "host", "/", []byte(name))
 }
 
 // ordered returns two requests in the order of their fingerprints.
 func ordered() (first, second string) {
-	a, b := printOf("one"), printOf("two")
+	a, b := fingerprintOf("one"), fingerprintOf("two")
 	if bytes.Compare(a[:], b[:]) < 0 {
 		return "one", "two"
 	}
@@ -66,7 +66,7 @@
 
 func suspects(far Progress, names ...string) []Suspect {
 	return lo.Map(names, func(name string, _ int) Suspect {
-		return Suspect{Print: printOf(name), Progress: far, Customer: "customer", Route: "r"}
+		return Suspect{Fingerprint: fingerprintOf(name), Progress: far, Customer: "customer", Route: "r"}
 	})
 }
 
@@ -86,10 +86,10 @@
 
 func (n *node) serve(name string) {
 	n.now = n.now.Add(100 * time.Millisecond)
-	n.Served(printOf(name), n.now)
+	n.Served(fingerprintOf(name), n.now)
 }
 
-func (n *node) holds(name string) bool { return n.IsQuarantined(printOf(name), n.now) }
+func (n *node) holds(name string) bool { return n.IsQuarantined(fingerprintOf(name), n.now) }
 
 // Guards against quarantining requests that merely ran where endpoints ended, or missing the
 // one to which three ends are attributed.
@@ -239,9 +239,9 @@
 	n := newNode(Peer)
 	for i, noRetry := range []bool{false, true, true} {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, noRetry, n.ForbidsRetry(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.ForbidsRetry(fingerprintOf("deadly"), n.now), "%d ends", i+1)
 	}
-	assert.False(t, n.ForbidsRetry(printOf("beside"), n.now))
+	assert.False(t, n.ForbidsRetry(fingerprintOf("beside"), n.now))
 }
 
 // Guards against old ends that count after an operator released a request: it takes three new
@@ -251,9 +251,9 @@
 	for i := range 3 {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
 	}
-	require.True(t, n.Release(printOf("deadly"), n.now))
+	require.True(t, n.Release(fingerprintOf("deadly"), n.now))
 	assert.False(t, n.holds("deadly"))
-	assert.False(t, n.Release(printOf("deadly"), n.now), "it is not quarantined")
+	assert.False(t, n.Release(fingerprintOf("deadly"), n.now), "it is not quarantined")
 	for i, held := range []bool{false, false, true} {
 		n.endUnder(3+i, suspects(Nothing, "deadly")...)
 		assert.Equal(t, held, n.holds("deadly"), "%d ends since", i+1)
@@ -320,9 +320,9 @@
 	}
 }
 
-// FuzzWords feeds a node anything that decodes as a report. The node stays within its bounds and
+// FuzzReports feeds a node anything that decodes as a report. The node stays within its bounds and
 // never quarantines a request that was not in a report.
-func FuzzWords(f *testing.F) {
+func FuzzReports(f *testing.F) {
 	n := newNode(Judge)
 	for i := range 3 {
 		n.endUnder(i, suspects(Nothing, "deadly")...)
@@ -375,7 +375,7 @@
 	n.now = n.now.Add(50 * time.Millisecond)
 	n.Receive(Report{Ends: []EndReport{{Endpoint: "e01", Born: 1, AgeMs: 300, Suspects: suspects(Nothing, "popular")}}}, n.now)
 	judges, _ := n.Updates(n.now)
-	want := []ServedReport{{Print: printOf("popular"), AgeMs: n.now.Sub(served).Milliseconds()}}
+	want := []ServedReport{{Fingerprint: fingerprintOf("popular"), AgeMs: n.now.Sub(served).Milliseconds()}}
 	assert.Equal(t, want, judges.Served, "nodes that received the end learn that the request was served since")
 	n.endUnder(2, suspects(Nothing, "popular")...)
 	n.endUnder(3, suspects(Nothing, "popular")...)
@@ -414,6 +414,6 @@
 	n := newNode(Peer)
 	for i, noRetry := range []bool{false, true} {
 		n.endNow(i, suspects(Nothing, "deadly")...)
-		assert.Equal(t, noRetry, n.ForbidsRetry(printOf("deadly"), n.now), "%d ends", i+1)
+		assert.Equal(t, noRetry, n.ForbidsRetry(fingerprintOf("deadly"), n.now), "%d ends", i+1)
 	}
 }
--- a/fleet/relay/quarantine_probe.go
+++ b/fleet/relay/quarantine_probe.go
@@ -21,7 +21,7 @@
 // answered before may be known only by then.
 func (q *quarantineManager) scheduleProbe(h quarantine.Held) {
 	time.AfterFunc(clock.Until(q.ProbeAt(h)), func() {
-		slot := q.slot(h.Print.String())
+		slot := q.slot(h.Fingerprint.String())
 		if slot >= quarantine.MaxProbes {
 			return
 		}
@@ -34,7 +34,7 @@
 // restart send no more of them together than one node would. It waits for the store for as long as
 // the request is quarantined.
 func (q *quarantineManager) probe(h quarantine.Held) {
-	entry := q.log.WithFields(log.Fields{"print": h.Print.String(), "customer": h.Customer, "round": h.Round})
+	entry := q.log.WithFields(log.Fields{"print": h.Fingerprint.String(), "customer": h.Customer, "round": h.Round})
 	for attempt := 0; ; attempt++ {
 		if !q.MayProbe(h, clock.Now()) {
 			return
@@ -57,7 +57,7 @@
 func (q *quarantineManager) claim(h quarantine.Held) (claimed quarantine.Held, ok bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
-	o, err := q.store.Get(ctx, quarantineKind, h.Print.String())
+	o, err := q.store.Get(ctx, quarantineKind, h.Fingerprint.String())
 	if err != nil {
 		return h, false, err
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		return h, false, err
 	}
-	if now, known := q.Lookup(h.Print); known && now.Round == h.Round {
+	if now, known := q.Lookup(h.Fingerprint); known && now.Round == h.Round {
 		h.Probes = max(h.Probes, now.Probes) // the store may have been restored from an earlier copy
 	}
 	if there.Round == h.Round {
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -168,7 +168,7 @@
 func TestANegativeProbeCountIsZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		data, err := json.Marshal(quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
+		data, err := json.Marshal(quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
 		require.NoError(t, err)
 		s.objects[deadlyFingerprint.String()] = store.Object{Kind: quarantineKind, Name: deadlyFingerprint.String(), Data: data, Revision: 1}
 		q := quarantineNode(s)
@@ -199,7 +199,7 @@
 			q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
 		}, true},
 		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.QuarantineReport) {
-			s := quarantine.Suspect{Print: reported.Print, Customer: reported.Customer, Answered: true}
+			s := quarantine.Suspect{Fingerprint: reported.Fingerprint, Customer: reported.Customer, Answered: true}
 			q.Receive("another", quarantine.Report{Ends: []quarantine.EndReport{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
 		}, true},
 	}
@@ -208,7 +208,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}}
 				q := quarantineNode(s)
-				reported := quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
+				reported := quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
 				q.Receive("first", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
 				h, _ := q.Lookup(deadlyFingerprint)
 				q.persist(h)
@@ -233,7 +233,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 				q := quarantineNode(s)
-				w := quarantine.QuarantineReport{Print: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
+				w := quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
 				q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{w}}, clock.Now())
 				h, _ := q.Lookup(deadlyFingerprint)
 				go q.persist(h)
--- a/fleet/relay/suspicion/findings.go
+++ b/fleet/relay/suspicion/findings.go
@@ -67,8 +67,8 @@
 
 // ownSuspicion returns the last failure of this node's calls at an endpoint, if enough of its
 // recent calls failed.
-func (b *Tracker) ownSuspicion(life engine.Incarnation, now time.Time) (result, bool) {
-	calls, failures, last := b.own[life].since(now.Add(-b.rule.Window))
+func (b *Tracker) ownSuspicion(incarnation engine.Incarnation, now time.Time) (result, bool) {
+	calls, failures, last := b.own[incarnation].since(now.Add(-b.rule.Window))
 	return last, failures > 0 && float64(failures) >= b.rule.FailureShare*float64(calls)
 }
 
@@ -76,9 +76,9 @@
 // probably failed.
 func (b *Tracker) ownLinkFails(e engine.Engine, now time.Time) bool {
 	var suspected []engine.Engine
-	for life := range b.own {
-		if _, ok := b.ownSuspicion(life, now); ok {
-			suspected = append(suspected, b.fleet.engines[life])
+	for incarnation := range b.own {
+		if _, ok := b.ownSuspicion(incarnation, now); ok {
+			suspected = append(suspected, b.fleet.engines[incarnation])
 		}
 	}
 	return b.fleet.exceedsLinkShare(suspected, e, b.rule.LinkShare)
@@ -87,9 +87,9 @@
 // suspectedBy returns the endpoints at which a node observed failures lately.
 func (b *Tracker) suspectedBy(reporter string, now time.Time) []engine.Engine {
 	var suspected []engine.Engine
-	for life, of := range b.received {
+	for incarnation, of := range b.received {
 		if v, ok := of[reporter]; ok && now.Sub(v.last) < b.rule.Window {
-			suspected = append(suspected, b.fleet.engines[life])
+			suspected = append(suspected, b.fleet.engines[incarnation])
 		}
 	}
 	return suspected
--- a/fleet/relay/suspicion/harness_test.go
+++ b/fleet/relay/suspicion/harness_test.go
@@ -60,7 +60,7 @@
 type modelNode struct {
 	name, zone   string
 	delegate     bool
-	book         *Tracker
+	tracker      *Tracker
 	suspected    []time.Time
 	failures     []int
 	counts       [][2]int // calls and failures of the window, for the method rates
@@ -87,15 +87,15 @@
 	}
 	for i := range all {
 		n := &modelNode{name: nodeName(i), zone: zoneName(i), delegate: i < 2*modelZones, suspected: make([]time.Time, m.endpoints), failures: make([]int, m.endpoints), counts: make([][2]int, m.endpoints), avoidedUntil: make([]time.Time, m.endpoints)}
-		n.book = NewTracker(n.name, n.zone, m.rule, func(Avoided) {})
-		n.book.Engines(modelEngines(m.endpoints))
-		n.book.Nodes(zones)
+		n.tracker = NewTracker(n.name, n.zone, m.rule, func(Avoided) {})
+		n.tracker.Engines(modelEngines(m.endpoints))
+		n.tracker.Nodes(zones)
 		all[i] = n
 	}
 	return all
 }
 
-func lifeOf(endpoint int) engine.Incarnation {
+func incarnationOf(endpoint int) engine.Incarnation {
 	return engine.Incarnation{ID: fmt.Sprint("e", endpoint), Born: 1}
 }
 
@@ -110,11 +110,11 @@
 		return now.Before(n.avoidedUntil[endpoint]) && (!again || key%4 != 0)
 	case delegates, direct:
 	}
-	return n.book.Avoids(lifeOf(endpoint), again, key, now)
+	return n.tracker.Avoids(incarnationOf(endpoint), again, key, now)
 }
 
 func (n *modelNode) observe(endpoint int, o Outcome, now time.Time) {
-	n.book.Observe(lifeOf(endpoint), o, now)
+	n.tracker.Observe(incarnationOf(endpoint), o, now)
 	n.counts[endpoint][0]++
 	if o == Succeeded {
 		n.failures[endpoint] = 0
@@ -139,7 +139,7 @@
 			for _, n := range all {
 				for e := 1; e < m.endpoints; e++ { // the first is the failing one
 					samples++
-					if m.method == rates && now.Before(n.avoidedUntil[e]) || m.method != rates && m.method != before && n.book.Avoids(lifeOf(e), false, 0, now) {
+					if m.method == rates && now.Before(n.avoidedUntil[e]) || m.method != rates && m.method != before && n.tracker.Avoids(incarnationOf(e), false, 0, now) {
 						l.healthyAvoided++
 					}
 				}
@@ -191,9 +191,9 @@
 	sent := 0
 	for _, n := range all {
 		select {
-		case <-n.book.Urgent():
-			audience := n.book.Audience(n.delegate, now)
-			sent += sendTo(all, n, n.book.Reports(n.delegate, now), n.audience(audience), now)
+		case <-n.tracker.Urgent():
+			audience := n.tracker.Audience(n.delegate, now)
+			sent += sendTo(all, n, n.tracker.Reports(n.delegate, now), n.audience(audience), now)
 		default:
 		}
 	}
@@ -204,7 +204,7 @@
 	sent := 0
 	for _, n := range all {
 		if n != from && len(reports) > 0 && to(n) {
-			n.book.Receive(from.name, reports, now.Add(modelTransit))
+			n.tracker.Receive(from.name, reports, now.Add(modelTransit))
 			sent++
 		}
 	}
@@ -217,7 +217,7 @@
 	if m.liars != nil {
 		m.liars(now, func(sender int, w Report) {
 			for _, n := range all {
-				n.book.Receive(nodeName(sender), []Report{w}, now)
+				n.tracker.Receive(nodeName(sender), []Report{w}, now)
 			}
 		})
 	}
@@ -230,13 +230,13 @@
 		return m.sendRates(all, round, now)
 	case direct:
 		for _, n := range all {
-			n.book.Audience(false, now)
-			send(n, n.book.Reports(false, now), func(*modelNode) bool { return true })
+			n.tracker.Audience(false, now)
+			send(n, n.tracker.Reports(false, now), func(*modelNode) bool { return true })
 		}
 	case delegates:
 		for i, n := range all {
-			audience := n.book.Audience(n.delegate, now)
-			reports := n.book.Reports(n.delegate, now)
+			audience := n.tracker.Audience(n.delegate, now)
+			reports := n.tracker.Reports(n.delegate, now)
 			sent += sendTo(all, n, reports, n.audience(audience), now)
 			digest := n.delegate || (round+i)%digestIntervals == 0
 			send(n, reports, func(to *modelNode) bool {
--- a/fleet/relay/suspicion/reports.go
+++ b/fleet/relay/suspicion/reports.go
@@ -48,8 +48,8 @@
 		return nil // the common case
 	}
 	var reports []Report
-	for life, e := range b.reportable() {
-		if w := (Report{Endpoint: life.ID, Born: life.Born, Reporters: b.reporters(e, forward, now)}); len(w.Reporters) > 0 {
+	for incarnation, e := range b.reportable() {
+		if w := (Report{Endpoint: incarnation.ID, Born: incarnation.Born, Reporters: b.reporters(e, forward, now)}); len(w.Reporters) > 0 {
 			reports = append(reports, w)
 		}
 	}
@@ -62,11 +62,11 @@
 // reportable returns the endpoints that may be reported.
 func (b *Tracker) reportable() map[engine.Incarnation]engine.Engine {
 	incarnations := map[engine.Incarnation]engine.Engine{}
-	for life := range b.own {
-		incarnations[life] = b.fleet.engines[life]
+	for incarnation := range b.own {
+		incarnations[incarnation] = b.fleet.engines[incarnation]
 	}
-	for life := range b.periods {
-		incarnations[life] = b.fleet.engines[life]
+	for incarnation := range b.periods {
+		incarnations[incarnation] = b.fleet.engines[incarnation]
 	}
 	return incarnations
 }
@@ -128,16 +128,16 @@
 }
 
 // record stores the observation of one node.
-func (b *Tracker) record(life engine.Incarnation, sender string, t Reporter, now time.Time) {
+func (b *Tracker) record(incarnation engine.Incarnation, sender string, t Reporter, now time.Time) {
 	age := time.Duration(t.AgeMs) * time.Millisecond
 	_, listed := b.fleet.zones[t.Node]
 	if !listed || t.Node == b.self || t.AgeMs < 0 || t.AgeMs > b.rule.Window.Milliseconds() {
 		return
 	}
-	of, ok := b.received[life]
+	of, ok := b.received[incarnation]
 	if !ok {
 		of = map[string]observation{}
-		b.received[life] = of
+		b.received[incarnation] = of
 	}
 	maps.DeleteFunc(of, func(_ string, v observation) bool { return now.Sub(v.last) > b.rule.Window })
 	v, ok := of[t.Node]
--- a/fleet/relay/suspicion/tracker.go
+++ b/fleet/relay/suspicion/tracker.go
@@ -74,9 +74,9 @@
 }
 
 func dropGone[T any](of map[engine.Incarnation]T, f fleet) {
-	for life := range of {
-		if _, listed := f.engines[life]; !listed {
-			delete(of, life)
+	for incarnation := range of {
+		if _, listed := f.engines[incarnation]; !listed {
+			delete(of, incarnation)
 		}
 	}
 }
@@ -89,43 +89,43 @@
 }
 
 // Observe records the outcome of a call of this node.
-func (b *Tracker) Observe(life engine.Incarnation, o Outcome, now time.Time) {
+func (b *Tracker) Observe(incarnation engine.Incarnation, o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, listed := b.fleet.engines[life]; !listed {
+	if _, listed := b.fleet.engines[incarnation]; !listed {
 		return
 	}
-	_, suspected := b.ownSuspicion(life, now)
-	b.own[life] = b.own[life].with(result{now, o}, b.rule.Window)
-	if s, ok := b.periods[life]; ok {
+	_, suspected := b.ownSuspicion(incarnation, now)
+	b.own[incarnation] = b.own[incarnation].with(result{now, o}, b.rule.Window)
+	if s, ok := b.periods[incarnation]; ok {
 		s.probe = now
-		b.periods[life] = s
+		b.periods[incarnation] = s
 	}
 	if o != Succeeded {
 		b.failed, b.last = true, now
 		if !suspected {
 			b.signalUrgent()
 		}
-		b.evaluate(life, now)
+		b.evaluate(incarnation, now)
 		return
 	}
-	if s, ok := b.periods[life]; ok && !s.recovered && b.healthyHere(life, now) {
+	if s, ok := b.periods[incarnation]; ok && !s.recovered && b.healthyHere(incarnation, now) {
 		s.until, s.recovered = now, true
-		b.periods[life] = s
+		b.periods[incarnation] = s
 	}
 }
 
 // Avoids reports whether a call is to avoid the endpoint if others can take it. The key is a
 // hash of the call. Idempotent calls (again) probe the endpoint before the suspicion period
 // ends.
-func (b *Tracker) Avoids(life engine.Incarnation, again bool, key uint64, now time.Time) bool {
+func (b *Tracker) Avoids(incarnation engine.Incarnation, again bool, key uint64, now time.Time) bool {
 	if b.noneAvoided(now) {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s, ok := b.periods[life]
-	if !ok || !now.Before(s.until.Add(b.slot(life, s))) {
+	s, ok := b.periods[incarnation]
+	if !ok || !now.Before(s.until.Add(b.slot(incarnation, s))) {
 		return false
 	}
 	probing := s.until.Sub(now) < time.Duration(b.rule.ProbeShare*float64(s.hold))
@@ -133,11 +133,11 @@
 }
 
 // slot returns how much later than the first node this one uses the endpoint again.
-func (b *Tracker) slot(life engine.Incarnation, s period) time.Duration {
+func (b *Tracker) slot(incarnation engine.Incarnation, s period) time.Duration {
 	if s.recovered {
 		return 0
 	}
-	share := float64(ident.Mix(xxhash.Sum64String(b.self)^xxhash.Sum64String(life.ID))>>slotShift) / (1 << (64 - slotShift))
+	share := float64(ident.Mix(xxhash.Sum64String(b.self)^xxhash.Sum64String(incarnation.ID))>>slotShift) / (1 << (64 - slotShift))
 	return time.Duration(share * float64(min(s.hold, b.rule.Spread)))
 }
 
@@ -149,16 +149,16 @@
 const sameFailure = 100 * time.Millisecond
 
 // evaluate starts or extends a suspicion period if enough nodes observed failures.
-func (b *Tracker) evaluate(life engine.Incarnation, now time.Time) {
-	e := b.fleet.engines[life]
-	before, known := b.periods[life]
+func (b *Tracker) evaluate(incarnation engine.Incarnation, now time.Time) {
+	e := b.fleet.engines[incarnation]
+	before, known := b.periods[incarnation]
 	running := known && now.Before(before.until)
 	from := now.Add(-b.rule.Window)
 	if known && !running && before.last.After(from) {
 		from = before.last.Add(sameFailure) // failures behind the last period don't start another
 	}
 	f := b.findings(e, from, now)
-	if b.healthyHere(life, now) || !f.sufficient(b.rule, b.fleet.reporters(b.zone, e)) {
+	if b.healthyHere(incarnation, now) || !f.sufficient(b.rule, b.fleet.reporters(b.zone, e)) {
 		return
 	}
 	s := period{last: f.last, hold: b.rule.Hold, interrupted: f.interrupted >= b.rule.MinReporters, probe: before.probe}
@@ -173,7 +173,7 @@
 	if !s.until.After(now) || running && s.last.Sub(before.last) < sameFailure || !running && !b.hasRoom(e.Service, s.interrupted, now) {
 		return
 	}
-	b.periods[life], b.extended = s, true
+	b.periods[incarnation], b.extended = s, true
 	if over := s.until.Add(min(s.hold, b.rule.Spread)); over.After(*b.avoidedUntil.Load()) {
 		b.avoidedUntil.Store(&over)
 	}
@@ -194,13 +194,13 @@
 	}
 	avoidedCount := 0
 	var replaceable *engine.Incarnation
-	for life, s := range b.periods {
-		if !now.Before(s.until) || b.fleet.engines[life].Service != service {
+	for incarnation, s := range b.periods {
+		if !now.Before(s.until) || b.fleet.engines[incarnation].Service != service {
 			continue
 		}
 		avoidedCount++
 		if !s.interrupted {
-			replaceable = &life
+			replaceable = &incarnation
 		}
 	}
 	if avoidedCount < max(int(b.rule.MaxAvoided*float64(listed)), 1) {
@@ -227,7 +227,7 @@
 }
 
 // healthyHere reports whether this node's own recent calls succeeded.
-func (b *Tracker) healthyHere(life engine.Incarnation, now time.Time) bool {
-	calls, failures, _ := b.own[life].since(now.Add(-b.rule.Window))
+func (b *Tracker) healthyHere(incarnation engine.Incarnation, now time.Time) bool {
+	calls, failures, _ := b.own[incarnation].since(now.Add(-b.rule.Window))
 	return failures == 0 && calls >= b.rule.OwnSuccesses
 }
--- a/fleet/relay/suspicion/tracker_test.go
+++ b/fleet/relay/suspicion/tracker_test.go
@@ -12,9 +12,9 @@
 
 var testStart = time.Unix(1000, 0)
 
-// newTestBook returns the tracker of node n-000 in zone z0, in a fleet of 60 nodes in three
+// newTestTracker returns the tracker of node n-000 in zone z0, in a fleet of 60 nodes in three
 // zones, with the given number of endpoints; n-000 to n-005 are delegates.
-func newTestBook(endpoints int) *Tracker {
+func newTestTracker(endpoints int) *Tracker {
 	b := NewTracker(nodeName(0), zoneName(0), DefaultRule(), func(Avoided) {})
 	zones := map[string]string{}
 	for i := range 60 {
@@ -27,7 +27,7 @@
 
 // interruptedReport is a node's report of its own call that an endpoint has just interrupted.
 func interruptedReport(reporter, endpoint int) Report {
-	return Report{Endpoint: lifeOf(endpoint).ID, Born: 1, Reporters: []Reporter{{Node: nodeName(reporter), Interrupted: true}}}
+	return Report{Endpoint: incarnationOf(endpoint).ID, Born: 1, Reporters: []Reporter{{Node: nodeName(reporter), Interrupted: true}}}
 }
 
 func failedReport(reporter, endpoint int) Report {
@@ -37,7 +37,7 @@
 }
 
 func (b *Tracker) avoidsOnce(endpoint int, now time.Time) bool {
-	return b.Avoids(lifeOf(endpoint), false, 0, now)
+	return b.Avoids(incarnationOf(endpoint), false, 0, now)
 }
 
 // An endpoint is avoided only if two nodes report failures, or one does beside an own failure. A
@@ -68,9 +68,15 @@
 				receive(b, from, interruptedReport(12, 0))
 			}
 		}, true},
-		{"an own failure", func(b *Tracker) { b.Observe(lifeOf(0), Interrupted, testStart) }, false},
-		{"an own failure and one node", func(b *Tracker) { b.Observe(lifeOf(0), Interrupted, testStart); receive(b, 3, interruptedReport(3, 0)) }, true},
-		{"one node and an own failure", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)); b.Observe(lifeOf(0), Interrupted, testStart) }, true},
+		{"an own failure", func(b *Tracker) { b.Observe(incarnationOf(0), Interrupted, testStart) }, false},
+		{"an own failure and one node", func(b *Tracker) {
+			b.Observe(incarnationOf(0), Interrupted, testStart)
+			receive(b, 3, interruptedReport(3, 0))
+		}, true},
+		{"one node and an own failure", func(b *Tracker) {
+			receive(b, 3, interruptedReport(3, 0))
+			b.Observe(incarnationOf(0), Interrupted, testStart)
+		}, true},
 		{"others name this node", func(b *Tracker) { receive(b, 3, interruptedReport(0, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
 		{"another node names this one, and one reports", func(b *Tracker) { receive(b, 3, interruptedReport(3, 0)); receive(b, 6, interruptedReport(0, 0)) }, false},
 		{"unknown nodes", func(b *Tracker) { receive(b, 98, interruptedReport(98, 0)); receive(b, 99, interruptedReport(99, 0)) }, false},
@@ -87,7 +93,7 @@
 		}, false},
 		{"two nodes, against own successes", func(b *Tracker) {
 			for range 3 {
-				b.Observe(lifeOf(0), Succeeded, testStart)
+				b.Observe(incarnationOf(0), Succeeded, testStart)
 			}
 			receive(b, 3, interruptedReport(3, 0))
 			receive(b, 6, interruptedReport(6, 0))
@@ -96,7 +102,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestBook(3)
+			b := newTestTracker(3)
 			c.do(b)
 			assert.Equal(t, c.want, b.avoidsOnce(0, testStart))
 			assert.False(t, b.avoidsOnce(1, testStart))
@@ -114,7 +120,7 @@
 	}{{"just now", 0, true}, {"a second ago", 900, true}, {"long ago", 1600, false}, {"in the future", -1, false}, {"beyond any time", 1 << 62, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestBook(3)
+			b := newTestTracker(3)
 			for _, from := range []int{3, 6} {
 				w := interruptedReport(from, 0)
 				w.Reporters[0].AgeMs = c.ageMs
@@ -128,9 +134,9 @@
 // The suspicion of an incarnation does not carry over to the next one under the same id: neither
 // reports nor own failures nor the suspicion period.
 func TestRestartedEndpointIsNotSuspected(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
-	b.Observe(lifeOf(0), Interrupted, testStart)
+	b.Observe(incarnationOf(0), Interrupted, testStart)
 	assert.True(t, b.avoidsOnce(0, testStart))
 	all := modelEngines(3)
 	all[0].Born = 2
@@ -153,12 +159,12 @@
 func TestNodeWithFailedLinkIsIgnored(t *testing.T) {
 	for _, endpoints := range []int{2, 3, 8, 140} {
 		t.Run(fmt.Sprint(endpoints, " endpoints"), func(t *testing.T) {
-			reporter := newTestBook(endpoints)
+			reporter := newTestTracker(endpoints)
 			for e := range endpoints {
-				reporter.Observe(lifeOf(e), Interrupted, testStart)
+				reporter.Observe(incarnationOf(e), Interrupted, testStart)
 			}
 			assert.Empty(t, reporter.Reports(true, testStart))
-			b := newTestBook(endpoints)
+			b := newTestTracker(endpoints)
 			for e := range endpoints {
 				for _, from := range []int{3, 6} { // two such nodes, whose reports arrive one after the other
 					b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
@@ -189,12 +195,12 @@
 // An overloaded node and a node with false reports together must not take out a healthy endpoint: the
 // overloaded one observes no interrupted calls, and reports nothing if its calls fail everywhere.
 func TestOverloadedNodeAndFalseReports(t *testing.T) {
-	b, late := newTestBook(3), newTestBook(3)
+	b, late := newTestTracker(3), newTestTracker(3)
 	late.self = nodeName(6)
 	for at := testStart; at.Before(testStart.Add(5 * time.Second)); at = at.Add(100 * time.Millisecond) {
 		for e := range 3 {
-			late.Observe(lifeOf(e), Failed, at)
-			b.Observe(lifeOf(e), Succeeded, at)
+			late.Observe(incarnationOf(e), Failed, at)
+			b.Observe(incarnationOf(e), Succeeded, at)
 			b.Receive(nodeName(3), []Report{interruptedReport(3, e)}, at)
 			assert.False(t, b.avoidsOnce(e, at))
 		}
@@ -206,7 +212,7 @@
 func TestReportsLeaveMostOfAService(t *testing.T) {
 	for endpoints, limit := range map[int]int{1: 0, 2: 1, 3: 1, 6: 2, 30: 10} {
 		t.Run(fmt.Sprint(endpoints), func(t *testing.T) {
-			b := newTestBook(endpoints)
+			b := newTestTracker(endpoints)
 			for e := range endpoints { // different nodes, so that none of them suspects many
 				for i := range 2 {
 					from := 3 + 3*((2*e+i)%19)
@@ -229,7 +235,7 @@
 // Whichever of these reports arrive, no endpoint on a node's own side is avoided.
 func TestPartitionedZoneKeepsItsOwnEndpoints(t *testing.T) {
 	for _, endpoints := range []int{3, 9} { // one or several in each zone
-		b := newTestBook(endpoints) // of z0
+		b := newTestTracker(endpoints) // of z0
 		for from := 1; from < 60; from++ {
 			for e := range endpoints {
 				if (zoneName(from) == zoneName(0)) != (zoneName(e) == zoneName(0)) {
@@ -238,7 +244,7 @@
 			}
 		}
 		for e := range endpoints {
-			b.Observe(lifeOf(e), map[bool]Outcome{true: Succeeded, false: Interrupted}[zoneName(e) == zoneName(0)], testStart)
+			b.Observe(incarnationOf(e), map[bool]Outcome{true: Succeeded, false: Interrupted}[zoneName(e) == zoneName(0)], testStart)
 		}
 		for e := 0; e < endpoints; e += modelZones {
 			assert.False(t, b.avoidsOnce(e, testStart), "endpoint %d of the own zone, of %d", e, endpoints)
@@ -249,7 +255,7 @@
 // An endpoint that fails again soon after a suspicion period is avoided for longer, up to a
 // bound; one that fails again much later is not.
 func TestRepeatedFailuresAvoidForLonger(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	b.rule.Spread = 0 // as the first of all nodes
 	avoidedFor := func(now time.Time) time.Duration {
 		b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, now)
@@ -274,7 +280,7 @@
 func TestNodesReturnOneAfterTheOther(t *testing.T) {
 	back := map[time.Duration]int{} // nodes, by quarter of the spread
 	for i := range 60 {
-		b := newTestBook(3)
+		b := newTestTracker(3)
 		b.self = fmt.Sprint("turn", i)
 		b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
 		b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
@@ -292,13 +298,13 @@
 // Only a few idempotent calls probe an endpoint, and only late in the suspicion period. If they
 // fail, it stays avoided.
 func TestFewIdempotentCallsProbe(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
 	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
 	probes := func(now time.Time, again bool) int {
 		n := 0
 		for key := range uint64(100) {
-			if !b.Avoids(lifeOf(0), again, key, now) {
+			if !b.Avoids(incarnationOf(0), again, key, now) {
 				n++
 			}
 		}
@@ -308,14 +314,14 @@
 	assert.Zero(t, probes(testStart.Add(100*time.Millisecond), true))
 	assert.Zero(t, probes(late, false))
 	assert.Equal(t, 50, probes(late, true))
-	b.Observe(lifeOf(0), Interrupted, late)
+	b.Observe(incarnationOf(0), Interrupted, late)
 	assert.Zero(t, probes(late.Add(400*time.Millisecond), true), "probes keep their interval")
 	assert.True(t, b.avoidsOnce(0, testStart.Add(1500*time.Millisecond)))
 }
 
 // A message is bounded in endpoints, and in nodes per endpoint.
 func TestReportsAreBounded(t *testing.T) {
-	b := newTestBook(140)
+	b := newTestTracker(140)
 	for e := range 60 {
 		for from := 3; from < 60; from += 3 {
 			b.Receive(nodeName(from), []Report{interruptedReport(from, e)}, testStart)
@@ -331,7 +337,7 @@
 // A node forwards only first-hand reports of its zone. For an endpoint of another zone it
 // forwards what two of that zone's delegates sent.
 func TestOnlyFirstHandReportsAreForwarded(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	b.Receive(nodeName(3), []Report{interruptedReport(3, 0), interruptedReport(9, 0)}, testStart)
 	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
 	b.Receive(nodeName(1), []Report{interruptedReport(1, 0)}, testStart)
@@ -342,7 +348,7 @@
 	b.Receive(nodeName(4), far[1:], testStart) // a second sender for one of them
 	reports := b.Reports(true, testStart)
 	assert.Len(t, reports, 1, "a third of three endpoints is avoided, and that is e0")
-	b = newTestBook(3)
+	b = newTestTracker(3)
 	b.Receive(nodeName(1), far, testStart)
 	b.Receive(nodeName(4), far[1:], testStart)
 	assert.Equal(t, []Report{{Endpoint: "e1", Born: 1, Reporters: []Reporter{{nodeName(7), 0, true}}}}, b.Reports(true, testStart))
@@ -350,7 +356,7 @@
 
 // An endpoint that interrupts calls is avoided instead of one that only fails some of them.
 func TestInterruptingEndpointTakesPrecedence(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	for from := 3; from <= 24; from += 3 {
 		b.Receive(nodeName(from), []Report{failedReport(from, 0)}, testStart)
 	}
@@ -364,7 +370,7 @@
 
 // An unlisted endpoint is neither recorded nor reported.
 func TestUnlistedEndpointsAreDropped(t *testing.T) {
-	b := newTestBook(3)
+	b := newTestTracker(3)
 	b.Observe(engine.Incarnation{ID: "gone", Born: 1}, Interrupted, testStart)
 	b.Receive(nodeName(3), []Report{{Endpoint: "gone", Born: 1, Reporters: []Reporter{{Node: nodeName(3), Interrupted: true}}}}, testStart)
 	assert.Empty(t, b.own)
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -15,7 +15,7 @@
 		return
 	}
 	n.suspicions = suspicion.NewTracker(n.settings.Node, n.settings.Zone, suspicion.DefaultRule(), n.logAvoided)
-	n.picker.WithDoubts(n.suspicions)
+	n.picker.WithSuspicions(n.suspicions)
 	g.WithSuspicions(n.suspicions)
 }
 
