--- a/fleet/relay/announce/announce.go
+++ b/fleet/relay/announce/announce.go
@@ -18,27 +18,27 @@
 }
 
 // MarkUpdated schedules an announcement at once, and with the digests for a while.
-func (d *Schedule) MarkUpdated(now time.Time) {
-	d.updated = true
-	d.started, d.until = now, now.Add(digestPeriod)
+func (s *Schedule) MarkUpdated(now time.Time) {
+	s.updated = true
+	s.started, s.until = now, now.Add(digestPeriod)
 }
 
 // Renew schedules announcements with the digests, if the last ones were long ago.
-func (d *Schedule) Renew(now time.Time) {
-	if now.Sub(d.started) >= renewInterval {
-		d.started, d.until = now, now.Add(digestPeriod)
+func (s *Schedule) Renew(now time.Time) {
+	if now.Sub(s.started) >= renewInterval {
+		s.started, s.until = now, now.Add(digestPeriod)
 	}
 }
 
 // TakeUpdate reports whether an announcement at once is due, and clears that.
-func (d *Schedule) TakeUpdate() bool {
-	updated := d.updated
-	d.updated = false
+func (s *Schedule) TakeUpdate() bool {
+	updated := s.updated
+	s.updated = false
 	return updated
 }
 
 // WithDigests reports whether it is announced with the digests.
-func (d *Schedule) WithDigests(now time.Time) bool { return now.Before(d.until) }
+func (s *Schedule) WithDigests(now time.Time) bool { return now.Before(s.until) }
 
 // Urgent signals that there are updates that must not wait for the digests.
 type Urgent chan struct{}
--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -17,13 +17,13 @@
 	AgeMs     int64    `json:"a"`           // of the answer that signaled it
 }
 
-func (w Report) incarnation() engine.Incarnation {
-	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+func (r Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
 }
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Report) valid() bool {
-	return w.AgeMs >= 0 && w.AgeMs <= maxAge.Milliseconds() && (w.PerSecond == nil || *w.PerSecond >= 0 && !math.IsNaN(*w.PerSecond) && !math.IsInf(*w.PerSecond, 0))
+func (r Report) valid() bool {
+	return r.AgeMs >= 0 && r.AgeMs <= maxAge.Milliseconds() && (r.PerSecond == nil || *r.PerSecond >= 0 && !math.IsNaN(*r.PerSecond) && !math.IsInf(*r.PerSecond, 0))
 }
 
 // Bounds of the reports that are sent.
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -20,8 +20,8 @@
 	RestMs    int64  `json:"r,omitempty"` // remaining rest; 0: none was requested
 }
 
-func (w Report) incarnation() engine.Incarnation {
-	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+func (r Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
 }
 
 // Bounds of the reports that are sent.
@@ -92,15 +92,15 @@
 }
 
 // hasContent reports whether the report holds any notice.
-func (w Report) hasContent() bool { return w.LeavingMs != nil || w.RestMs > 0 }
+func (r Report) hasContent() bool { return r.LeavingMs != nil || r.RestMs > 0 }
 
 // priority orders reports when a message can't hold all: leaving notices first, the latest ones
 // before others, and then long rests.
-func (w Report) priority() int64 {
-	if w.LeavingMs != nil {
-		return maxRest.Milliseconds() + Believed.Milliseconds() - *w.LeavingMs
+func (r Report) priority() int64 {
+	if r.LeavingMs != nil {
+		return maxRest.Milliseconds() + Believed.Milliseconds() - *r.LeavingMs
 	}
-	return w.RestMs
+	return r.RestMs
 }
 
 // Receive records another node's reports on listed endpoints.
@@ -113,9 +113,9 @@
 }
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Report) valid() bool {
-	leaving := w.LeavingMs == nil || *w.LeavingMs >= 0 && *w.LeavingMs < Believed.Milliseconds()
-	return w.hasContent() && leaving && w.RestMs >= 0 && w.RestMs <= maxRest.Milliseconds()
+func (r Report) valid() bool {
+	leaving := r.LeavingMs == nil || *r.LeavingMs >= 0 && *r.LeavingMs < Believed.Milliseconds()
+	return r.hasContent() && leaving && r.RestMs >= 0 && r.RestMs <= maxRest.Milliseconds()
 }
 
 func (b *Tracker) record(from string, w Report, now time.Time) {
--- a/fleet/relay/policy/policy.go
+++ b/fleet/relay/policy/policy.go
@@ -91,20 +91,20 @@
 type Regions []string
 
 // Allow reports whether a call may run in a region.
-func (h Regions) Allow(region string) bool {
-	return len(h) == 0 || slices.Contains(h, region)
+func (r Regions) Allow(region string) bool {
+	return len(r) == 0 || slices.Contains(r, region)
 }
 
 // Intersect returns the regions that both allow. A nil result means any region, an empty one that is not
 // nil means none.
-func (h Regions) Intersect(other Regions) Regions {
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
-	case len(h) == 0:
+	case len(r) == 0:
 		return slices.Clone(other)
 	case len(other) == 0:
-		return slices.Clone(h)
+		return slices.Clone(r)
 	}
-	both := slices.DeleteFunc(slices.Clone(h), func(region string) bool { return !slices.Contains(other, region) })
+	both := slices.DeleteFunc(slices.Clone(r), func(region string) bool { return !slices.Contains(other, region) })
 	slices.Sort(both)
 	return slices.Compact(both)
 }
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -17,7 +17,7 @@
 }
 
 // None reports whether there is nothing to send.
-func (w Report) None() bool { return len(w.Ends)+len(w.Served)+len(w.Near)+len(w.Held) == 0 }
+func (r Report) None() bool { return len(r.Ends)+len(r.Served)+len(r.Near)+len(r.Held) == 0 }
 
 // EndReport reports the end of an endpoint's incarnation and the sender's calls it interrupted.
 type EndReport struct {
@@ -27,8 +27,8 @@
 	Suspects []Suspect `json:"s"`
 }
 
-func (w EndReport) incarnation() engine.Incarnation {
-	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+func (r EndReport) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
 }
 
 // ServedReport reports a suspect that the sender served.
--- a/fleet/relay/suspicion/suspicion.go
+++ b/fleet/relay/suspicion/suspicion.go
@@ -34,8 +34,8 @@
 	Interrupted bool   `json:"c,omitempty"` // it was an interrupted call
 }
 
-func (w Report) incarnation() engine.Incarnation {
-	return engine.Incarnation{ID: w.Endpoint, Born: w.Born}
+func (r Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
 }
 
 // Rule defines when reports count, and how long an endpoint is avoided.
