--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -33,15 +33,15 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
 // Updates returns what this node learned since the last call: from its own answers and, if it
 // forwards, from reports.
-func (b *Tracker) Updates(forward bool, now time.Time) []Report {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Updates(forward bool, now time.Time) []Report {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var reports []Report
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		if k.due.TakeUpdate() && (k.own || forward) {
 			reports = append(reports, k.report(incarnation, now))
 		}
@@ -50,14 +50,14 @@
 }
 
 // Reports returns the reports to be sent along with the digests.
-func (b *Tracker) Reports(forward bool, now time.Time) []Report {
-	if b.count.Load() == 0 {
+func (t *Tracker) Reports(forward bool, now time.Time) []Report {
+	if t.count.Load() == 0 {
 		return nil // the common case
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var reports []Report
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		if k.due.WithDigests(now) && (k.own || forward) {
 			reports = append(reports, k.report(incarnation, now))
 		}
@@ -82,7 +82,7 @@
 }
 
 // Receive records another node's reports on listed endpoints.
-func (b *Tracker) Receive(from string, reports []Report, now time.Time) {
+func (t *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if !w.valid() {
 			continue
@@ -91,6 +91,6 @@
 		if s.named {
 			s.perSecond = *w.PerSecond
 		}
-		b.record(w.incarnation(), s, now)
+		t.record(w.incarnation(), s, now)
 	}
 }
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -61,72 +61,72 @@
 
 // Engines sets the listed endpoints. The state of all others, and of ended incarnations, is
 // dropped.
-func (b *Tracker) Engines(all []engine.Engine) {
+func (t *Tracker) Engines(all []engine.Engine) {
 	listed := make(map[engine.Incarnation]engine.Engine, len(all))
 	for _, e := range all {
 		listed[e.Incarnation()] = e
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listed = listed
-	for incarnation := range b.known {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.listed = listed
+	for incarnation := range t.known {
 		if _, ok := listed[incarnation]; !ok {
-			delete(b.known, incarnation)
+			delete(t.known, incarnation)
 		}
 	}
-	b.count.Store(int64(len(b.known)))
+	t.count.Store(int64(len(t.known)))
 }
 
 // Named records that an answer to this node named a limit.
-func (b *Tracker) Named(incarnation engine.Incarnation, perSecond float64, now time.Time) {
-	b.record(incarnation, signal{at: now, named: true, perSecond: perSecond}, now)
+func (t *Tracker) Named(incarnation engine.Incarnation, perSecond float64, now time.Time) {
+	t.record(incarnation, signal{at: now, named: true, perSecond: perSecond}, now)
 }
 
 // Unnamed records that an answer named no limit. It ends a limit only if the call was sent after
 // this node knew of the limit: otherwise the answer may be older than the limit.
-func (b *Tracker) Unnamed(incarnation engine.Incarnation, sent, now time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Unnamed(incarnation engine.Incarnation, sent, now time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	k, ok := b.known[incarnation]
+	t.mu.Lock()
+	k, ok := t.known[incarnation]
 	before := ok && k.named && sent.Before(k.since)
-	b.mu.Unlock()
+	t.mu.Unlock()
 	if ok && !before {
-		b.record(incarnation, signal{at: now}, now)
+		t.record(incarnation, signal{at: now}, now)
 	}
 }
 
 // record stores the signal of the latest answer, to this node or another one.
-func (b *Tracker) record(incarnation engine.Incarnation, s signal, now time.Time) {
-	b.mu.Lock()
-	c, changed := b.update(incarnation, s, now)
-	b.mu.Unlock()
+func (t *Tracker) record(incarnation engine.Incarnation, s signal, now time.Time) {
+	t.mu.Lock()
+	c, changed := t.update(incarnation, s, now)
+	t.mu.Unlock()
 	if !changed {
 		return
 	}
-	b.urgent.Notify()
-	b.changed(c)
+	t.urgent.Notify()
+	t.changed(c)
 }
 
-func (b *Tracker) update(incarnation engine.Incarnation, s signal, now time.Time) (Change, bool) {
-	e, listed := b.listed[incarnation]
-	k, ok := b.known[incarnation]
+func (t *Tracker) update(incarnation engine.Incarnation, s signal, now time.Time) (Change, bool) {
+	e, listed := t.listed[incarnation]
+	k, ok := t.known[incarnation]
 	if !listed || !ok && !s.named || ok && !s.at.After(k.observed) {
 		return Change{}, false
 	}
 	if !ok {
 		k = &known{}
-		b.known[incarnation] = k
-		b.count.Store(int64(len(b.known)))
+		t.known[incarnation] = k
+		t.count.Store(int64(len(t.known)))
 	}
 	c := Change{Engine: e, Named: s.named, PerSecond: s.perSecond, Before: k.perSecond, WasNamed: k.named, From: s.by, Age: now.Sub(s.at)}
 	changed := c.Named != c.WasNamed || c.PerSecond != c.Before
 	if c.Named != c.WasNamed {
 		k.since = now
 	} else if !c.Named && now.Sub(k.since) > maxAge {
-		delete(b.known, incarnation) // no report of the limit can arrive any more
-		b.count.Store(int64(len(b.known)))
+		delete(t.known, incarnation) // no report of the limit can arrive any more
+		t.count.Store(int64(len(t.known)))
 		return Change{}, false
 	}
 	k.named, k.perSecond, k.observed, k.by, k.own = s.named, s.perSecond, s.at, s.by, s.by == ""
@@ -139,13 +139,13 @@
 }
 
 // Of returns the limit that an endpoint names, and false if it names none.
-func (b *Tracker) Of(incarnation engine.Incarnation) (perSecond float64, named bool) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Of(incarnation engine.Incarnation) (perSecond float64, named bool) {
+	if t.count.Load() == 0 {
 		return 0, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[incarnation]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || !k.named {
 		return 0, false
 	}
@@ -157,14 +157,14 @@
 const confirmInterval = 3 * time.Second
 
 // Unconfirmed returns the endpoints whose limit needs confirmation.
-func (b *Tracker) Unconfirmed(now time.Time) []engine.Incarnation {
-	if b.count.Load() == 0 {
+func (t *Tracker) Unconfirmed(now time.Time) []engine.Incarnation {
+	if t.count.Load() == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var incarnations []engine.Incarnation
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		if k.named && now.Sub(k.observed) >= confirmInterval && now.Sub(k.placed) >= confirmInterval {
 			incarnations = append(incarnations, incarnation)
 		}
@@ -180,10 +180,10 @@
 // MayProbe reports whether a node without a share may send one call to an endpoint whose limit
 // it received nothing about for long. The node may be partitioned from those with a share, and
 // the limit be over. The more nodes there are, the less often each probes.
-func (b *Tracker) MayProbe(incarnation engine.Incarnation, nodes int, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[incarnation]
+func (t *Tracker) MayProbe(incarnation engine.Incarnation, nodes int, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || !k.named {
 		return true
 	}
@@ -193,13 +193,13 @@
 }
 
 // Placed records a call to an endpoint, for MayProbe and Unconfirmed.
-func (b *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if k, ok := b.known[incarnation]; ok {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if k, ok := t.known[incarnation]; ok {
 		k.placed = now
 	}
 }
@@ -223,13 +223,13 @@
 func (l Listed) Engine() engine.Engine { return l.engine }
 
 // List returns the current limits, ordered by endpoint id.
-func (b *Tracker) List(now time.Time) []Listed {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) List(now time.Time) []Listed {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	all := []Listed{}
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		if k.named {
-			e := b.listed[incarnation]
+			e := t.listed[incarnation]
 			all = append(all, Listed{
 				Endpoint: incarnation.ID, Service: e.Service, Zone: e.Zone, PerSecond: k.perSecond,
 				SinceMs: now.Sub(k.since).Milliseconds(), AgeMs: now.Sub(k.observed).Milliseconds(), From: k.by, engine: e,
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -59,12 +59,12 @@
 
 // Leaves reports whether an endpoint is about to end, and until when it may get calls that no
 // other endpoint may take.
-func (b *Tracker) Leaves(incarnation engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.find(incarnation)
+func (t *Tracker) Leaves(incarnation engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.find(incarnation)
 	if !ok || !k.leaving.holds(now) {
 		return time.Time{}, false
 	}
-	return k.leaving.since.Add(b.rule.Serves), true
+	return k.leaving.since.Add(t.rule.Serves), true
 }
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -31,29 +31,29 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
 // Updates returns what this node learned since the last call: from answers and, if it forwards,
 // from reports.
-func (b *Tracker) Updates(forward bool, now time.Time) []Report {
-	return b.reports(forward, now, func(d *announce.Schedule) bool { return d.TakeUpdate() })
+func (t *Tracker) Updates(forward bool, now time.Time) []Report {
+	return t.reports(forward, now, func(d *announce.Schedule) bool { return d.TakeUpdate() })
 }
 
 // Reports returns the reports to be sent along with the digests.
-func (b *Tracker) Reports(forward bool, now time.Time) []Report {
-	return b.reports(forward, now, func(d *announce.Schedule) bool { return d.WithDigests(now) })
+func (t *Tracker) Reports(forward bool, now time.Time) []Report {
+	return t.reports(forward, now, func(d *announce.Schedule) bool { return d.WithDigests(now) })
 }
 
-func (b *Tracker) reports(forward bool, now time.Time, due func(*announce.Schedule) bool) []Report {
-	if b.count.Load() == 0 {
+func (t *Tracker) reports(forward bool, now time.Time, due func(*announce.Schedule) bool) []Report {
+	if t.count.Load() == 0 {
 		return nil // the common case
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var reports []Report
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		k.expire(now)
-		b.dropEmpty(incarnation, k)
+		t.dropEmpty(incarnation, k)
 		if w := k.report(incarnation, forward, now, due); k.gone.IsZero() && w.hasContent() {
 			reports = append(reports, w)
 		}
@@ -104,10 +104,10 @@
 }
 
 // Receive records another node's reports on listed endpoints.
-func (b *Tracker) Receive(from string, reports []Report, now time.Time) {
+func (t *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if w.valid() {
-			b.record(from, w, now)
+			t.record(from, w, now)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 	return r.hasContent() && leaving && r.RestMs >= 0 && r.RestMs <= maxRest.Milliseconds()
 }
 
-func (b *Tracker) record(from string, w Report, now time.Time) {
+func (t *Tracker) record(from string, w Report, now time.Time) {
 	var began []Change
-	b.mu.Lock()
-	if e, listed := b.listed[w.incarnation()]; listed {
-		k := b.get(e, now)
+	t.mu.Lock()
+	if e, listed := t.listed[w.incarnation()]; listed {
+		k := t.get(e, now)
 		if w.LeavingMs != nil {
 			age := time.Duration(*w.LeavingMs) * time.Millisecond
 			if k.leaving.received(from, now.Add(-age), now) {
@@ -133,9 +133,9 @@
 			began = append(began, Began{Engine: e, Notice: call.Rest{For: left}, From: from})
 		}
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	for _, c := range began {
-		b.urgent.Notify()
-		b.changed(c)
+		t.urgent.Notify()
+		t.changed(c)
 	}
 }
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -109,34 +109,34 @@
 
 // spreadPosition returns this node's position among those that return to an endpoint, from 0 to
 // 1.
-func (b *Tracker) spreadPosition(incarnation engine.Incarnation) float64 {
+func (t *Tracker) spreadPosition(incarnation engine.Incarnation) float64 {
 	const shift = 11 // leaves as many bits of a hash as a float64 has in its fraction
-	return float64(ident.Mix(b.self^xxhash.Sum64String(incarnation.ID))>>shift) / (1 << (64 - shift))
+	return float64(ident.Mix(t.self^xxhash.Sum64String(incarnation.ID))>>shift) / (1 << (64 - shift))
 }
 
 // Use returns how far this node uses an endpoint now.
-func (b *Tracker) Use(incarnation engine.Incarnation, now time.Time) Use {
-	if b.count.Load() == 0 {
+func (t *Tracker) Use(incarnation engine.Incarnation, now time.Time) Use {
+	if t.count.Load() == 0 {
 		return Free
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[incarnation]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || k.rest.end().IsZero() {
 		return Free
 	}
-	return k.rest.use(b.spreadPosition(incarnation), now)
+	return k.rest.use(t.spreadPosition(incarnation), now)
 }
 
 // Resting reports whether an endpoint wants nothing from this node now, until when, and the
 // length of the whole rest.
-func (b *Tracker) Resting(incarnation engine.Incarnation, now time.Time) (until time.Time, length time.Duration, resting bool) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Resting(incarnation engine.Incarnation, now time.Time) (until time.Time, length time.Duration, resting bool) {
+	if t.count.Load() == 0 {
 		return time.Time{}, 0, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[incarnation]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || !now.Before(k.rest.until) {
 		return time.Time{}, 0, false
 	}
@@ -144,32 +144,32 @@
 }
 
 // Placed records a call to an endpoint. After a rest the first call is sent alone.
-func (b *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if k, ok := b.known[incarnation]; ok && !now.Before(k.rest.end()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if k, ok := t.known[incarnation]; ok && !now.Before(k.rest.end()) {
 		k.rest.probed = now
 	}
 }
 
 // Took records that an endpoint accepted a call that was sent at the given time. If that was
 // after a rest, the endpoint is used as before.
-func (b *Tracker) Took(incarnation engine.Incarnation, sent time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Took(incarnation engine.Incarnation, sent time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	k, ok := b.known[incarnation]
+	t.mu.Lock()
+	k, ok := t.known[incarnation]
 	over := ok && !k.rest.end().IsZero() && !sent.Before(k.rest.end())
 	if over {
 		k.rest = rest{}
-		b.dropEmpty(incarnation, k)
+		t.dropEmpty(incarnation, k)
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	if over {
-		b.changed(Ended{Engine: k.engine})
+		t.changed(Ended{Engine: k.engine})
 	}
 }
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -59,12 +59,12 @@
 }
 
 // Engines sets the listed endpoints. The state of others is dropped after entryRetention.
-func (b *Tracker) Engines(all []engine.Engine, now time.Time) {
+func (t *Tracker) Engines(all []engine.Engine, now time.Time) {
 	listed := lo.KeyBy(all, engine.Engine.Incarnation)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listed = listed
-	for incarnation, k := range b.known {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.listed = listed
+	for incarnation, k := range t.known {
 		_, stays := listed[incarnation]
 		switch {
 		case stays:
@@ -72,16 +72,16 @@
 		case k.gone.IsZero():
 			k.gone = now
 		case now.Sub(k.gone) > entryRetention:
-			delete(b.known, incarnation)
+			delete(t.known, incarnation)
 		}
 	}
-	b.count.Store(int64(len(b.known)))
+	t.count.Store(int64(len(t.known)))
 }
 
 // Observe records a notice in an answer to this node.
-func (b *Tracker) Observe(e engine.Engine, n call.Notice, now time.Time) {
-	b.mu.Lock()
-	k := b.get(e, now)
+func (t *Tracker) Observe(e engine.Engine, n call.Notice, now time.Time) {
+	t.mu.Lock()
+	k := t.get(e, now)
 	var began bool
 	switch n := n.(type) {
 	case call.Leaving:
@@ -89,42 +89,42 @@
 	case call.Rest:
 		began = k.rest.requested(n.For, now)
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	if began {
-		b.urgent.Notify()
-		b.changed(Began{Engine: e, Notice: n})
+		t.urgent.Notify()
+		t.changed(Began{Engine: e, Notice: n})
 	}
 }
 
 // get returns the state of an endpoint, creating it if necessary.
-func (b *Tracker) get(e engine.Engine, now time.Time) *known {
+func (t *Tracker) get(e engine.Engine, now time.Time) *known {
 	incarnation := e.Incarnation()
-	k, ok := b.known[incarnation]
+	k, ok := t.known[incarnation]
 	if !ok {
 		k = &known{engine: e}
-		if _, listed := b.listed[incarnation]; !listed {
+		if _, listed := t.listed[incarnation]; !listed {
 			k.gone = now
 		}
-		b.known[incarnation] = k
-		b.count.Store(int64(len(b.known)))
+		t.known[incarnation] = k
+		t.count.Store(int64(len(t.known)))
 	}
 	return k
 }
 
 // dropEmpty drops an incarnation without any notice.
-func (b *Tracker) dropEmpty(incarnation engine.Incarnation, k *known) {
+func (t *Tracker) dropEmpty(incarnation engine.Incarnation, k *known) {
 	if k.leaving.observed.IsZero() && k.rest.end().IsZero() {
-		delete(b.known, incarnation)
-		b.count.Store(int64(len(b.known)))
+		delete(t.known, incarnation)
+		t.count.Store(int64(len(t.known)))
 	}
 }
 
 // find returns the state of an incarnation, and false if there is none.
-func (b *Tracker) find(incarnation engine.Incarnation) (*known, bool) {
-	if b.count.Load() == 0 {
+func (t *Tracker) find(incarnation engine.Incarnation) (*known, bool) {
+	if t.count.Load() == 0 {
 		return nil, false
 	}
-	k, ok := b.known[incarnation]
+	k, ok := t.known[incarnation]
 	return k, ok
 }
 
@@ -140,11 +140,11 @@
 }
 
 // List returns the notices of listed endpoints, ordered by id.
-func (b *Tracker) List(now time.Time) []Listed {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) List(now time.Time) []Listed {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	all := []Listed{}
-	for incarnation, k := range b.known {
+	for incarnation, k := range t.known {
 		if !k.gone.IsZero() {
 			continue
 		}
--- a/fleet/relay/quarantine/probe.go
+++ b/fleet/relay/quarantine/probe.go
@@ -12,30 +12,30 @@
 const MaxProbes = 2
 
 // ProbeAt returns when a quarantined request is due for a probe.
-func (b *Tracker) ProbeAt(h Held) time.Time { return h.Since.Add(b.rule.probeAfter(h.Round)) }
+func (t *Tracker) ProbeAt(h Held) time.Time { return h.Since.Add(t.rule.probeAfter(h.Round)) }
 
 // MayProbe reports whether a request is still quarantined in a round, was answered before, and
 // no endpoint has ended under it since its first probe was due. A request that was never
 // answered is not worth risking another endpoint, nor is one that ended an endpoint when it was
 // sent again after its hold expired.
-func (b *Tracker) MayProbe(h Held, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.held[h.Fingerprint]
-	return b.answered(known) && !known.Tried && known.Round == h.Round && b.probeOpen(known, now)
+func (t *Tracker) MayProbe(h Held, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.held[h.Fingerprint]
+	return t.answered(known) && !known.Tried && known.Round == h.Round && t.probeOpen(known, now)
 }
 
 // answered reports whether any node stated that endpoints had answered a request: with its
 // quarantine, or with an end that the node which quarantined it did not know.
-func (b *Tracker) answered(h Held) bool {
-	return h.Answered || lo.SomeBy(b.ends, func(e *end) bool { return e.suspects[h.Fingerprint].Answered })
+func (t *Tracker) answered(h Held) bool {
+	return h.Answered || lo.SomeBy(t.ends, func(e *end) bool { return e.suspects[h.Fingerprint].Answered })
 }
 
 // probeOpen reports whether a request is quarantined and no endpoint has ended under it since
 // its first probe was due.
-func (b *Tracker) probeOpen(h Held, now time.Time) bool {
-	due := b.ProbeAt(h)
-	return h.inForce(now) && lo.NoneBy(b.ends, func(e *end) bool {
+func (t *Tracker) probeOpen(h Held, now time.Time) bool {
+	due := t.ProbeAt(h)
+	return h.inForce(now) && lo.NoneBy(t.ends, func(e *end) bool {
 		_, in := e.suspects[h.Fingerprint]
 		return in && !e.at.Before(due)
 	})
@@ -44,48 +44,48 @@
 // Arm makes the next call of a quarantined request a probe: it is forwarded, to learn whether
 // an endpoint survives it. A request that many callers send is running wherever an endpoint
 // ends, and while it is quarantined no answer can clear it.
-func (b *Tracker) Arm(claimed Held) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h, ok := b.held[claimed.Fingerprint]; ok && h.Round == claimed.Round {
+func (t *Tracker) Arm(claimed Held) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if h, ok := t.held[claimed.Fingerprint]; ok && h.Round == claimed.Round {
 		h.armed, h.Probes = true, claimed.Probes
-		b.held[h.Fingerprint] = h
+		t.held[h.Fingerprint] = h
 	}
 }
 
 // Armed reports whether the next call of a request is a probe.
-func (b *Tracker) Armed(p Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.armed(b.held[p], now)
+func (t *Tracker) Armed(p Fingerprint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.armed(t.held[p], now)
 }
 
 // armed returns false if an endpoint has ended since the claim, under another node's probe.
-func (b *Tracker) armed(h Held, now time.Time) bool {
-	return h.armed && b.probeOpen(h, now)
+func (t *Tracker) armed(h Held, now time.Time) bool {
+	return h.armed && t.probeOpen(h, now)
 }
 
 // Probe takes the armed probe for a call. It returns its round and whether there was one; later
 // calls are not probes.
-func (b *Tracker) Probe(p Fingerprint, now time.Time) (round int, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.held[p]
-	if !b.armed(h, now) {
+func (t *Tracker) Probe(p Fingerprint, now time.Time) (round int, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	h := t.held[p]
+	if !t.armed(h, now) {
 		return 0, false
 	}
 	h.armed = false
-	b.held[p] = h
+	t.held[p] = h
 	return h.Round, true
 }
 
 // ReturnProbe gives back a probe that reached no endpoint. It has no effect in a later round than
 // the one it was claimed for.
-func (b *Tracker) ReturnProbe(p Fingerprint, round int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h, ok := b.held[p]; ok && h.Round == round {
+func (t *Tracker) ReturnProbe(p Fingerprint, round int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if h, ok := t.held[p]; ok && h.Round == round {
 		h.armed = true
-		b.held[p] = h
+		t.held[p] = h
 	}
 }
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -141,27 +141,27 @@
 }
 
 // Updates returns the reports to send now: those for judges and those for all nodes.
-func (b *Tracker) Updates(now time.Time) (judges, all Report) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	judges.Ends, b.outbox.ends = takeDue(b.outbox.ends, maxEndReports, func(w EndReport, at time.Time) EndReport {
+func (t *Tracker) Updates(now time.Time) (judges, all Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	judges.Ends, t.outbox.ends = takeDue(t.outbox.ends, maxEndReports, func(w EndReport, at time.Time) EndReport {
 		w.AgeMs = now.Sub(at).Milliseconds()
 		return w
 	})
-	judges.Served, b.outbox.served = takeDue(b.outbox.served, maxServedReports, func(w ServedReport, at time.Time) ServedReport {
+	judges.Served, t.outbox.served = takeDue(t.outbox.served, maxServedReports, func(w ServedReport, at time.Time) ServedReport {
 		w.AgeMs = now.Sub(at).Milliseconds()
 		return w
 	})
-	all.Near, b.outbox.near = takeDue(b.outbox.near, maxNearReports, func(w NearReport, _ time.Time) NearReport { return w })
-	for p, left := range b.outbox.held {
+	all.Near, t.outbox.near = takeDue(t.outbox.near, maxNearReports, func(w NearReport, _ time.Time) NearReport { return w })
+	for p, left := range t.outbox.held {
 		if len(all.Held) == maxHeldReports {
 			break
 		}
-		if h, ok := b.held[p]; ok {
+		if h, ok := t.held[p]; ok {
 			all.Held = append(all.Held, ReportOf(h, now))
 		}
-		if b.outbox.held[p] = left - 1; left <= 1 {
-			delete(b.outbox.held, p)
+		if t.outbox.held[p] = left - 1; left <= 1 {
+			delete(t.outbox.held, p)
 		}
 	}
 	return judges, all
@@ -176,92 +176,92 @@
 )
 
 // Digest returns some of the quarantined requests, in rotation, to go along with other messages.
-func (b *Tracker) Digest(now time.Time) Report {
-	all := b.List(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.outbox.digests++
-	if b.outbox.digests%olderInterval != 0 {
+func (t *Tracker) Digest(now time.Time) Report {
+	all := t.List(now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.outbox.digests++
+	if t.outbox.digests%olderInterval != 0 {
 		all = lo.Filter(all, func(h Held, _ int) bool { return now.Sub(h.Since) < freshPeriod })
 	}
 	if len(all) == 0 {
 		return Report{}
 	}
 	n := min(len(all), maxHeldReports)
-	reports := lo.Map(lo.Range(n), func(i, _ int) QuarantineReport { return ReportOf(all[(b.outbox.nextDigest+i)%len(all)], now) })
-	b.outbox.nextDigest = (b.outbox.nextDigest + n) % len(all)
+	reports := lo.Map(lo.Range(n), func(i, _ int) QuarantineReport { return ReportOf(all[(t.outbox.nextDigest+i)%len(all)], now) })
+	t.outbox.nextDigest = (t.outbox.nextDigest + n) % len(all)
 	return Report{Held: reports}
 }
 
 // Receive processes a report from another node. It returns the requests that were new or changed.
-func (b *Tracker) Receive(w Report, now time.Time) []Held {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Receive(w Report, now time.Time) []Held {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	changed := false
-	if b.role() == Witness {
+	if t.role() == Witness {
 		w.Ends, w.Served = nil, nil
 	}
 	for _, n := range w.Near[:min(len(w.Near), maxNearReports)] {
-		if _, known := b.near[n.Fingerprint]; known || len(b.near) < maxNear {
-			b.near[n.Fingerprint] = nearSuspect{n.Customer, now}
+		if _, known := t.near[n.Fingerprint]; known || len(t.near) < maxNear {
+			t.near[n.Fingerprint] = nearSuspect{n.Customer, now}
 		}
 	}
 	if len(w.Near) > 0 {
-		b.updateWatched()
+		t.updateWatched()
 	}
 	for _, e := range w.Ends[:min(len(w.Ends), maxEndReports)] {
 		age := time.Duration(e.AgeMs) * time.Millisecond
-		if e.AgeMs >= 0 && age < b.rule.Memory {
-			changed = b.recordEnd(e.incarnation(), now.Add(-age), e.Suspects[:min(len(e.Suspects), maxSuspects)], now) || changed
+		if e.AgeMs >= 0 && age < t.rule.Memory {
+			changed = t.recordEnd(e.incarnation(), now.Add(-age), e.Suspects[:min(len(e.Suspects), maxSuspects)], now) || changed
 		}
 	}
 	for _, s := range w.Served[:min(len(w.Served), maxServedReports)] {
 		age := time.Duration(s.AgeMs) * time.Millisecond
-		if s.AgeMs >= 0 && age < b.rule.Memory {
-			b.markServed(s.Fingerprint, now.Add(-age), now)
+		if s.AgeMs >= 0 && age < t.rule.Memory {
+			t.markServed(s.Fingerprint, now.Add(-age), now)
 		}
 	}
-	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return b.learn(h, now) })
+	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return t.learn(h, now) })
 	if changed {
-		b.judge(now)
+		t.judge(now)
 	}
 	return learned
 }
 
 // Learn processes the stored state of a request.
-func (b *Tracker) Learn(w QuarantineReport, now time.Time) (Held, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.learn(w, now)
+func (t *Tracker) Learn(w QuarantineReport, now time.Time) (Held, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.learn(w, now)
 }
 
-func (b *Tracker) learn(w QuarantineReport, now time.Time) (Held, bool) {
-	known, ok := b.held[w.Fingerprint]
+func (t *Tracker) learn(w QuarantineReport, now time.Time) (Held, bool) {
+	known, ok := t.held[w.Fingerprint]
 	h := Held{
 		Fingerprint: w.Fingerprint, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
-		For: min(time.Duration(w.ForMs)*time.Millisecond, b.rule.MaxHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
+		For: min(time.Duration(w.ForMs)*time.Millisecond, t.rule.MaxHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
 	}
-	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*b.rule.MaxHold.Milliseconds() {
+	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*t.rule.MaxHold.Milliseconds() {
 		return Held{}, false
 	}
 	if ok && !h.supersedes(known) {
 		if known.sameState(h) {
 			known.Stored, known.Probes = known.Stored || h.Stored, max(known.Probes, h.Probes)
 			known.Answered, known.Tried = known.Answered || h.Answered, known.Tried || h.Tried
-			b.held[w.Fingerprint] = known
+			t.held[w.Fingerprint] = known
 		}
-		if known.supersedes(h) && b.role() != Witness {
-			b.outbox.addReleased(w.Fingerprint) // the sender missed the release
+		if known.supersedes(h) && t.role() != Witness {
+			t.outbox.addReleased(w.Fingerprint) // the sender missed the release
 		}
 		return Held{}, false
 	}
 	if h.Released {
-		b.served[w.Fingerprint] = now
+		t.served[w.Fingerprint] = now
 	}
-	if h.Released && b.role() == Judge {
-		b.outbox.addReleased(w.Fingerprint) // its zone may have missed the release
+	if h.Released && t.role() == Judge {
+		t.outbox.addReleased(w.Fingerprint) // its zone may have missed the release
 	}
-	b.put(h, now)
-	b.updateWatched()
+	t.put(h, now)
+	t.updateWatched()
 	return h, true
 }
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -78,381 +78,381 @@
 
 // Watches reports whether requests of a customer may be quarantined or suspects. No
 // fingerprint is computed for the requests of other customers.
-func (b *Tracker) Watches(customer string) bool { return (*b.watched.Load())[customer] }
+func (t *Tracker) Watches(customer string) bool { return (*t.watched.Load())[customer] }
 
 // IsQuarantined reports whether a request is quarantined, so that it is sent to no endpoint.
-func (b *Tracker) IsQuarantined(p Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.held[p].inForce(now)
+func (t *Tracker) IsQuarantined(p Fingerprint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.held[p].inForce(now)
 }
 
 // ForbidsRetry reports whether the node must not retry an interrupted call by itself, since one
 // more end would be too many. Unlike for the quarantine, ends on the same occasion count
 // separately here: attempts of one request may follow each other closely, and each attempt
 // that is retried ends two endpoints.
-func (b *Tracker) ForbidsRetry(p Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ends := lo.Filter(b.ends, func(e *end, _ int) bool {
+func (t *Tracker) ForbidsRetry(p Fingerprint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ends := lo.Filter(t.ends, func(e *end, _ int) bool {
 		_, suspected := e.suspects[p]
-		return suspected && b.served[p].Before(e.at)
+		return suspected && t.served[p].Before(e.at)
 	})
-	return b.held[p].inForce(now) || len(ends) >= b.rule.Ends-1
+	return t.held[p].inForce(now) || len(ends) >= t.rule.Ends-1
 }
 
 // Interrupted records a call of this node that its endpoint ended before the whole answer. The call
 // counts once the endpoint is known to have ended.
-func (b *Tracker) Interrupted(e engine.Engine, s Suspect, now time.Time) {
-	s.Answered = b.history.contains(s.Fingerprint)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if ended := b.findEnd(e.Incarnation(), now); ended != nil {
-		b.addSuspect(ended, s, now)
+func (t *Tracker) Interrupted(e engine.Engine, s Suspect, now time.Time) {
+	s.Answered = t.history.contains(s.Fingerprint)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if ended := t.findEnd(e.Incarnation(), now); ended != nil {
+		t.addSuspect(ended, s, now)
 		return
 	}
-	b.expirePending(now)
-	interrupted, known := b.pending[e.Incarnation()]
-	if !known && len(b.pending) >= maxPending {
+	t.expirePending(now)
+	interrupted, known := t.pending[e.Incarnation()]
+	if !known && len(t.pending) >= maxPending {
 		return
 	}
 	if !known {
 		interrupted = &interruption{}
-		b.pending[e.Incarnation()] = interrupted
+		t.pending[e.Incarnation()] = interrupted
 	}
 	if len(interrupted.suspects) < maxSuspects {
 		interrupted.suspects = append(interrupted.suspects, s)
 	}
-	checked := known && now.Sub(interrupted.checkedAt) < b.rule.Apart
+	checked := known && now.Sub(interrupted.checkedAt) < t.rule.Apart
 	if !checked {
 		interrupted.checkedAt = now
 	}
 	switch {
-	case !b.registered[e.Incarnation()]:
-		b.confirmEnd(e.Incarnation(), now)
+	case !t.registered[e.Incarnation()]:
+		t.confirmEnd(e.Incarnation(), now)
 	case !checked:
-		b.observer.Verify(e)
+		t.observer.Verify(e)
 	}
 }
 
 // addSuspect adds a suspect to a known end.
-func (b *Tracker) addSuspect(e *end, s Suspect, now time.Time) {
+func (t *Tracker) addSuspect(e *end, s Suspect, now time.Time) {
 	if e.add(s) {
-		b.outbox.addEnd(newTimedEnd(e.incarnation, e.at, []Suspect{s}))
-		b.signalUrgent()
-		b.judge(now)
+		t.outbox.addEnd(newTimedEnd(e.incarnation, e.at, []Suspect{s}))
+		t.signalUrgent()
+		t.judge(now)
 	}
 }
 
 // findEnd returns the recorded end of an incarnation, or nil.
-func (b *Tracker) findEnd(incarnation engine.Incarnation, at time.Time) *end {
-	e, _ := lo.Find(b.ends, func(e *end) bool { return e.matches(incarnation, at) })
+func (t *Tracker) findEnd(incarnation engine.Incarnation, at time.Time) *end {
+	e, _ := lo.Find(t.ends, func(e *end) bool { return e.matches(incarnation, at) })
 	return e
 }
 
 // expirePending removes interrupted calls whose endpoints are still running.
-func (b *Tracker) expirePending(now time.Time) {
-	maps.DeleteFunc(b.pending, func(_ engine.Incarnation, c *interruption) bool { return now.Sub(c.checkedAt) > b.rule.ConfirmTimeout })
+func (t *Tracker) expirePending(now time.Time) {
+	maps.DeleteFunc(t.pending, func(_ engine.Incarnation, c *interruption) bool { return now.Sub(c.checkedAt) > t.rule.ConfirmTimeout })
 }
 
 // Ended records that an incarnation of an endpoint has ended. It has no effect where no call
 // was interrupted there.
-func (b *Tracker) Ended(incarnation engine.Incarnation, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.confirmEnd(incarnation, now)
+func (t *Tracker) Ended(incarnation engine.Incarnation, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.confirmEnd(incarnation, now)
 }
 
-func (b *Tracker) confirmEnd(incarnation engine.Incarnation, now time.Time) {
-	c, ok := b.pending[incarnation]
+func (t *Tracker) confirmEnd(incarnation engine.Incarnation, now time.Time) {
+	c, ok := t.pending[incarnation]
 	if !ok {
 		return
 	}
-	delete(b.pending, incarnation)
-	b.observer.EndObserved(incarnation, c.suspects)
-	b.recordEnd(incarnation, c.checkedAt, c.suspects, now)
-	b.outbox.addEnd(newTimedEnd(incarnation, c.checkedAt, c.suspects))
-	b.signalUrgent()
-	b.judge(now)
+	delete(t.pending, incarnation)
+	t.observer.EndObserved(incarnation, c.suspects)
+	t.recordEnd(incarnation, c.checkedAt, c.suspects, now)
+	t.outbox.addEnd(newTimedEnd(incarnation, c.checkedAt, c.suspects))
+	t.signalUrgent()
+	t.judge(now)
 }
 
 // recordEnd records an end, or adds suspects to a known one. It reports whether that changed anything.
-func (b *Tracker) recordEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
-	e := b.findEnd(incarnation, at)
+func (t *Tracker) recordEnd(incarnation engine.Incarnation, at time.Time, suspects []Suspect, now time.Time) (changed bool) {
+	e := t.findEnd(incarnation, at)
 	if e == nil {
 		e = &end{incarnation: incarnation, at: at, suspects: map[Fingerprint]Suspect{}}
-		b.ends = append(b.ends, e)
+		t.ends = append(t.ends, e)
 	}
 	if at.Before(e.at) {
 		e.at = at
 	}
-	slices.SortStableFunc(b.ends, func(a, b *end) int { return a.at.Compare(b.at) })
-	b.ends = b.ends[max(len(b.ends)-maxEnds, 0):]
+	slices.SortStableFunc(t.ends, func(a, b *end) int { return a.at.Compare(b.at) })
+	t.ends = t.ends[max(len(t.ends)-maxEnds, 0):]
 	for _, s := range suspects {
 		changed = e.add(s) || changed
-		b.clearIfServedSince(s.Fingerprint, e.at, now)
+		t.clearIfServedSince(s.Fingerprint, e.at, now)
 	}
-	b.ends = lo.Filter(b.ends, func(e *end, _ int) bool { return now.Sub(e.at) < b.rule.Memory })
-	maps.DeleteFunc(b.near, func(_ Fingerprint, n nearSuspect) bool { return now.Sub(n.announcedAt) > b.rule.Memory })
+	t.ends = lo.Filter(t.ends, func(e *end, _ int) bool { return now.Sub(e.at) < t.rule.Memory })
+	maps.DeleteFunc(t.near, func(_ Fingerprint, n nearSuspect) bool { return now.Sub(n.announcedAt) > t.rule.Memory })
 	return changed
 }
 
 // Engines sets the registered endpoints. An endpoint with interrupted calls that is no longer
 // registered has ended.
-func (b *Tracker) Engines(all []engine.Engine, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.registered = lo.SliceToMap(all, func(e engine.Engine) (engine.Incarnation, bool) { return e.Incarnation(), true })
-	b.expirePending(now)
-	for _, incarnation := range lo.Keys(b.pending) {
-		if !b.registered[incarnation] {
-			b.confirmEnd(incarnation, now)
+func (t *Tracker) Engines(all []engine.Engine, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.registered = lo.SliceToMap(all, func(e engine.Engine) (engine.Incarnation, bool) { return e.Incarnation(), true })
+	t.expirePending(now)
+	for _, incarnation := range lo.Keys(t.pending) {
+		if !t.registered[incarnation] {
+			t.confirmEnd(incarnation, now)
 		}
 	}
 }
 
 // Answered records that a request, suspect or not, was answered completely, in case endpoints
 // end under it later.
-func (b *Tracker) Answered(p Fingerprint, now time.Time) { b.history.add(p, now, b.rule.Memory) }
+func (t *Tracker) Answered(p Fingerprint, now time.Time) { t.history.add(p, now, t.rule.Memory) }
 
 // Served records that a request of a watched customer was answered completely. Such a request
 // does not end endpoints by itself, whatever ended while it ran.
-func (b *Tracker) Served(p Fingerprint, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.markServed(p, now, now) {
-		b.outbox.addServed(p, now)
-		b.signalUrgent()
+func (t *Tracker) Served(p Fingerprint, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.markServed(p, now, now) {
+		t.outbox.addServed(p, now)
+		t.signalUrgent()
 	}
 }
 
 // markServed records that a request was served and reports whether it was a suspect.
-func (b *Tracker) markServed(p Fingerprint, at, now time.Time) bool {
-	suspected := lo.ContainsBy(b.ends, func(e *end) bool {
+func (t *Tracker) markServed(p Fingerprint, at, now time.Time) bool {
+	suspected := lo.ContainsBy(t.ends, func(e *end) bool {
 		_, in := e.suspects[p]
-		return in && b.served[p].Before(e.at) && !at.Before(e.at)
+		return in && t.served[p].Before(e.at) && !at.Before(e.at)
 	})
-	h, known := b.held[p]
+	h, known := t.held[p]
 	// After an expired hold, too: otherwise one more end would quarantine the request.
 	releases := known && !h.Released && at.After(h.Since)
-	_, near := b.near[p]
-	delete(b.near, p)
+	_, near := t.near[p]
+	delete(t.near, p)
 	if !suspected && !releases && !near {
-		b.rememberServed(p, at, now)
+		t.rememberServed(p, at, now)
 		return false
 	}
-	if !b.hasRoomForServed(p, now) {
+	if !t.hasRoomForServed(p, now) {
 		return false
 	}
-	b.served[p] = at
+	t.served[p] = at
 	if releases {
-		b.release(h, "it was served", now)
+		t.release(h, "it was served", now)
 	}
-	b.judge(now)
+	t.judge(now)
 	return true
 }
 
 // rememberServed remembers for a while that a request was served which is not a suspect yet. An
 // end becomes known only after it is confirmed, and to other nodes even later.
-func (b *Tracker) rememberServed(p Fingerprint, at, now time.Time) {
-	if len(b.servedLately) >= maxServed {
-		maps.DeleteFunc(b.servedLately, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > b.rule.ConfirmTimeout })
+func (t *Tracker) rememberServed(p Fingerprint, at, now time.Time) {
+	if len(t.servedLately) >= maxServed {
+		maps.DeleteFunc(t.servedLately, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > t.rule.ConfirmTimeout })
 	}
-	if _, known := b.servedLately[p]; known || len(b.servedLately) < maxServed {
-		b.servedLately[p] = at
+	if _, known := t.servedLately[p]; known || len(t.servedLately) < maxServed {
+		t.servedLately[p] = at
 	}
 }
 
 // clearIfServedSince clears a suspect that was served after an end and announces that.
-func (b *Tracker) clearIfServedSince(p Fingerprint, end, now time.Time) {
-	at, known := b.servedLately[p]
-	if !known || at.Before(end) || !b.served[p].Before(at) || !b.hasRoomForServed(p, now) {
+func (t *Tracker) clearIfServedSince(p Fingerprint, end, now time.Time) {
+	at, known := t.servedLately[p]
+	if !known || at.Before(end) || !t.served[p].Before(at) || !t.hasRoomForServed(p, now) {
 		return
 	}
-	b.served[p] = at
-	b.outbox.addServed(p, at)
-	b.signalUrgent()
+	t.served[p] = at
+	t.outbox.addServed(p, at)
+	t.signalUrgent()
 }
 
 // hasRoomForServed reports whether one more served request can be recorded.
-func (b *Tracker) hasRoomForServed(p Fingerprint, now time.Time) bool {
-	if _, known := b.served[p]; known || len(b.served) < maxServed {
+func (t *Tracker) hasRoomForServed(p Fingerprint, now time.Time) bool {
+	if _, known := t.served[p]; known || len(t.served) < maxServed {
 		return true
 	}
-	maps.DeleteFunc(b.served, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > b.rule.Memory })
-	return len(b.served) < maxServed
+	maps.DeleteFunc(t.served, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > t.rule.Memory })
+	return len(t.served) < maxServed
 }
 
 // judge quarantines the requests to which enough ends are attributed, and releases those whose
 // ends are now attributed to another request.
-func (b *Tracker) judge(now time.Time) {
-	defer b.updateWatched()
-	if b.role() == Witness {
+func (t *Tracker) judge(now time.Time) {
+	defer t.updateWatched()
+	if t.role() == Witness {
 		return
 	}
-	attributed := attribute(b.ends, b.served, b.rule, b.held)
-	b.announceNear(attributed, now)
-	overLimit := attributed.overLimit(b.rule, b.requiredWeight)
+	attributed := attribute(t.ends, t.served, t.rule, t.held)
+	t.announceNear(attributed, now)
+	overLimit := attributed.overLimit(t.rule, t.requiredWeight)
 	for p, ends := range overLimit {
-		if h := b.held[p]; !h.inForce(now) && ends[len(ends)-1].at.After(h.holdEnd()) {
-			b.quarantine(p, ends, now)
+		if h := t.held[p]; !h.inForce(now) && ends[len(ends)-1].at.After(h.holdEnd()) {
+			t.quarantine(p, ends, now)
 		}
 	}
-	for p, h := range b.held {
-		if h.inForce(now) && b.attributedElsewhere(p, attributed) {
-			b.release(h, "the ends are attributed to another request", now)
+	for p, h := range t.held {
+		if h.inForce(now) && t.attributedElsewhere(p, attributed) {
+			t.release(h, "the ends are attributed to another request", now)
 		}
 	}
 }
 
 // announceNear announces the suspects that are one end short of quarantine. Nodes that do not
 // receive the ends need this to report when they serve one.
-func (b *Tracker) announceNear(attributed attribution, now time.Time) {
-	if b.role() != Judge {
+func (t *Tracker) announceNear(attributed attribution, now time.Time) {
+	if t.role() != Judge {
 		return
 	}
 	for p, ends := range attributed {
-		_, announced := b.near[p]
-		if n := occasions(ends, b.rule.Apart); !announced && n >= b.rule.Ends-1 && len(b.near) < maxNear {
+		_, announced := t.near[p]
+		if n := occasions(ends, t.rule.Apart); !announced && n >= t.rule.Ends-1 && len(t.near) < maxNear {
 			customer := ends[len(ends)-1].suspects[p].Customer
-			b.near[p] = nearSuspect{customer, now}
-			b.outbox.near = append(b.outbox.near, queued[NearReport]{NearReport{p, customer}, now, 1})
-			b.signalUrgent()
+			t.near[p] = nearSuspect{customer, now}
+			t.outbox.near = append(t.outbox.near, queued[NearReport]{NearReport{p, customer}, now, 1})
+			t.signalUrgent()
 		}
 	}
 }
 
 // requiredWeight returns the weight of attributed ends at which a request is quarantined. A request
 // whose hold expired without a release is tried once: one more end quarantines it again.
-func (b *Tracker) requiredWeight(p Fingerprint) int {
-	if h, known := b.held[p]; known && !h.Released {
+func (t *Tracker) requiredWeight(p Fingerprint) int {
+	if h, known := t.held[p]; known && !h.Released {
 		return underwayWeight
 	}
-	return b.rule.Ends * endWeight
+	return t.rule.Ends * endWeight
 }
 
 // attributedElsewhere reports whether this node knows the ends for which a request is quarantined but
 // attributes too few of them to it.
-func (b *Tracker) attributedElsewhere(p Fingerprint, attributed attribution) bool {
-	present := lo.Filter(b.ends, func(e *end, _ int) bool { _, present := e.suspects[p]; return present })
-	return occasions(present, b.rule.Apart) >= b.rule.Ends && weight(p, attributed[p], b.rule.Apart) < b.rule.Ends*endWeight && b.served[p].Before(present[0].at)
+func (t *Tracker) attributedElsewhere(p Fingerprint, attributed attribution) bool {
+	present := lo.Filter(t.ends, func(e *end, _ int) bool { _, present := e.suspects[p]; return present })
+	return occasions(present, t.rule.Apart) >= t.rule.Ends && weight(p, attributed[p], t.rule.Apart) < t.rule.Ends*endWeight && t.served[p].Before(present[0].at)
 }
 
-func (b *Tracker) quarantine(p Fingerprint, ends []*end, now time.Time) {
+func (t *Tracker) quarantine(p Fingerprint, ends []*end, now time.Time) {
 	s := ends[len(ends)-1].suspects[p]
-	before := b.held[p]
+	before := t.held[p]
 	round := before.Round + 1
 	h := Held{
-		Fingerprint: p, Round: round, Since: now, For: b.rule.holdFor(round), Customer: s.Customer, Route: s.Route,
+		Fingerprint: p, Round: round, Since: now, For: t.rule.holdFor(round), Customer: s.Customer, Route: s.Route,
 		Ends:     lo.Map(ends[max(len(ends)-maxNamedEnds, 0):], func(e *end, _ int) string { return e.incarnation.ID }),
 		Answered: lo.SomeBy(ends, func(e *end) bool { return e.suspects[p].Answered }),
 		Tried:    before.Round > 0 && !before.Released,
 	}
-	b.put(h, now)
-	b.outbox.addHeld(p)
-	b.signalUrgent()
-	b.observer.Judged(h)
+	t.put(h, now)
+	t.outbox.addHeld(p)
+	t.signalUrgent()
+	t.observer.Judged(h)
 }
 
 // put stores a quarantined or released request. Beyond the bound it drops the oldest entry,
 // beginning with those that are not in force.
-func (b *Tracker) put(h Held, now time.Time) {
-	b.held[h.Fingerprint] = h
-	if len(b.held) <= maxHeld {
+func (t *Tracker) put(h Held, now time.Time) {
+	t.held[h.Fingerprint] = h
+	if len(t.held) <= maxHeld {
 		return
 	}
-	all := lo.Values(b.held)
+	all := lo.Values(t.held)
 	slices.SortFunc(all, func(a, b Held) int {
 		if x, y := a.inForce(now), b.inForce(now); x != y {
 			return lo.Ternary(x, 1, -1)
 		}
 		return a.Since.Compare(b.Since)
 	})
-	delete(b.held, all[0].Fingerprint)
+	delete(t.held, all[0].Fingerprint)
 }
 
-func (b *Tracker) release(h Held, why string, now time.Time) {
+func (t *Tracker) release(h Held, why string, now time.Time) {
 	h.Released, h.Why, h.Stored = true, why, false
-	b.put(h, now)
-	b.outbox.addReleased(h.Fingerprint)
-	b.signalUrgent()
-	b.observer.Judged(h)
+	t.put(h, now)
+	t.outbox.addReleased(h.Fingerprint)
+	t.signalUrgent()
+	t.observer.Judged(h)
 }
 
 // Release releases a request on behalf of an operator. It returns false if the request is not
 // quarantined. Earlier ends no longer count.
-func (b *Tracker) Release(p Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h, ok := b.held[p]
+func (t *Tracker) Release(p Fingerprint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	h, ok := t.held[p]
 	if !ok || !h.inForce(now) {
 		return false
 	}
-	b.served[p] = now
-	b.release(h, "an operator let it go", now)
-	b.updateWatched()
+	t.served[p] = now
+	t.release(h, "an operator let it go", now)
+	t.updateWatched()
 	return true
 }
 
 // Stored records that the store holds the current state of a request, quarantined or released.
-func (b *Tracker) Stored(h Held) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known, ok := b.held[h.Fingerprint]; ok && known.sameState(h) {
+func (t *Tracker) Stored(h Held) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if known, ok := t.held[h.Fingerprint]; ok && known.sameState(h) {
 		known.Stored = true
-		b.held[h.Fingerprint] = known
+		t.held[h.Fingerprint] = known
 	}
 }
 
 // Lookup returns what is known of a request.
-func (b *Tracker) Lookup(p Fingerprint) (Held, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h, ok := b.held[p]
+func (t *Tracker) Lookup(p Fingerprint) (Held, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	h, ok := t.held[p]
 	return h, ok
 }
 
 // All returns the requests that are or were quarantined, in no particular order.
-func (b *Tracker) All() []Held {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return lo.Values(b.held)
+func (t *Tracker) All() []Held {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return lo.Values(t.held)
 }
 
 // List returns the quarantined requests, latest first.
-func (b *Tracker) List(now time.Time) []Held {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := lo.Filter(lo.Values(b.held), func(h Held, _ int) bool { return h.inForce(now) })
+func (t *Tracker) List(now time.Time) []Held {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := lo.Filter(lo.Values(t.held), func(h Held, _ int) bool { return h.inForce(now) })
 	slices.SortFunc(all, func(a, b Held) int { return b.Since.Compare(a.Since) })
 	return all
 }
 
 // updateWatched updates the set of customers whose requests need a fingerprint.
-func (b *Tracker) updateWatched() {
+func (t *Tracker) updateWatched() {
 	customers := map[string]bool{}
-	for _, e := range b.ends {
+	for _, e := range t.ends {
 		for _, s := range e.suspects {
 			customers[s.Customer] = true
 		}
 	}
-	for _, n := range b.near {
+	for _, n := range t.near {
 		customers[n.customer] = true
 	}
-	for _, h := range b.held {
+	for _, h := range t.held {
 		if !h.Released {
 			customers[h.Customer] = true
 		}
 	}
-	b.watched.Store(&customers)
+	t.watched.Store(&customers)
 }
 
 // Urgent signals updates that should be sent before the next heartbeat.
-func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
-func (b *Tracker) signalUrgent() {
+func (t *Tracker) signalUrgent() {
 	select {
-	case b.urgent <- struct{}{}:
+	case t.urgent <- struct{}{}:
 	default: // already signaled
 	}
 }
--- a/fleet/relay/suspicion/findings.go
+++ b/fleet/relay/suspicion/findings.go
@@ -29,14 +29,14 @@
 }
 
 // findings collects the failures after a time.
-func (b *Tracker) findings(e engine.Engine, from, now time.Time) findings {
+func (t *Tracker) findings(e engine.Engine, from, now time.Time) findings {
 	f := findings{senders: map[string]bool{}}
-	if s, ok := b.ownSuspicion(e.Incarnation(), now); ok && s.at.After(from) && !b.ownLinkFails(e, now) {
-		f.add(b.self, s.at, s.outcome == Interrupted, now)
-		f.senders[b.self] = true
+	if s, ok := t.ownSuspicion(e.Incarnation(), now); ok && s.at.After(from) && !t.ownLinkFails(e, now) {
+		f.add(t.self, s.at, s.outcome == Interrupted, now)
+		f.senders[t.self] = true
 	}
-	for reporter, v := range b.received[e.Incarnation()] {
-		if !v.last.After(from) || !b.fleet.isRelevant(b.zone, reporter, e) || b.fleet.exceedsLinkShare(b.suspectedBy(reporter, now), e, b.rule.LinkShare) {
+	for reporter, v := range t.received[e.Incarnation()] {
+		if !v.last.After(from) || !t.fleet.isRelevant(t.zone, reporter, e) || t.fleet.exceedsLinkShare(t.suspectedBy(reporter, now), e, t.rule.LinkShare) {
 			continue
 		}
 		f.add(reporter, v.last, v.interrupted, now)
@@ -67,29 +67,29 @@
 
 // ownSuspicion returns the last failure of this node's calls at an endpoint, if enough of its
 // recent calls failed.
-func (b *Tracker) ownSuspicion(incarnation engine.Incarnation, now time.Time) (result, bool) {
-	calls, failures, last := b.own[incarnation].since(now.Add(-b.rule.Window))
-	return last, failures > 0 && float64(failures) >= b.rule.FailureShare*float64(calls)
+func (t *Tracker) ownSuspicion(incarnation engine.Incarnation, now time.Time) (result, bool) {
+	calls, failures, last := t.own[incarnation].since(now.Add(-t.rule.Window))
+	return last, failures > 0 && float64(failures) >= t.rule.FailureShare*float64(calls)
 }
 
 // ownLinkFails reports whether this node suspects so many endpoints that its own link has
 // probably failed.
-func (b *Tracker) ownLinkFails(e engine.Engine, now time.Time) bool {
+func (t *Tracker) ownLinkFails(e engine.Engine, now time.Time) bool {
 	var suspected []engine.Engine
-	for incarnation := range b.own {
-		if _, ok := b.ownSuspicion(incarnation, now); ok {
-			suspected = append(suspected, b.fleet.engines[incarnation])
+	for incarnation := range t.own {
+		if _, ok := t.ownSuspicion(incarnation, now); ok {
+			suspected = append(suspected, t.fleet.engines[incarnation])
 		}
 	}
-	return b.fleet.exceedsLinkShare(suspected, e, b.rule.LinkShare)
+	return t.fleet.exceedsLinkShare(suspected, e, t.rule.LinkShare)
 }
 
 // suspectedBy returns the endpoints at which a node observed failures lately.
-func (b *Tracker) suspectedBy(reporter string, now time.Time) []engine.Engine {
+func (t *Tracker) suspectedBy(reporter string, now time.Time) []engine.Engine {
 	var suspected []engine.Engine
-	for incarnation, of := range b.received {
-		if v, ok := of[reporter]; ok && now.Sub(v.last) < b.rule.Window {
-			suspected = append(suspected, b.fleet.engines[incarnation])
+	for incarnation, of := range t.received {
+		if v, ok := of[reporter]; ok && now.Sub(v.last) < t.rule.Window {
+			suspected = append(suspected, t.fleet.engines[incarnation])
 		}
 	}
 	return suspected
--- a/fleet/relay/suspicion/tracker.go
+++ b/fleet/relay/suspicion/tracker.go
@@ -61,16 +61,16 @@
 }
 
 // noneAvoided reports whether no endpoint is avoided.
-func (b *Tracker) noneAvoided(now time.Time) bool { return !now.Before(*b.avoidedUntil.Load()) }
+func (t *Tracker) noneAvoided(now time.Time) bool { return !now.Before(*t.avoidedUntil.Load()) }
 
 // Engines sets the known endpoints. The state of other incarnations is dropped.
-func (b *Tracker) Engines(all []engine.Engine) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fleet = b.fleet.withEngines(all)
-	dropGone(b.own, b.fleet)
-	dropGone(b.received, b.fleet)
-	dropGone(b.periods, b.fleet)
+func (t *Tracker) Engines(all []engine.Engine) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.fleet = t.fleet.withEngines(all)
+	dropGone(t.own, t.fleet)
+	dropGone(t.received, t.fleet)
+	dropGone(t.periods, t.fleet)
 }
 
 func dropGone[T any](of map[engine.Incarnation]T, f fleet) {
@@ -82,63 +82,63 @@
 }
 
 // Nodes sets the known nodes and their zones.
-func (b *Tracker) Nodes(zones map[string]string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fleet = b.fleet.withNodes(zones)
+func (t *Tracker) Nodes(zones map[string]string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.fleet = t.fleet.withNodes(zones)
 }
 
 // Observe records the outcome of a call of this node.
-func (b *Tracker) Observe(incarnation engine.Incarnation, o Outcome, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, listed := b.fleet.engines[incarnation]; !listed {
+func (t *Tracker) Observe(incarnation engine.Incarnation, o Outcome, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, listed := t.fleet.engines[incarnation]; !listed {
 		return
 	}
-	_, suspected := b.ownSuspicion(incarnation, now)
-	b.own[incarnation] = b.own[incarnation].with(result{now, o}, b.rule.Window)
-	if s, ok := b.periods[incarnation]; ok {
+	_, suspected := t.ownSuspicion(incarnation, now)
+	t.own[incarnation] = t.own[incarnation].with(result{now, o}, t.rule.Window)
+	if s, ok := t.periods[incarnation]; ok {
 		s.probe = now
-		b.periods[incarnation] = s
+		t.periods[incarnation] = s
 	}
 	if o != Succeeded {
-		b.failed, b.last = true, now
+		t.failed, t.last = true, now
 		if !suspected {
-			b.signalUrgent()
+			t.signalUrgent()
 		}
-		b.evaluate(incarnation, now)
+		t.evaluate(incarnation, now)
 		return
 	}
-	if s, ok := b.periods[incarnation]; ok && !s.recovered && b.healthyHere(incarnation, now) {
+	if s, ok := t.periods[incarnation]; ok && !s.recovered && t.healthyHere(incarnation, now) {
 		s.until, s.recovered = now, true
-		b.periods[incarnation] = s
+		t.periods[incarnation] = s
 	}
 }
 
 // Avoids reports whether a call is to avoid the endpoint if others can take it. The key is a
 // hash of the call. Idempotent calls (again) probe the endpoint before the suspicion period
 // ends.
-func (b *Tracker) Avoids(incarnation engine.Incarnation, again bool, key uint64, now time.Time) bool {
-	if b.noneAvoided(now) {
+func (t *Tracker) Avoids(incarnation engine.Incarnation, again bool, key uint64, now time.Time) bool {
+	if t.noneAvoided(now) {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s, ok := b.periods[incarnation]
-	if !ok || !now.Before(s.until.Add(b.slot(incarnation, s))) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, ok := t.periods[incarnation]
+	if !ok || !now.Before(s.until.Add(t.slot(incarnation, s))) {
 		return false
 	}
-	probing := s.until.Sub(now) < time.Duration(b.rule.ProbeShare*float64(s.hold))
-	return !again || !probing || key%b.rule.ProbeOneIn != 0 || now.Sub(s.probe) < b.rule.ProbeInterval
+	probing := s.until.Sub(now) < time.Duration(t.rule.ProbeShare*float64(s.hold))
+	return !again || !probing || key%t.rule.ProbeOneIn != 0 || now.Sub(s.probe) < t.rule.ProbeInterval
 }
 
 // slot returns how much later than the first node this one uses the endpoint again.
-func (b *Tracker) slot(incarnation engine.Incarnation, s period) time.Duration {
+func (t *Tracker) slot(incarnation engine.Incarnation, s period) time.Duration {
 	if s.recovered {
 		return 0
 	}
-	share := float64(ident.Mix(xxhash.Sum64String(b.self)^xxhash.Sum64String(incarnation.ID))>>slotShift) / (1 << (64 - slotShift))
-	return time.Duration(share * float64(min(s.hold, b.rule.Spread)))
+	share := float64(ident.Mix(xxhash.Sum64String(t.self)^xxhash.Sum64String(incarnation.ID))>>slotShift) / (1 << (64 - slotShift))
+	return time.Duration(share * float64(min(s.hold, t.rule.Spread)))
 }
 
 // slotShift leaves as many bits of a hash as a float64 has in its fraction.
@@ -149,53 +149,53 @@
 const sameFailure = 100 * time.Millisecond
 
 // evaluate starts or extends a suspicion period if enough nodes observed failures.
-func (b *Tracker) evaluate(incarnation engine.Incarnation, now time.Time) {
-	e := b.fleet.engines[incarnation]
-	before, known := b.periods[incarnation]
+func (t *Tracker) evaluate(incarnation engine.Incarnation, now time.Time) {
+	e := t.fleet.engines[incarnation]
+	before, known := t.periods[incarnation]
 	running := known && now.Before(before.until)
-	from := now.Add(-b.rule.Window)
+	from := now.Add(-t.rule.Window)
 	if known && !running && before.last.After(from) {
 		from = before.last.Add(sameFailure) // failures behind the last period don't start another
 	}
-	f := b.findings(e, from, now)
-	if b.healthyHere(incarnation, now) || !f.sufficient(b.rule, b.fleet.reporters(b.zone, e)) {
+	f := t.findings(e, from, now)
+	if t.healthyHere(incarnation, now) || !f.sufficient(t.rule, t.fleet.reporters(t.zone, e)) {
 		return
 	}
-	s := period{last: f.last, hold: b.rule.Hold, interrupted: f.interrupted >= b.rule.MinReporters, probe: before.probe}
-	repeated := known && now.Sub(before.until) < b.rule.RepeatWindow
+	s := period{last: f.last, hold: t.rule.Hold, interrupted: f.interrupted >= t.rule.MinReporters, probe: before.probe}
+	repeated := known && now.Sub(before.until) < t.rule.RepeatWindow
 	switch {
 	case running:
 		s.hold, s.interrupted = before.hold, s.interrupted || before.interrupted
 	case repeated:
-		s.hold = min(2*before.hold, b.rule.MaxHold)
+		s.hold = min(2*before.hold, t.rule.MaxHold)
 	}
 	s.until = s.last.Add(s.hold)
-	if !s.until.After(now) || running && s.last.Sub(before.last) < sameFailure || !running && !b.hasRoom(e.Service, s.interrupted, now) {
+	if !s.until.After(now) || running && s.last.Sub(before.last) < sameFailure || !running && !t.hasRoom(e.Service, s.interrupted, now) {
 		return
 	}
-	b.periods[incarnation], b.extended = s, true
-	if over := s.until.Add(min(s.hold, b.rule.Spread)); over.After(*b.avoidedUntil.Load()) {
-		b.avoidedUntil.Store(&over)
+	t.periods[incarnation], t.extended = s, true
+	if over := s.until.Add(min(s.hold, t.rule.Spread)); over.After(*t.avoidedUntil.Load()) {
+		t.avoidedUntil.Store(&over)
 	}
 	if !running {
-		b.started = true
-		b.signalUrgent()
-		b.avoided(Avoided{Engine: e, Reporters: f.reporters, For: s.until.Sub(now), Again: repeated})
+		t.started = true
+		t.signalUrgent()
+		t.avoided(Avoided{Engine: e, Reporters: f.reporters, For: s.until.Sub(now), Again: repeated})
 	}
 }
 
 // hasRoom reports whether one more endpoint of a service may be avoided due to reports. If the
 // maximum is reached, an endpoint that interrupts calls replaces one that only fails some of
 // them.
-func (b *Tracker) hasRoom(service string, interrupted bool, now time.Time) bool {
-	listed := b.fleet.perService[service]
+func (t *Tracker) hasRoom(service string, interrupted bool, now time.Time) bool {
+	listed := t.fleet.perService[service]
 	if listed < 2 {
 		return false
 	}
 	avoidedCount := 0
 	var replaceable *engine.Incarnation
-	for incarnation, s := range b.periods {
-		if !now.Before(s.until) || b.fleet.engines[incarnation].Service != service {
+	for incarnation, s := range t.periods {
+		if !now.Before(s.until) || t.fleet.engines[incarnation].Service != service {
 			continue
 		}
 		avoidedCount++
@@ -203,31 +203,31 @@
 			replaceable = &incarnation
 		}
 	}
-	if avoidedCount < max(int(b.rule.MaxAvoided*float64(listed)), 1) {
+	if avoidedCount < max(int(t.rule.MaxAvoided*float64(listed)), 1) {
 		return true
 	}
 	if !interrupted || replaceable == nil {
 		return false
 	}
-	s := b.periods[*replaceable]
+	s := t.periods[*replaceable]
 	s.until, s.recovered = now, true
-	b.periods[*replaceable] = s
+	t.periods[*replaceable] = s
 	return true
 }
 
 // Urgent is signaled when something should be sent before the next gossip interval: the first
 // recent failure at an endpoint, or the start of a suspicion period.
-func (b *Tracker) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
-func (b *Tracker) signalUrgent() {
+func (t *Tracker) signalUrgent() {
 	select {
-	case b.urgent <- struct{}{}:
+	case t.urgent <- struct{}{}:
 	default: // a signal is pending
 	}
 }
 
 // healthyHere reports whether this node's own recent calls succeeded.
-func (b *Tracker) healthyHere(incarnation engine.Incarnation, now time.Time) bool {
-	calls, failures, _ := b.own[incarnation].since(now.Add(-b.rule.Window))
-	return failures == 0 && calls >= b.rule.OwnSuccesses
+func (t *Tracker) healthyHere(incarnation engine.Incarnation, now time.Time) bool {
+	calls, failures, _ := t.own[incarnation].since(now.Add(-t.rule.Window))
+	return failures == 0 && calls >= t.rule.OwnSuccesses
 }
--- a/fleet/relay/suspicion/tracker_test.go
+++ b/fleet/relay/suspicion/tracker_test.go
@@ -36,8 +36,8 @@
 	return w
 }
 
-func (b *Tracker) avoidsOnce(endpoint int, now time.Time) bool {
-	return b.Avoids(incarnationOf(endpoint), false, 0, now)
+func (t *Tracker) avoidsOnce(endpoint int, now time.Time) bool {
+	return t.Avoids(incarnationOf(endpoint), false, 0, now)
 }
 
 // An endpoint is avoided only if two nodes report failures, or one does beside an own failure. A
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -23,8 +23,8 @@
 func (n *Node) logAvoided(a suspicion.Avoided) {
 	fields := log.Fields{
 		"endpoint": a.Engine.ID, "born": a.Engine.Born, "service": a.Engine.Service, "zone": a.Engine.Zone, "forMs": a.For.Milliseconds(), "again": a.Again,
-		"tellers": lo.Map(a.Reporters, func(t suspicion.Reporter, _ int) string { return t.Node }),
-		"ageMs":   lo.Map(a.Reporters, func(t suspicion.Reporter, _ int) int64 { return t.AgeMs }),
+		"tellers": lo.Map(a.Reporters, func(r suspicion.Reporter, _ int) string { return r.Node }),
+		"ageMs":   lo.Map(a.Reporters, func(r suspicion.Reporter, _ int) int64 { return r.AgeMs }),
 	}
 	n.log.WithFields(fields).Info("endpoint avoided: nodes report failures")
 }
