--- a/fleet/backend/backend.go
+++ b/fleet/backend/backend.go
@@ -51,7 +51,7 @@
 // State is the state of a run at its engine.
 type State string
 
-// The states of a run at an engine; StateNever means that it never started there.
+// The states of a run at an engine; StateNeverStarted means that it never started there.
 const (
 	StateNeverStarted State = "never-started"
 	StateQueued       State = "queued"
--- a/fleet/clock/stall.go
+++ b/fleet/clock/stall.go
@@ -22,7 +22,7 @@
 	reported bool
 }
 
-// NewStallDetector returns a detector that starts now. Look has to be called periodically.
+// NewStallDetector returns a detector that starts now. Check has to be called periodically.
 func NewStallDetector() *StallDetector { return newStallDetector(Now) }
 
 func newStallDetector(now func() time.Time) *StallDetector {
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -273,7 +273,7 @@
 	Random func(n int) int
 }
 
-// Message is a Listed, Heard or Ticked.
+// Message is a Listed, Received or Ticked.
 type Message interface{ message() }
 
 func (Listed) message()   {}
--- a/fleet/peer/wire.go
+++ b/fleet/peer/wire.go
@@ -62,7 +62,7 @@
 	Store  bool          `json:"store,omitempty"`
 }
 
-// ClaimResponse answers a Claiming with the record that already holds the key, or with a refusal.
+// ClaimResponse answers a ClaimRequest with the record that already holds the key, or with a refusal.
 type ClaimResponse struct {
 	Existing *holder.Record   `json:"existing,omitempty"`
 	Refused  *problem.Problem `json:"refused,omitempty"`
@@ -79,7 +79,7 @@
 	Records []holder.Record `json:"records"`
 }
 
-// StoreResponse answers a Storing with the holder that is fenced at the witness, if any.
+// StoreResponse answers a StoreRequest with the holder that is fenced at the witness, if any.
 type StoreResponse struct {
 	Fenced ident.Incarnation `json:"fenced,omitempty"`
 }
@@ -94,7 +94,7 @@
 	Holder ident.Incarnation `json:"holder"`
 }
 
-// FenceResponse answers a Fencing with the witness's records of the fenced holder.
+// FenceResponse answers a FenceRequest with the witness's records of the fenced holder.
 type FenceResponse struct {
 	From    ident.Incarnation  `json:"from"`
 	Records []holder.Record    `json:"records"`
@@ -110,7 +110,7 @@
 	For ident.Incarnation `json:"for,omitempty"`
 }
 
-// SurrenderResponse answers a Surrendering with the tokens returned to the pool.
+// SurrenderResponse answers a SurrenderRequest with the tokens returned to the pool.
 type SurrenderResponse struct {
 	Tokens int64 `json:"tokens"`
 }
@@ -120,7 +120,7 @@
 	Line limit.Line `json:"line"`
 }
 
-// LendResponse answers a Lending with the share that was lent, 0 to 1 of the whole limit.
+// LendResponse answers a LendRequest with the share that was lent, 0 to 1 of the whole limit.
 type LendResponse struct {
 	Part float64 `json:"part"`
 }
--- a/fleet/relay/account/fleet.go
+++ b/fleet/relay/account/fleet.go
@@ -39,7 +39,7 @@
 	Others     float64 // demand on the other nodes, by the reports received here
 	All        float64 // demand on all nodes, as reported by nodes that receive all reports
 	Dependents float64 // share of Others for which this node draws
-	Fast       float64 // same as Clients, over about the last second
+	Fast       float64 // same as Dependents, over about the last second
 	Left       int64   // upper bound of the whole budget's remainder, by a reader of the ledger; 0 is unknown
 }
 
--- a/fleet/relay/call/call.go
+++ b/fleet/relay/call/call.go
@@ -56,11 +56,11 @@
 // Limit is the rate limit that an endpoint under pressure sets in its answers, for the calls of all
 // nodes together.
 type Limit struct {
-	PerSecond float64 // calls; valid if Named, not negative
+	PerSecond float64 // calls; valid if Kind is ValidLimit, not negative
 	Kind      LimitKind
 }
 
-// LimitKind tells whether an answer contains a limit.
+// LimitKind describes whether an answer contains a limit.
 type LimitKind int
 
 // Kinds of limits in an answer.
--- a/fleet/relay/peer/delegates.go
+++ b/fleet/relay/peer/delegates.go
@@ -11,7 +11,7 @@
 	silenceTimeout = 4 * time.Second  // after which a silent delegate of the region is replaced
 	replacedFor    = 15 * time.Second // after which it may be chosen again, in case it is available again
 	maxZoneWriters = 4                // delegates of a zone, including spares for ones that do not reach the store
-	maxZoneTried   = 16               // delegates of a zone of which many became silent, until two of them are heard
+	maxZoneTried   = 16               // delegates of a zone of which many became silent, until two of them are received from
 )
 
 // delegates chooses the nodes that write the ledger, and tracks since when each is expected
@@ -31,7 +31,7 @@
 	return &delegates{self: self, near: func(string) bool { return true }, since: map[string]time.Time{}, suspected: map[string]bool{}}
 }
 
-// peerState is when a node was last heard from, and what it reported about itself.
+// peerState is when a node was last received from, and what it reported about itself.
 type peerState struct {
 	at          time.Time
 	storeLost   bool // it does not reach the store
@@ -65,7 +65,7 @@
 
 // pick picks the first two of each zone in order. If replacements of silent delegates become
 // silent too, many nodes were lost: then as many more are picked as are silent, until two
-// of them are heard. So a zone with one node left finds it in about three rounds instead of
+// of them are received from. So a zone with one node left finds it in about three rounds instead of
 // one round for each pair of nodes it had.
 func (d *delegates) pick(healthy, silent []Member, state func(name string) peerState, now time.Time) map[string]bool {
 	silentIn := lo.CountValuesBy(silent, func(m Member) string { return m.Zone })
--- a/fleet/relay/peer/delegates_test.go
+++ b/fleet/relay/peer/delegates_test.go
@@ -35,7 +35,7 @@
 	return m.Name
 }
 
-// pass lets time pass, during which the senders are heard every second.
+// pass lets time pass, during which messages of the senders are received every second.
 func (v *view) pass(d *delegates, length time.Duration, senders func() map[string]bool) map[string]bool {
 	for end := v.now.Add(length); v.now.Before(end); v.now = v.now.Add(time.Second) {
 		for name := range senders() {
@@ -78,7 +78,7 @@
 	before := maps.Clone(d.choose(v.members, v.stateOf, v.now))
 	for _, m := range v.members {
 		if !before[m.Name] && m.LinkMbps == 200 {
-			v.states[m.Name] = peerState{at: v.now.Add(-time.Minute)} // heard from once, long ago
+			v.states[m.Name] = peerState{at: v.now.Add(-time.Minute)} // received from once, long ago
 		}
 	}
 	dead := v.near(before)
@@ -90,7 +90,7 @@
 	assert.Equal(t, 200.0, one.LinkMbps, "the next in order, though it sent nothing for a minute")
 }
 
-// A replaced delegate is chosen again once it is heard from.
+// A replaced delegate is chosen again once it is received from.
 func TestASilentWriterIsChosenAgain(t *testing.T) {
 	v := newView(295)
 	d := newDelegates(v.members[100])
--- a/fleet/relay/peer/gossip_test.go
+++ b/fleet/relay/peer/gossip_test.go
@@ -114,7 +114,7 @@
 // Nodes report their demand to their zone's writers, and these send each other sums. The total
 // known to all must count each node's demand once.
 func TestFleetDemandIsCountedOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // demand decays with time, which stands still here
+	synctest.Test(t, func(t *testing.T) { // demand decays with time, which does not advance here
 		all := members(295)
 		for i := range all {
 			all[i].Address = fmt.Sprint("10.0.0.1:", 1000+i)
--- a/fleet/relay/peer/quarantine.go
+++ b/fleet/relay/peer/quarantine.go
@@ -46,7 +46,7 @@
 	}
 	judges, all := g.quarantine.Updates(clock.Now())
 	if judges.None() && all.None() {
-		return // the usual case at a beat
+		return // the typical case at a beat
 	}
 	near, far := g.delegateAddresses(delegates)
 	if !judges.None() {
--- a/fleet/relay/peer/registry.go
+++ b/fleet/relay/peer/registry.go
@@ -114,7 +114,7 @@
 }
 
 // Maximum lag of the list of nodes. In a small fleet each node's share of the budgets depends
-// on the list; in a large one the few nodes that write the ledger hear from each other.
+// on the list; in a large one the few nodes that write the ledger receive from each other.
 const (
 	smallFleetRest = 300 * time.Millisecond
 	largeFleetRest = time.Second
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -139,7 +139,7 @@
 }
 
 // FirstDelegate reports whether this node comes first, in the order that all nodes share,
-// among the delegates that are heard and reach the store. A delegate that does not know the
+// among the delegates that are received from and reach the store. A delegate that does not know the
 // age of a status comes after those that observed it being written, and so know its age.
 func (g *Gossip) FirstDelegate() bool {
 	g.chooseMu.Lock()
@@ -153,7 +153,7 @@
 	return ok && first.Name == g.registry.self.Name
 }
 
-// mayWrite reports whether a delegate is heard and, by its own report, reaches the store.
+// mayWrite reports whether a delegate is received from and, by its own report, reaches the store.
 func (g *Gossip) mayWrite(m Member) bool {
 	if m.Name == g.registry.self.Name {
 		return !g.storeLost() && !g.rollouts.Out(clock.Now())
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -15,7 +15,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// fakeTalk is a RolloutTalk that provides fixed reports and records received ones.
+// fakeTalk is a RolloutExchange that provides fixed reports and records received ones.
 type fakeTalk struct {
 	seen []RolloutEvidence
 	bad  []rollout.AnnounceBad
@@ -72,7 +72,7 @@
 	}
 }
 
-// The first delegate in the common order that is heard and reaches the store writes.
+// The first delegate in the common order that is received from and reaches the store writes.
 func TestTheFirstDelegateIsOneThatReachesTheStore(t *testing.T) {
 	order := []Member{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	now := time.Now()
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -33,7 +33,7 @@
 
 func (c resetStrategy) served(p Fingerprint, _ time.Time) { delete(c.countStrategy, p) }
 
-// trackerStrategy uses a Book.
+// trackerStrategy uses a Tracker.
 type trackerStrategy struct{ *node }
 
 func (j trackerStrategy) interrupt(e int, incarnation int64, under []Suspect, now time.Time) {
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -12,7 +12,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Observer is notified of what a Book finds. It is called with the Book's lock held.
+// Observer is notified of what a Tracker finds. It is called with the Tracker's lock held.
 type Observer interface {
 	// Verify starts a check whether an endpoint has ended and returns at once. If the
 	// endpoint has ended, the check calls Ended.
@@ -66,7 +66,7 @@
 	Peer                // decides like a judge, in a fleet where every node does
 )
 
-// NewTracker returns an empty Book. It calls role whenever it needs the node's current role.
+// NewTracker returns an empty Tracker. It calls role whenever it needs the node's current role.
 func NewTracker(r Rule, observer Observer, role func() Role) *Tracker {
 	b := &Tracker{
 		rule: r, observer: observer, role: role, urgent: make(chan struct{}, 1),
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -16,7 +16,7 @@
 
 var noon = time.Unix(1000, 0)
 
-// notifications records the notifications of a Book.
+// notifications records the notifications of a Tracker.
 type notifications struct {
 	verified     []engine.Engine
 	endsObserved int
@@ -29,7 +29,7 @@
 
 func fixedRole(r Role) func() Role { return func() Role { return r } }
 
-// node is one node's Book with a clock that the test advances.
+// node is one node's Tracker with a clock that the test advances.
 type node struct {
 	*Tracker
 	*notifications
--- a/fleet/relay/rollout/decider.go
+++ b/fleet/relay/rollout/decider.go
@@ -26,7 +26,7 @@
 	rule          Rule
 	rollout       Rollout
 	known         bool
-	orderStart    time.Time // by this node's steady clock, as far as the status tells
+	orderStart    time.Time // by this node's monotonic clock, as far as the status tells
 	judge         Judge
 	firstEvidence Evidence // when nodes first reported, for the call rates
 	firstAt       time.Time
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -16,7 +16,7 @@
 	Unreachable bool          // no answer came: no connection, a reset or silence; implies Failed
 	Cold        bool          // the endpoint signals a cold start: its slowness isn't counted
 	Now         time.Time     // by the node's steady clock
-	Sent        bool          // Recorder.Sent counted the call when it was sent
+	Sent        bool          // Recorder.RecordSent counted the call when it was sent
 	Slowness    float64       // time taken over time expected for its prompt and the load; 0 if unknown
 	Took        time.Duration // until the first event, or all of a plain call; 0 if unknown
 	Since       time.Time     // when the attempt was sent; zero if unknown
--- a/fleet/relay/rollout/gathered.go
+++ b/fleet/relay/rollout/gathered.go
@@ -14,7 +14,7 @@
 	byIncarnation map[string]Evidence
 }
 
-// NewEvidenceTracker returns an empty Gathered for an order.
+// NewEvidenceTracker returns an empty EvidenceTracker for an order.
 func NewEvidenceTracker(service string, made int64) *EvidenceTracker {
 	return &EvidenceTracker{service: service, made: made, byIncarnation: map[string]Evidence{}}
 }
--- a/fleet/relay/rollout/recorder.go
+++ b/fleet/relay/rollout/recorder.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Add records an answer and reports whether it counts as bad. A call that was counted by Sent may be
+// Add records an answer and reports whether it counts as bad. A call that was counted by RecordSent may be
 // added twice, by its first event and by its end, unless the first counted as bad; any other call
 // once. Attempts without an answer count as failures once the endpoint answers this node again soon,
 // and not at all if more than a few come in a row.
--- a/fleet/relay/store/again.go
+++ b/fleet/relay/store/again.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // Relist makes a follower list its kind at once instead of waiting for its watch to end.
-// It is safe for concurrent use; a nil Again never requests a list.
+// It is safe for concurrent use; a nil Relist never requests a list.
 type Relist struct {
 	mu    sync.Mutex
 	watch chan struct{} // closed to end the current watch
--- a/fleet/relay/store/sourced.go
+++ b/fleet/relay/store/sourced.go
@@ -13,7 +13,7 @@
 )
 
 // Reader answers lists and watches. It gives up by itself if no answer begins within
-// AnswerBegins after the wait of a watch.
+// AnswerTimeout after the wait of a watch.
 type Reader interface {
 	List(ctx context.Context, kind string) ([]Object, Revision, error)
 	Watch(ctx context.Context, kind string, since Revision, wait time.Duration) ([]Event, Revision, error)
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -265,7 +265,7 @@
 
 var _ peer.RolloutExchange = (*trials)(nil)
 
-// Own implements peer.RolloutTalk.
+// Own implements peer.RolloutExchange.
 func (t *trials) Own(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,7 +288,7 @@
 	return report{old: t.picker.InFlight(slices.Values(o.ids)), longest: o.durations.longest(now), at: now}
 }
 
-// Zone implements peer.RolloutTalk.
+// Zone implements peer.RolloutExchange.
 func (t *trials) Zone(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -329,7 +329,7 @@
 	return own
 }
 
-// Bad implements peer.RolloutTalk.
+// Bad implements peer.RolloutExchange.
 func (t *trials) Bad() []rollout.AnnounceBad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -339,21 +339,21 @@
 	})
 }
 
-// Out implements peer.RolloutTalk.
+// Out implements peer.RolloutExchange.
 func (t *trials) Out(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.storeFailedUntil)
 }
 
-// AgeUnknown implements peer.RolloutTalk.
+// AgeUnknown implements peer.RolloutExchange.
 func (t *trials) AgeUnknown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.AgeUnknown })
 }
 
-// Receive implements peer.RolloutTalk.
+// Receive implements peer.RolloutExchange.
 func (t *trials) Receive(from peer.Sender, w peer.RolloutReport, now time.Time) {
 	t.mu.Lock()
 	for _, seen := range w.Evidence {
