--- a/fleet/clock/stall.go
+++ b/fleet/clock/stall.go
@@ -31,39 +31,39 @@
 
 // Check checks for a stall that has just ended. It returns the length of the last stall once,
 // and zero if there was none since it last returned one.
-func (s *StallDetector) Check() time.Duration {
-	s.observe()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.reported || s.ended.IsZero() {
+func (d *StallDetector) Check() time.Duration {
+	d.observe()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.reported || d.ended.IsZero() {
 		return 0
 	}
-	s.reported = true
-	return s.lasted
+	d.reported = true
+	return d.lasted
 }
 
 // observe records a stall that has just ended; ended is the end of the last one.
-func (s *StallDetector) observe() (now, ended time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now = s.now()
-	if elapsed := now.Sub(s.checked); elapsed >= minStall {
-		s.ended, s.lasted, s.reported = now, elapsed, false
+func (d *StallDetector) observe() (now, ended time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now = d.now()
+	if elapsed := now.Sub(d.checked); elapsed >= minStall {
+		d.ended, d.lasted, d.reported = now, elapsed, false
 	}
-	s.checked = now
-	return now, s.ended
+	d.checked = now
+	return now, d.ended
 }
 
 // StalledSince reports whether the process has stalled since a time of this clock.
-func (s *StallDetector) StalledSince(t time.Time) bool {
-	_, ended := s.observe()
+func (d *StallDetector) StalledSince(t time.Time) bool {
+	_, ended := d.observe()
 	return ended.After(t)
 }
 
 // Backlog returns for how much longer the backlog after a stall may be unread; zero if there
 // was no recent stall.
-func (s *StallDetector) Backlog() time.Duration {
-	now, ended := s.observe()
+func (d *StallDetector) Backlog() time.Duration {
+	now, ended := d.observe()
 	if ended.IsZero() {
 		return 0
 	}
--- a/fleet/relay/account/slots.go
+++ b/fleet/relay/account/slots.go
@@ -13,11 +13,11 @@
 }
 
 // cycle returns the time in which each writer has one slot.
-func (t Slot) cycle() time.Duration {
-	if t.Of <= 1 {
+func (s Slot) cycle() time.Duration {
+	if s.Of <= 1 {
 		return 0
 	}
-	return time.Duration(t.Of) * t.Length
+	return time.Duration(s.Of) * s.Length
 }
 
 // slotShare is the share of a slot in which a write may begin.
@@ -25,14 +25,14 @@
 
 // wait returns the time until this writer's slot: 0 during the slot, or if no write is known.
 // Slots rotate while nobody writes.
-func (t Slot) wait(now time.Time) time.Duration {
-	cycle := t.cycle()
-	if cycle <= 0 || t.LastWrite.IsZero() {
+func (s Slot) wait(now time.Time) time.Duration {
+	cycle := s.cycle()
+	if cycle <= 0 || s.LastWrite.IsZero() {
 		return 0
 	}
-	begins := time.Duration(t.After) * t.Length
-	into := (now.Sub(t.LastWrite)%cycle - begins + cycle) % cycle
-	if into < time.Duration(slotShare*float64(t.Length)) {
+	begins := time.Duration(s.After) * s.Length
+	into := (now.Sub(s.LastWrite)%cycle - begins + cycle) % cycle
+	if into < time.Duration(slotShare*float64(s.Length)) {
 		return 0
 	}
 	return cycle - into
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -205,11 +205,11 @@
 	f.places = distance.From("z", testRegions, distance.DefaultCosts())
 	f.handler = forward.New(forward.Options{
 		Wire: plainWire{}, Policy: &f.inForce, Engines: &f.directory, Trials: &f.trials, Samples: &f.samples, Allowance: f.allowance, TokenSource: noSource{},
-		Picker:  f.picker,
-		Stalled: func(time.Time) bool { return f.stalled.Load() },
-		Returns: limit.NewReturns(),
-		Retries: retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
-		Gate:    &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
+		Picker:        f.picker,
+		Stalled:       func(time.Time) bool { return f.stalled.Load() },
+		RetrySchedule: limit.NewRetrySchedule(),
+		Retries:       retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
+		Gate:          &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
 	})
 	f.Server = f.network.server(t, f.handler)
 	t.Cleanup(f.Server.Close)
--- a/fleet/relay/forward/options.go
+++ b/fleet/relay/forward/options.go
@@ -29,28 +29,28 @@
 
 // Options are the dependencies of a handler.
 type Options struct {
-	Wire        call.Wire
-	Policy      *atomic.Pointer[policy.Policy]
-	Engines     *atomic.Pointer[engine.Directory]
-	Trials      *atomic.Pointer[Trials] // nil: no service moves between versions
-	Samples     Samples                 // evidence on the services in Trials
-	Allowance   *account.Allowance
-	TokenSource TokenSource
-	Picker      *choice.Picker
-	Retries     *retry.Budget
-	Returns     *limit.RetrySchedule // schedules the return of callers refused by limits
-	Quarantine  *quarantine.Tracker  // nil: no request is quarantined
-	Gate        Gate
-	Intake      Intake
-	Memory      *memory.Budget  // for calls in progress
-	Nodes       func() int      // number of nodes that share the endpoints' connections
-	Places      distance.Places // regions of the availability zones and round trips to them
-	Transport   *Transport
-	Backlog     func() time.Duration       // how long until what arrived during a stall of the process is read; nil: no stalls
-	Stalled     func(since time.Time) bool // reports whether the process has stalled since a time; nil: no stalls
-	Log         log.Interface
-	Metrics     Metrics
-	Tracer      trace.Tracer // nil: no tracing
+	Wire          call.Wire
+	Policy        *atomic.Pointer[policy.Policy]
+	Engines       *atomic.Pointer[engine.Directory]
+	Trials        *atomic.Pointer[Trials] // nil: no service moves between versions
+	Samples       Samples                 // evidence on the services in Trials
+	Allowance     *account.Allowance
+	TokenSource   TokenSource
+	Picker        *choice.Picker
+	Retries       *retry.Budget
+	RetrySchedule *limit.RetrySchedule // schedules the return of callers refused by limits
+	Quarantine    *quarantine.Tracker  // nil: no request is quarantined
+	Gate          Gate
+	Intake        Intake
+	Memory        *memory.Budget  // for calls in progress
+	Nodes         func() int      // number of nodes that share the endpoints' connections
+	Places        distance.Places // regions of the availability zones and round trips to them
+	Transport     *Transport
+	Backlog       func() time.Duration       // how long until what arrived during a stall of the process is read; nil: no stalls
+	Stalled       func(since time.Time) bool // reports whether the process has stalled since a time; nil: no stalls
+	Log           log.Interface
+	Metrics       Metrics
+	Tracer        trace.Tracer // nil: no tracing
 }
 
 // TokenSource obtains tokens from other nodes for a call that exceeds the allowance.
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -176,7 +176,7 @@
 		return refusal{}, false
 	}
 	f := refuseLimited
-	f.after = j.Returns.After(j.service.Name, perSecond/float64(max(j.Nodes(), 1)), clock.Now())
+	f.after = j.RetrySchedule.After(j.service.Name, perSecond/float64(max(j.Nodes(), 1)), clock.Now())
 	j.note = fmt.Sprintf("all endpoints set rate limits: %.2f calls/s in total", perSecond)
 	return f, true
 }
--- a/fleet/relay/limit/model_test.go
+++ b/fleet/relay/limit/model_test.go
@@ -156,7 +156,7 @@
 		g.Nodes(others, start.Add(-time.Minute))
 		return g
 	})
-	returns := lo.Times(nodes, func(int) *limit.RetrySchedule { return limit.NewReturns() })
+	returns := lo.Times(nodes, func(int) *limit.RetrySchedule { return limit.NewRetrySchedule() })
 	endpoints := engine.NewDirectory(1, lo.Times(limited, func(i int) engine.Engine { return engine.Engine{ID: fmt.Sprint("e", i), Service: "s"} })).Of("s")
 	b := testRule.Bound(perSecond)
 	total := perSecond * limited
--- a/fleet/relay/limit/retry_schedule.go
+++ b/fleet/relay/limit/retry_schedule.go
@@ -19,8 +19,8 @@
 	next map[string]time.Time // by service
 }
 
-// NewReturns returns a schedule without pending retries.
-func NewReturns() *RetrySchedule { return &RetrySchedule{next: map[string]time.Time{}} }
+// NewRetrySchedule returns a schedule without pending retries.
+func NewRetrySchedule() *RetrySchedule { return &RetrySchedule{next: map[string]time.Time{}} }
 
 // After returns how long a caller is to wait, given the calls per second that the service
 // accepts from this node. Callers beyond the maximum delay get no slot of their own: more of
--- a/fleet/relay/limit/tracker_test.go
+++ b/fleet/relay/limit/tracker_test.go
@@ -190,7 +190,7 @@
 // Refused callers retry each at their own time, at the rate of the limits. Those without a slot
 // get the maximum delay.
 func TestRetriesFollowTheLimits(t *testing.T) {
-	r := limit.NewReturns()
+	r := limit.NewRetrySchedule()
 	assert.Equal(t, 500*time.Millisecond, r.After("s", 2, at(0)))
 	assert.Equal(t, time.Second, r.After("s", 2, at(0)))
 	assert.Equal(t, 500*time.Millisecond, r.After("another", 2, at(0)))
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -43,7 +43,7 @@
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
 		suspicions := suspicion.NewTracker("a", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
-		gossip.WithRollouts(&fakeTalk{}).WithSuspicions(suspicions)
+		gossip.WithRollouts(&fakeExchange{}).WithSuspicions(suspicions)
 		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
 		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
 		suspicions.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -52,8 +52,8 @@
 type Sender struct{ Name, Incarnation string }
 
 // WithRollouts exchanges reports on rollouts.
-func (g *Gossip) WithRollouts(talk RolloutExchange) *Gossip {
-	g.rollouts = talk
+func (g *Gossip) WithRollouts(exchange RolloutExchange) *Gossip {
+	g.rollouts = exchange
 	return g
 }
 
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -15,8 +15,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// fakeTalk is a RolloutExchange that provides fixed reports and records received ones.
-type fakeTalk struct {
+// fakeExchange is a RolloutExchange that provides fixed reports and records received ones.
+type fakeExchange struct {
 	seen []RolloutEvidence
 	bad  []rollout.AnnounceBad
 	out  bool
@@ -26,17 +26,17 @@
 	received []RolloutReport
 }
 
-func (k *fakeTalk) Own(time.Time) []RolloutEvidence { return k.seen }
+func (k *fakeExchange) Own(time.Time) []RolloutEvidence { return k.seen }
 
-func (k *fakeTalk) Zone(time.Time) []RolloutEvidence {
+func (k *fakeExchange) Zone(time.Time) []RolloutEvidence {
 	return lo.Map(k.seen, func(s RolloutEvidence, _ int) RolloutEvidence { s.Zone = "z"; return s })
 }
 
-func (k *fakeTalk) Bad() []rollout.AnnounceBad { return k.bad }
-func (k *fakeTalk) Out(time.Time) bool         { return k.out }
-func (k *fakeTalk) AgeUnknown() bool           { return k.late }
+func (k *fakeExchange) Bad() []rollout.AnnounceBad { return k.bad }
+func (k *fakeExchange) Out(time.Time) bool         { return k.out }
+func (k *fakeExchange) AgeUnknown() bool           { return k.late }
 
-func (k *fakeTalk) Receive(_ Sender, w RolloutReport, _ time.Time) {
+func (k *fakeExchange) Receive(_ Sender, w RolloutReport, _ time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.received = append(k.received, w)
@@ -104,13 +104,13 @@
 		g := gossipOf("c", order)
 		g.delegates = &delegates{order: order}
 		g.chosen = lo.SliceToMap(c.chosen, func(name string) (string, bool) { return name, true })
-		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeTalk{out: c.failed, late: c.late}
+		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeExchange{out: c.failed, late: c.late}
 		assert.Equal(t, c.want, g.FirstDelegate(), c.name)
 	}
 }
 
 // gossipWithPeer returns a gossip with one peer, and the peer's socket.
-func gossipWithPeer(t *testing.T, k *fakeTalk) (*Gossip, net.PacketConn) {
+func gossipWithPeer(t *testing.T, k *fakeExchange) (*Gossip, net.PacketConn) {
 	t.Helper()
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 }
 
 func TestNothingIsSentWithoutAnOrder(t *testing.T) {
-	g, other := gossipWithPeer(t, &fakeTalk{})
+	g, other := gossipWithPeer(t, &fakeExchange{})
 	g.sendRollouts(map[string]bool{"a": true, "b": true})
 	_, _, any := nextMessage(t, other)
 	assert.False(t, any)
@@ -161,7 +161,7 @@
 		}
 		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
 	}
-	k := &fakeTalk{seen: []RolloutEvidence{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeExchange{seen: []RolloutEvidence{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
@@ -178,7 +178,7 @@
 // ends.
 func TestBadVersionIsAnnouncedToAll(t *testing.T) {
 	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "w"}
-	k := &fakeTalk{}
+	k := &fakeExchange{}
 	g, other := gossipWithPeer(t, k)
 	g.AnnounceBad(w)
 	m, _, ok := nextMessage(t, other)
--- a/fleet/relay/quarantine/fingerprint.go
+++ b/fleet/relay/quarantine/fingerprint.go
@@ -30,17 +30,17 @@
 }
 
 // String returns the fingerprint in hexadecimal.
-func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Fingerprint) UnmarshalText(text []byte) error {
+func (f *Fingerprint) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil || len(data) != fingerprintBytes {
 		return errors.Newf("%.40q is no print of a request", text)
 	}
-	*p = Fingerprint(data)
+	*f = Fingerprint(data)
 	return nil
 }
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -171,9 +171,9 @@
 	n.dropIdle, n.dropAllIdle = transport.DropIdle, transport.DropAllIdle
 	n.handler = forward.New(forward.Options{
 		Wire: a.Wire(), Policy: &n.policy, Engines: &n.engines, Trials: &n.moves, Samples: n.trials, Allowance: n.allowance, Picker: n.picker,
-		Retries:    retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
-		Returns:    limit.NewReturns(),
-		Quarantine: n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Backlog: n.stalls.Backlog, Stalled: n.stalls.StalledSince, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
+		Retries:       retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
+		RetrySchedule: limit.NewRetrySchedule(),
+		Quarantine:    n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Backlog: n.stalls.Backlog, Stalled: n.stalls.StalledSince, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
 	})
 	if n.ingress, err = ingress.Listen(s.Listen, n.handler, l); err != nil {
 		return nil, errors.CombineErrors(err, gossip.Close())
--- a/fleet/relay/restored_orders.go
+++ b/fleet/relay/restored_orders.go
@@ -21,30 +21,30 @@
 func (n *Node) writeOrdersBack(ctx context.Context, slot func(key string) int) {
 	waited, tried := map[string]int{}, map[string]time.Time{}
 	every(ctx, writeSlot, func() {
-		lacking := n.lackingOrders()
-		for name, r := range lacking {
+		missing := n.missingOrders()
+		for name, r := range missing {
 			if waited[name]++; waited[name] <= slot(name) || clock.Since(tried[name]) < writeBackInterval {
 				continue
 			}
 			tried[name] = clock.Now()
 			n.writeOrderBack(ctx, name, r)
 		}
-		waited = lo.PickBy(waited, func(name string, _ int) bool { return lo.HasKey(lacking, name) })
+		waited = lo.PickBy(waited, func(name string, _ int) bool { return lo.HasKey(missing, name) })
 	})
 }
 
-func (n *Node) lackingOrders() map[string]rollout.Rollout {
-	lacking := map[string]rollout.Rollout{}
+func (n *Node) missingOrders() map[string]rollout.Rollout {
+	missing := map[string]rollout.Rollout{}
 	set := n.rollouts.Load()
 	if set == nil {
-		return lacking
+		return missing
 	}
 	for _, name := range set.Names() {
 		if r, _ := set.Name(name); r.MissingInStore {
-			lacking[name] = r
+			missing[name] = r
 		}
 	}
-	return lacking
+	return missing
 }
 
 func (n *Node) writeOrderBack(ctx context.Context, name string, r rollout.Rollout) {
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -107,15 +107,15 @@
 			e.Routes = append(e.Routes, *r)
 			continue
 		}
-		e.Routes[at].MedianMs = e.Routes[at].mergedUsualMs(*r)
+		e.Routes[at].MedianMs = e.Routes[at].mergedMedianMs(*r)
 		e.Routes[at].Old.add(&r.Old)
 		e.Routes[at].Target.add(&r.Target)
 	}
 }
 
-// mergedUsualMs combines both medians of the old version, weighted by the number of answers behind
+// mergedMedianMs combines both medians of the old version, weighted by the number of answers behind
 // each.
-func (r RouteEvidence) mergedUsualMs(o RouteEvidence) float64 {
+func (r RouteEvidence) mergedMedianMs(o RouteEvidence) float64 {
 	own, other := float64(r.Old.Sum().Answers), float64(o.Old.Sum().Answers)
 	switch {
 	case o.MedianMs <= 0 || other == 0:
@@ -141,7 +141,7 @@
 			e.Routes = append(e.Routes, r)
 			continue
 		}
-		e.Routes[i].MedianMs = e.Routes[i].mergedUsualMs(r)
+		e.Routes[i].MedianMs = e.Routes[i].mergedMedianMs(r)
 		e.Routes[i].Old = join(e.Routes[i].Old, r.Old)
 		e.Routes[i].Target = join(e.Routes[i].Target, r.Target)
 	}
--- a/fleet/relay/rollout/evidence_tracker.go
+++ b/fleet/relay/rollout/evidence_tracker.go
@@ -21,21 +21,21 @@
 
 // Record records what one incarnation of a node has observed so far. Evidence about another order, or
 // older than what is known, is ignored.
-func (g *EvidenceTracker) Record(incarnation string, e Evidence) {
-	if e.Service != g.service || e.Made != g.made {
+func (t *EvidenceTracker) Record(incarnation string, e Evidence) {
+	if e.Service != t.service || e.Made != t.made {
 		return
 	}
-	before, _ := g.byIncarnation[incarnation].Answers()
+	before, _ := t.byIncarnation[incarnation].Answers()
 	if now, _ := e.Answers(); now.Answers < before.Answers {
 		return
 	}
-	g.byIncarnation[incarnation] = e
+	t.byIncarnation[incarnation] = e
 }
 
 // Sum returns what all nodes have observed together.
-func (g *EvidenceTracker) Sum() Evidence {
-	sum := Evidence{Service: g.service, Made: g.made}
-	for _, e := range g.byIncarnation {
+func (t *EvidenceTracker) Sum() Evidence {
+	sum := Evidence{Service: t.service, Made: t.made}
+	for _, e := range t.byIncarnation {
 		sum.add(e)
 	}
 	slices.SortFunc(sum.Routes, func(a, b RouteEvidence) int { return strings.Compare(a.Route, b.Route) })
--- a/fleet/relay/rollout/recorder_test.go
+++ b/fleet/relay/rollout/recorder_test.go
@@ -141,8 +141,8 @@
 // A status holds what all nodes observed of the old version, or the earlier reference if that is
 // based on more answers.
 func TestUpdatedReferences(t *testing.T) {
-	observed := func(usualMs float64, old Count) Evidence {
-		r := RouteEvidence{Route: "r", MedianMs: usualMs}
+	observed := func(medianMs float64, old Count) Evidence {
+		r := RouteEvidence{Route: "r", MedianMs: medianMs}
 		r.Old[2] = old
 		return Evidence{Service: "svc", Made: 10, Routes: []RouteEvidence{r}}
 	}
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -49,13 +49,13 @@
 func FixedRest(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // wait returns how long one watch waits for events.
-func (w FollowOptions) wait() time.Duration {
+func (o FollowOptions) wait() time.Duration {
 	wait := maxWatchWait
-	if w.History > 0 {
-		wait = min(wait, time.Duration(historyShare*float64(w.History)))
+	if o.History > 0 {
+		wait = min(wait, time.Duration(historyShare*float64(o.History)))
 	}
-	if w.MaxWait != nil {
-		wait = min(wait, w.MaxWait())
+	if o.MaxWait != nil {
+		wait = min(wait, o.MaxWait())
 	}
 	return wait
 }
--- a/fleet/relay/store/relist.go
+++ b/fleet/relay/store/relist.go
@@ -11,24 +11,24 @@
 
 // Request ends the current watch and has the kind listed. It has no effect while the
 // follower is listing already; a caller that still lacks something asks again.
-func (a *Relist) Request() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.watch != nil {
-		close(a.watch)
-		a.watch = nil
+func (r *Relist) Request() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.watch != nil {
+		close(r.watch)
+		r.watch = nil
 	}
 }
 
 // Requested returns a channel that is closed to end the watch that is about to begin.
-func (a *Relist) Requested() <-chan struct{} {
-	if a == nil {
+func (r *Relist) Requested() <-chan struct{} {
+	if r == nil {
 		return nil
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.watch == nil {
-		a.watch = make(chan struct{})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.watch == nil {
+		r.watch = make(chan struct{})
 	}
-	return a.watch
+	return r.watch
 }
