--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -134,13 +134,13 @@
 
 // The results.
 const (
-	Good      Result = iota
-	Rejected         // refused as full
-	Bad              // failed, or broke off
-	Cut              // the connection was closed instead of an answer
-	Unreached        // the connection could not be established
-	Gone             // another endpoint has the address: this incarnation never comes back
-	Neutral          // no evidence about the endpoint
+	Good        Result = iota
+	Rejected           // refused as full
+	Bad                // failed, or broke off
+	Interrupted        // the connection was closed instead of an answer
+	Unreached          // the connection could not be established
+	Gone               // another endpoint has the address: this incarnation never comes back
+	Neutral            // no evidence about the endpoint
 )
 
 // rejectedDivisor shortens Tuning.Suspect for an endpoint that refused a call as full.
@@ -158,7 +158,7 @@
 	switch r {
 	case Good:
 		t.picker.suspicions.Observe(incarnation, suspicion.Succeeded, now)
-	case Cut:
+	case Interrupted:
 		t.picker.suspicions.Observe(incarnation, suspicion.Interrupted, now)
 	case Bad, Unreached:
 		t.picker.suspicions.Observe(incarnation, suspicion.Failed, now)
@@ -192,7 +192,7 @@
 		}
 	case Rejected:
 		e.suspectedUntil = now.Add(suspect / rejectedDivisor)
-	case Bad, Cut, Unreached:
+	case Bad, Interrupted, Unreached:
 		e.failures++
 		e.suspectedUntil = now.Add(suspect * time.Duration(min(e.failures, maxFailures)))
 		if r == Unreached {
--- a/fleet/relay/choice/suspicion_test.go
+++ b/fleet/relay/choice/suspicion_test.go
@@ -80,7 +80,7 @@
 		{choice.Gone, nil},
 		{choice.Bad, []suspicion.Reporter{{Node: "a"}}},
 		{choice.Unreached, []suspicion.Reporter{{Node: "a"}}},
-		{choice.Cut, []suspicion.Reporter{{Node: "a", Interrupted: true}}},
+		{choice.Interrupted, []suspicion.Reporter{{Node: "a", Interrupted: true}}},
 	}
 	for _, c := range cases {
 		b := suspicion.NewTracker("a", "z0", suspicion.DefaultRule(), func(suspicion.Avoided) {})
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -254,7 +254,7 @@
 	case o.answered, timeout, errors.Is(o.err, errSilent), errors.Is(o.err, errSentTwice), errors.Is(o.err, context.Canceled):
 		return choice.Bad
 	}
-	return choice.Cut
+	return choice.Interrupted
 }
 
 // resultOfUnsent distinguishes an unreachable endpoint from a connection that this node closed.
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -193,7 +193,7 @@
 	switch r {
 	case choice.Good:
 		s.Slowness, s.Took, s.Since = t.Slowness(d.whole, d.gap, now), d.whole, d.sent
-	case choice.Bad, choice.Cut:
+	case choice.Bad, choice.Interrupted:
 		s.Failed, s.Unreachable = true, !j.reported.answered
 	case choice.Unreached:
 		s.Failed, s.Unreachable = true, true
