--- a/ctl/command/quarantine.go
+++ b/ctl/command/quarantine.go
@@ -48,9 +48,9 @@
 	if err != nil {
 		return err
 	}
-	lines := lo.Map(quarantined, func(h quarantine.HeldWord, _ int) []string {
+	lines := lo.Map(quarantined, func(h quarantine.QuarantineReport, _ int) []string {
 		since, left := roundedSeconds(h.AgeMs), roundedSeconds(h.ForMs-h.AgeMs)
-		return []string{h.Print.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
+		return []string{h.Fingerprint.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
 	})
 	return a.print(quarantined, []string{"PRINT", "CUSTOMER", "ROUTE", "ROUND", "SINCE", "LEFT", "ENDED"}, lines)
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	var print quarantine.Print
+	var print quarantine.Fingerprint
 	if err := print.UnmarshalText([]byte(a.flags.argument)); err != nil {
 		return usage("%v", err)
 	}
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -178,8 +178,8 @@
 	if failure != attempt.NotStarted && j.run.relayed() == 0 {
 		// Nothing was relayed. If the engine never started the request, another one may run it.
 		o, askErr := j.entry.Backend.Outcome(ctx, j.attempt(), j.record.Request)
-		resumable = askErr == nil && o.State != backend.StateNever
-		if askErr == nil && o.State == backend.StateNever && failure != attempt.Rejected {
+		resumable = askErr == nil && o.State != backend.StateNeverStarted
+		if askErr == nil && o.State == backend.StateNeverStarted && failure != attempt.Rejected {
 			failure = attempt.NotStarted
 		}
 	}
@@ -258,7 +258,7 @@
 		j.explain(event.Cancel, "cost not known yet", err.Error())
 		return
 	}
-	if o.State == backend.StateNever {
+	if o.State == backend.StateNeverStarted {
 		j.notStarted = append(j.notStarted, j.attempt())
 	}
 	j.spent = j.spent.Plus(o.Usage())
@@ -278,7 +278,7 @@
 	ctx = context.WithoutCancel(ctx)
 	j.recheck(ctx)
 	j.entry.Metrics.Billed(ctx, j.spent.Tokens())
-	j.entry.end(ctx, peer.Ending{Record: j.record, Usage: j.spent, Awaiting: j.awaiting})
+	j.entry.end(ctx, peer.EndRequest{Record: j.record, Usage: j.spent, Awaiting: j.awaiting})
 	return j.spent
 }
 
@@ -337,7 +337,7 @@
 	case j.spent.Tokens() > 0 || j.run.relayed() > 0:
 		p = p.WithOutcome(problem.Ran)
 	default:
-		j.entry.end(context.WithoutCancel(ctx), peer.Ending{Record: j.record, NotRun: true})
+		j.entry.end(context.WithoutCancel(ctx), peer.EndRequest{Record: j.record, NotRun: true})
 		j.entry.refuseRun(j.run, p)
 		return
 	}
--- a/fleet/node/run.go
+++ b/fleet/node/run.go
@@ -162,7 +162,7 @@
 }
 
 func (n *Node) mergeBeat(in peer.Beat) {
-	n.handle(membership.Heard{At: n.clock.Now(), Members: in.Members})
+	n.handle(membership.Received{At: n.clock.Now(), Members: in.Members})
 	n.mergeLoads(in.Loads)
 }
 
@@ -178,7 +178,7 @@
 	}
 	n.loadsMu.Unlock()
 	if len(newer) > 0 {
-		n.dispatch.Report(newer)
+		n.dispatch.RecordLoads(newer)
 	}
 }
 
--- a/fleet/relay/choice/digest.go
+++ b/fleet/relay/choice/digest.go
@@ -54,11 +54,11 @@
 
 // Read lists the shared parts of a prompt that an endpoint has read.
 type Read struct {
-	Endpoint string   `json:"e"`
-	Born     int64    `json:"b,omitempty"` // start of the incarnation that read it; 0: the endpoint or the sender's build does not report it
-	Parts    []string `json:"p"`
-	Tokens   []int64  `json:"t"`
-	Homes    []string `json:"h,omitempty"` // regions whose nodes may receive it; nil: all
+	Endpoint       string   `json:"e"`
+	Born           int64    `json:"b,omitempty"` // start of the incarnation that read it; 0: the endpoint or the sender's build does not report it
+	Parts          []string `json:"p"`
+	Tokens         []int64  `json:"t"`
+	AllowedRegions []string `json:"h,omitempty"` // regions whose nodes may receive it; nil: all
 }
 
 // recentReads holds the latest reads for peers. Each is sent several times, since datagrams get
@@ -77,11 +77,11 @@
 	maxReads = 128
 )
 
-func (l *recentReads) add(by engine.Life, parts []call.Part, homes []string, rare bool, now time.Time) {
+func (l *recentReads) add(by engine.Incarnation, parts []call.Part, allowedRegions []string, rare bool, now time.Time) {
 	if len(parts) == 0 {
 		return
 	}
-	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, Homes: homes}, at: now, rare: rare}
+	r := timedRead{Read: Read{Endpoint: by.ID, Born: by.Born, AllowedRegions: allowedRegions}, at: now, rare: rare}
 	for _, p := range parts {
 		r.Parts = append(r.Parts, p.ID)
 		r.Tokens = append(r.Tokens, p.Tokens)
@@ -98,7 +98,7 @@
 	l.reads = l.reads[max(from, len(l.reads)-maxReads):]
 	all := make([]Read, 0, len(l.reads))
 	for _, r := range l.reads {
-		if (r.rare || !rareOnly) && (len(r.Homes) == 0 || slices.Contains(r.Homes, region)) {
+		if (r.rare || !rareOnly) && (len(r.AllowedRegions) == 0 || slices.Contains(r.AllowedRegions, region)) {
 			all = append(all, r.Read)
 		}
 	}
@@ -127,9 +127,11 @@
 // the region may receive them.
 func (p *Picker) Reads(region string, now time.Time) []Read { return p.listReads(region, false, now) }
 
-// News returns those of Reads whose parts few endpoints were known to cache. Only these are
+// RareReads returns those of Reads whose parts few endpoints were known to cache. Only these are
 // worth sending between zones.
-func (p *Picker) News(region string, now time.Time) []Read { return p.listReads(region, true, now) }
+func (p *Picker) RareReads(region string, now time.Time) []Read {
+	return p.listReads(region, true, now)
+}
 
 func (p *Picker) listReads(region string, rareOnly bool, now time.Time) []Read {
 	if !p.tuning.Gossip {
@@ -140,8 +142,8 @@
 	return p.recent.list(region, rareOnly, now)
 }
 
-// Heard records a peer's digests. Endpoints that they don't list have no calls of that peer.
-func (p *Picker) Heard(peer string, digests map[string]Digest, now time.Time) {
+// ReceiveDigests records a peer's digests. Endpoints that they don't list have no calls of that peer.
+func (p *Picker) ReceiveDigests(peer string, digests map[string]Digest, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, id := range p.peerEndpoints[peer] {
@@ -157,18 +159,18 @@
 		announced = append(announced, id)
 		d = d.sanitized()
 		d.At = now
-		s := p.endpoint(engine.Life{ID: id, Born: d.Born}, 0)
+		s := p.endpoint(engine.Incarnation{ID: id, Born: d.Born}, 0)
 		s.peers[peer] = d
 		s.gone = s.gone || d.Gone && d.Born == s.born
 	}
 	p.peerEndpoints[peer] = announced
 }
 
-// HeardReads records the reads of a peer. With forward set, reads of parts that few endpoints
+// ReceiveReads records the reads of a peer. With forward set, reads of parts that few endpoints
 // are known to cache are passed on within the zone, so that every node knows a source of each
 // shared part. Otherwise most nodes of a large fleet never learn of a read, and parts without a
 // known source are read again.
-func (p *Picker) HeardReads(reads []Read, forward bool, now time.Time) {
+func (p *Picker) ReceiveReads(reads []Read, forward bool, now time.Time) {
 	if !p.tuning.Gossip {
 		return
 	}
@@ -186,7 +188,7 @@
 		deepest := r.Parts[len(r.Parts)-1]
 		rare := p.isRare(deepest) && !p.holders[deepest][r.Endpoint]
 		if !known {
-			s = p.endpoint(engine.Life{ID: r.Endpoint, Born: r.Born}, p.capacity)
+			s = p.endpoint(engine.Incarnation{ID: r.Endpoint, Born: r.Born}, p.capacity)
 		}
 		for i, id := range r.Parts {
 			if r.Tokens[i] >= 0 {
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Placement is a call placed at an endpoint. It must be closed once.
@@ -87,7 +87,7 @@
 	for i, part := range t.request.Call.Parts {
 		e.cache.read(part, i < len(shared))
 	}
-	t.picker.recent.add(engine.Life{ID: t.Engine.ID, Born: e.born}, shared, t.request.Homes, rare, now)
+	t.picker.recent.add(engine.Incarnation{ID: t.Engine.ID, Born: e.born}, shared, t.request.AllowedRegions, rare, now)
 }
 
 func (t *Placement) endWaiting() {
@@ -134,13 +134,13 @@
 
 // The results.
 const (
-	Good      Result = iota
-	Rejected         // refused as full
-	Bad              // failed, or broke off
-	Cut              // the connection was closed instead of an answer
-	Unreached        // the connection could not be established
-	Gone             // another endpoint has the address: this incarnation never comes back
-	Neutral          // no evidence about the endpoint
+	Good        Result = iota
+	Rejected           // refused as full
+	Bad                // failed, or broke off
+	Interrupted        // the connection was closed instead of an answer
+	Unreached          // the connection could not be established
+	Gone               // another endpoint has the address: this incarnation never comes back
+	Neutral            // no evidence about the endpoint
 )
 
 // rejectedDivisor shortens Tuning.Suspect for an endpoint that refused a call as full.
@@ -151,17 +151,17 @@
 
 // recordOutcome records the outcome for the failures that nodes report to each other.
 func (t *Placement) recordOutcome(r Result, now time.Time) {
-	if t.picker.doubts == nil {
+	if t.picker.suspicions == nil {
 		return
 	}
-	life := t.Engine.Life()
+	incarnation := t.Engine.Incarnation()
 	switch r {
 	case Good:
-		t.picker.doubts.Saw(life, doubt.Fine, now)
-	case Cut:
-		t.picker.doubts.Saw(life, doubt.Cut, now)
+		t.picker.suspicions.Observe(incarnation, suspicion.Succeeded, now)
+	case Interrupted:
+		t.picker.suspicions.Observe(incarnation, suspicion.Interrupted, now)
 	case Bad, Unreached:
-		t.picker.doubts.Saw(life, doubt.Failed, now)
+		t.picker.suspicions.Observe(incarnation, suspicion.Failed, now)
 	case Rejected, Gone, Neutral:
 	}
 }
@@ -192,7 +192,7 @@
 		}
 	case Rejected:
 		e.suspectedUntil = now.Add(suspect / rejectedDivisor)
-	case Bad, Cut, Unreached:
+	case Bad, Interrupted, Unreached:
 		e.failures++
 		e.suspectedUntil = now.Add(suspect * time.Duration(min(e.failures, maxFailures)))
 		if r == Unreached {
--- a/fleet/relay/choice/reason.go
+++ b/fleet/relay/choice/reason.go
@@ -14,17 +14,17 @@
 
 // The reasons.
 const (
-	Usable      Reason = iota
-	Ending             // it signals its end, in its entry or in answers
-	Emptied            // its availability zone is being evacuated
-	Tried              // the call was already there
-	Replaced           // another endpoint has its address, or another incarnation its id
-	Busy               // this node's maximum of calls in flight there is reached
-	Suspected          // it failed or refused a call of this node lately
-	Unreachable        // its availability zone is unreachable
-	Resting            // it asked for no calls for a while
-	Doubted            // several nodes report failures there
-	Bounded            // this node's share of a bound is used: the endpoint is cold or names a limit
+	Usable            Reason = iota
+	Ending                   // it signals its end, in its entry or in answers
+	Emptied                  // its availability zone is being evacuated
+	Tried                    // the call was already there
+	Replaced                 // another endpoint has its address, or another incarnation its id
+	Busy                     // this node's maximum of calls in flight there is reached
+	Suspected                // it failed or refused a call of this node lately
+	Unreachable              // its availability zone is unreachable
+	Resting                  // it asked for no calls for a while
+	SuspectedByOthers        // several nodes report failures there
+	Bounded                  // this node's share of a bound is used: the endpoint is cold or names a limit
 	reasons
 )
 
@@ -42,7 +42,7 @@
 	if p.excludedByRest(r, e, level) {
 		return nil, Resting
 	}
-	s := p.endpoint(e.Life(), r.Profile.Capacity)
+	s := p.endpoint(e.Incarnation(), r.Profile.Capacity)
 	switch {
 	case s.gone:
 		return s, Replaced
@@ -52,8 +52,8 @@
 		return s, Suspected
 	case level == healthyOnly && p.unreachable(e.Zone, r.Now):
 		return s, Unreachable
-	case level != allowAll && p.doubts != nil && p.doubts.Avoids(e.Life(), r.Again, key, r.Now):
-		return s, Doubted
+	case level != allowAll && p.suspicions != nil && p.suspicions.Avoids(e.Incarnation(), r.Again, key, r.Now):
+		return s, SuspectedByOthers
 	case !p.withinBounds(*r, *e):
 		return s, Bounded
 	}
@@ -70,7 +70,7 @@
 		return Emptied
 	case e.State != engine.Ready && !lastResort:
 		return Ending
-	case r.Exclude[e.Life()]:
+	case r.Exclude[e.Incarnation()]:
 		return Tried
 	}
 	return Usable
--- a/fleet/relay/forward/harness_test.go
+++ b/fleet/relay/forward/harness_test.go
@@ -42,20 +42,20 @@
 	return c, nil
 }
 
-func (plainWire) Prepare(from http.Header, c call.Call, s call.Send) http.Header {
+func (plainWire) Prepare(from http.Header, c call.Call, s call.AttemptHead) http.Header {
 	to := http.Header{}
 	to.Set("Call", c.ID)
 	to.Set("Tenant", s.Tenant)
-	to.Set("Instance", s.Instance)
-	to.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
+	to.Set("Instance", s.EndpointID)
+	to.Set("Left", strconv.FormatInt(s.Remaining.Milliseconds(), 10))
 	if s.LastEventID != "" {
 		to.Set("Last", s.LastEventID)
 	}
 	return to
 }
 
-func (plainWire) Judge(resp *http.Response) call.Verdict {
-	v := call.Verdict{CallID: resp.Header.Get("Call"), NotExecuted: resp.Header.Get("Not-Run") != "", Moved: resp.StatusCode == http.StatusMisdirectedRequest}
+func (plainWire) ParseAnswer(resp *http.Response) call.AnswerHead {
+	v := call.AnswerHead{CallID: resp.Header.Get("Call"), NotExecuted: resp.Header.Get("Not-Run") != "", Moved: resp.StatusCode == http.StatusMisdirectedRequest}
 	if rest, err := time.ParseDuration(resp.Header.Get("Rest")); err == nil {
 		v.Notices = []call.Notice{call.Rest{For: rest}}
 	}
@@ -86,13 +86,13 @@
 	bodies    atomic.Int32 // received
 }
 
-func (g *gate) Keep(customer string, _ uint64) bool { return customer != g.redirects }
-func (g *gate) Body(time.Duration)                  { g.bodies.Add(1) }
+func (g *gate) Admit(customer string, _ uint64) bool { return customer != g.redirects }
+func (g *gate) RecordBody(time.Duration)             { g.bodies.Add(1) }
 
 // intake closes the connections of one customer.
 type intake struct{ reconnects string }
 
-func (i *intake) Send(customer string) bool { return customer != "" && customer == i.reconnects }
+func (i *intake) ShouldClose(customer string) bool { return customer != "" && customer == i.reconnects }
 
 // run is one call as an endpoint received it.
 type run struct {
@@ -123,7 +123,7 @@
 	engines     []engine.Engine
 	directory   atomic.Pointer[engine.Directory]
 	picker      *choice.Picker
-	notices     *notice.Book
+	notices     *notice.Tracker
 	connections *forward.Transport
 
 	mu   sync.Mutex
@@ -149,7 +149,7 @@
 			{Name: "open", Host: "h", Prefix: "/open/", Kind: policy.Once, Public: true, Attempts: 1, Splits: split("s")},
 			{Name: "empty", Host: "h", Prefix: "/empty/", Kind: policy.Once, Attempts: 1, Splits: split("nowhere")},
 		},
-		Services: []policy.Service{{Name: "s", MaxConnections: 100, Stride: 3}},
+		Services: []policy.Service{{Name: "s", MaxConnections: 100, TokensPerEvent: 3}},
 		Tenants:  []policy.Tenant{{Name: "t", Keys: []string{"k"}, Prepaid: 1000, HasPrepaid: true}},
 		Limits:   policy.Limits{BodyBytes: 1 << 10},
 	}
@@ -169,7 +169,7 @@
 	t.Helper()
 	f := &fleet{policy: testPolicy(), network: network, allowance: account.NewAllowance("n", "n/1", account.DefaultTuning())}
 	f.allowance.Budget(map[string]int64{"t": 1000})
-	f.allowance.Saw(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Life: "n/1", Drawn: held}}}}}, 1)
+	f.allowance.Apply(account.Ledger{Accounts: []account.Account{{Tenant: "t", Rows: []account.Row{{Node: "n", Incarnation: "n/1", Drawn: held}}}}}, 1)
 	for i, s := range scripts {
 		f.engines = append(f.engines, f.startEngine(t, "e"+strconv.Itoa(i), s))
 	}
@@ -199,17 +199,17 @@
 	one := func() int { return 1 }
 	f.inForce.Store(f.policy.Indexed())
 	f.directory.Store(engine.NewDirectory(1, engines))
-	f.notices = notice.NewBook("n", notice.Rule{}, func(notice.Change) {})
+	f.notices = notice.NewTracker("n", notice.Rule{}, func(notice.Change) {})
 	f.notices.Engines(engines, time.Now())
 	f.picker, f.connections = choice.NewPicker("z", choice.DefaultTuning()).WithNotices(f.notices), f.transport(t)
 	f.places = distance.From("z", testRegions, distance.DefaultCosts())
 	f.handler = forward.New(forward.Options{
 		Wire: plainWire{}, Policy: &f.inForce, Engines: &f.directory, Trials: &f.trials, Samples: &f.samples, Allowance: f.allowance, TokenSource: noSource{},
-		Picker:  f.picker,
-		Stood:   func(time.Time) bool { return f.stalled.Load() },
-		Returns: limit.NewReturns(),
-		Retries: retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
-		Gate:    &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
+		Picker:        f.picker,
+		Stalled:       func(time.Time) bool { return f.stalled.Load() },
+		RetrySchedule: limit.NewRetrySchedule(),
+		Retries:       retry.NewBudget(retry.Rule{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one),
+		Gate:          &f.gate, Intake: &f.intake, Memory: f.memory, Nodes: func() int { return max(f.nodes, 1) }, Places: f.places, Transport: f.connections, Log: quiet, Metrics: noMetrics{},
 	})
 	f.Server = f.network.server(t, f.handler)
 	t.Cleanup(f.Server.Close)
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -14,17 +14,17 @@
 
 	"github.com/lynxshed/lynxshed/fleet/clock"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // A stream resumed on a connection that this node closed itself was never sent there: it continues
 // on another connection, and no failure of the endpoint is reported.
 func TestResumeOnClosedConnectionUsesAnother(t *testing.T) {
 	f := newFleet(t, 1000, events(0, 3, false), events(3, 6, true))
-	tracker := doubt.NewBook("n", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
+	tracker := suspicion.NewTracker("n", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
 	tracker.Engines(f.engines)
-	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithDoubts(tracker)
+	f.handler.Picker = choice.NewPicker("z", choice.DefaultTuning()).WithSuspicions(tracker)
 	connects := 0
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if connects++; connects == 2 {
@@ -38,7 +38,7 @@
 		if connects > 1 {
 			assert.Contains(t, w.Body.String(), "id: 5\n")
 			assert.Equal(t, 3, connects, "another connection")
-			for _, report := range tracker.Words(false, clock.Now()) {
+			for _, report := range tracker.Reports(false, clock.Now()) {
 				assert.NotEqual(t, "e1", report.Endpoint)
 			}
 			return
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -32,7 +32,7 @@
 	defer j.returnProbe()
 	ctx, cancel := j.context()
 	defer cancel()
-	tried := map[engine.Life]bool{}
+	tried := map[engine.Incarnation]bool{}
 	unreached, dropped := 0, 0
 	for {
 		if j.quarantined() { // it may have been quarantined since it arrived or since its last attempt
@@ -44,7 +44,7 @@
 			j.refuse(j.refusalWithoutEndpoint(tried))
 			return
 		}
-		tried[placement.Engine.Life()] = true
+		tried[placement.Engine.Incarnation()] = true
 		j.engine, j.placed = placement.Engine.ID, placement
 		out := j.send(ctx, placement, j.call.LastEventID)
 		next, again := j.decide(ctx, placement, out)
@@ -52,7 +52,7 @@
 		if again {
 			switch lost, ok := out.(neverSent); {
 			case ok && lost.connected:
-				delete(tried, placement.Engine.Life()) // another connection to it may work
+				delete(tried, placement.Engine.Incarnation()) // another connection to it may work
 				dropped++
 			case ok:
 				unreached++
@@ -80,13 +80,13 @@
 		j.describeNotices(fields)
 		j.Log.WithFields(fields).WithField("status", o.status).Info("attempt refused as not run")
 	case failed:
-		fields["print"] = j.fingerprint().String()
+		fields["print"] = j.print().String()
 		j.Log.WithFields(fields).WithField("error", o.err.Error()).Info("attempt failed")
 	case answered:
 	}
 }
 
-func (j *job) pick(tried map[engine.Life]bool) (*choice.Placement, bool) {
+func (j *job) pick(tried map[engine.Incarnation]bool) (*choice.Placement, bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return nil, false
@@ -102,10 +102,10 @@
 }
 
 // choiceRequest returns the input for the choice of an endpoint, without the candidates.
-func (j *job) choiceRequest(tried map[engine.Life]bool, now time.Time) choice.Request {
+func (j *job) choiceRequest(tried map[engine.Incarnation]bool, now time.Time) choice.Request {
 	return choice.Request{
-		Call: j.regionScopedCall(), Homes: j.regions.regions, Exclude: tried, Profile: profile(j.service),
-		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.connectionShare(), Now: now,
+		Call: j.regionScopedCall(), AllowedRegions: j.regions.regions, Exclude: tried, Profile: profile(j.service),
+		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.cap(), Now: now,
 	}
 }
 
@@ -123,15 +123,15 @@
 	}
 }
 
-// connectionShare returns this node's share of an endpoint's connections.
-func (j *job) connectionShare() int {
+// cap returns this node's share of an endpoint's connections.
+func (j *job) cap() int {
 	if j.service.MaxConnections <= 0 {
 		return idlePerHost
 	}
 	return min(max(j.service.MaxConnections/(max(j.Nodes(), 1)+2), 2), idlePerHost)
 }
 
-func (j *job) refusalWithoutEndpoint(tried map[engine.Life]bool) refusal {
+func (j *job) refusalWithoutEndpoint(tried map[engine.Incarnation]bool) refusal {
 	switch {
 	case j.noAllowedRegion():
 		return refuseNoRegion
@@ -150,7 +150,7 @@
 }
 
 // noteExcluded notes why no endpoint may take the call, for the log.
-func (j *job) noteExcluded(tried map[engine.Life]bool) {
+func (j *job) noteExcluded(tried map[engine.Incarnation]bool) {
 	engines := j.Engines.Load()
 	if engines == nil {
 		return
@@ -176,7 +176,7 @@
 		return refusal{}, false
 	}
 	f := refuseLimited
-	f.after = j.Returns.After(j.service.Name, perSecond/float64(max(j.Nodes(), 1)), clock.Now())
+	f.after = j.RetrySchedule.After(j.service.Name, perSecond/float64(max(j.Nodes(), 1)), clock.Now())
 	j.note = fmt.Sprintf("all endpoints set rate limits: %.2f calls/s in total", perSecond)
 	return f, true
 }
@@ -254,7 +254,7 @@
 	case o.answered, timeout, errors.Is(o.err, errSilent), errors.Is(o.err, errSentTwice), errors.Is(o.err, context.Canceled):
 		return choice.Bad
 	}
-	return choice.Cut
+	return choice.Interrupted
 }
 
 // resultOfUnsent distinguishes an unreachable endpoint from a connection that this node closed.
--- a/fleet/relay/limit/reports.go
+++ b/fleet/relay/limit/reports.go
@@ -9,19 +9,21 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// Word reports an endpoint's limit to another node, or its end if it has no rate.
-type Word struct {
+// Report reports an endpoint's limit to another node, or its end if it has no rate.
+type Report struct {
 	Endpoint  string   `json:"e"`
 	Born      int64    `json:"b,omitempty"` // start of the incarnation
 	PerSecond *float64 `json:"r,omitempty"` // nil: the limit is over
 	AgeMs     int64    `json:"a"`           // of the answer that signaled it
 }
 
-func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (r Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
+}
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Word) valid() bool {
-	return w.AgeMs >= 0 && w.AgeMs <= maxAge.Milliseconds() && (w.PerSecond == nil || *w.PerSecond >= 0 && !math.IsNaN(*w.PerSecond) && !math.IsInf(*w.PerSecond, 0))
+func (r Report) valid() bool {
+	return r.AgeMs >= 0 && r.AgeMs <= maxAge.Milliseconds() && (r.PerSecond == nil || *r.PerSecond >= 0 && !math.IsNaN(*r.PerSecond) && !math.IsInf(*r.PerSecond, 0))
 }
 
 // Bounds of the reports that are sent.
@@ -31,56 +33,56 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
-// News returns what this node learned since the last call: from its own answers and, if it
+// Updates returns what this node learned since the last call: from its own answers and, if it
 // forwards, from reports.
-func (b *Book) News(forward bool, now time.Time) []Word {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var reports []Word
-	for life, k := range b.known {
-		if k.due.TakeNews() && (k.own || forward) {
-			reports = append(reports, k.report(life, now))
+func (t *Tracker) Updates(forward bool, now time.Time) []Report {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var reports []Report
+	for incarnation, k := range t.known {
+		if k.due.TakeUpdate() && (k.own || forward) {
+			reports = append(reports, k.report(incarnation, now))
 		}
 	}
 	return newest(reports)
 }
 
-// Words returns the reports to be sent along with the digests.
-func (b *Book) Words(forward bool, now time.Time) []Word {
-	if b.count.Load() == 0 {
+// Reports returns the reports to be sent along with the digests.
+func (t *Tracker) Reports(forward bool, now time.Time) []Report {
+	if t.count.Load() == 0 {
 		return nil // the common case
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var reports []Word
-	for life, k := range b.known {
-		if k.due.Along(now) && (k.own || forward) {
-			reports = append(reports, k.report(life, now))
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var reports []Report
+	for incarnation, k := range t.known {
+		if k.due.WithDigests(now) && (k.own || forward) {
+			reports = append(reports, k.report(incarnation, now))
 		}
 	}
 	return newest(reports)
 }
 
 // newest returns the reports of the latest answers, as many as a message holds.
-func newest(reports []Word) []Word {
-	slices.SortFunc(reports, func(a, b Word) int {
+func newest(reports []Report) []Report {
+	slices.SortFunc(reports, func(a, b Report) int {
 		return cmp.Or(cmp.Compare(a.AgeMs, b.AgeMs), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return reports[:min(len(reports), maxReports)]
 }
 
-func (k *known) report(life engine.Life, now time.Time) Word {
-	w := Word{Endpoint: life.ID, Born: life.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
+func (k *known) report(incarnation engine.Incarnation, now time.Time) Report {
+	w := Report{Endpoint: incarnation.ID, Born: incarnation.Born, AgeMs: now.Sub(k.observed).Milliseconds()}
 	if k.named {
 		w.PerSecond = &k.perSecond
 	}
 	return w
 }
 
-// Heard records another node's reports on listed endpoints.
-func (b *Book) Heard(from string, reports []Word, now time.Time) {
+// Receive records another node's reports on listed endpoints.
+func (t *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if !w.valid() {
 			continue
@@ -89,6 +91,6 @@
 		if s.named {
 			s.perSecond = *w.PerSecond
 		}
-		b.record(w.life(), s, now)
+		t.record(w.incarnation(), s, now)
 	}
 }
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // leaving is the state of a notice that an endpoint leaves. The zero value means there was none.
@@ -13,7 +13,7 @@
 	observed time.Time // latest answer to any node with the notice
 	own      bool      // an answer to this node had it
 	by       string    // the node that reported it
-	due      telling.Due
+	due      announce.Schedule
 }
 
 // answered records the notice of an answer to this node. It returns true if it did not hold
@@ -22,7 +22,7 @@
 	began = !l.holds(now)
 	if began {
 		l.since = now
-		l.due.News(now)
+		l.due.MarkUpdated(now)
 	}
 	l.own, l.observed = true, now
 	return began
@@ -37,7 +37,7 @@
 	l.observed = observed
 	if began {
 		l.since, l.by = now, from
-		l.due.News(now)
+		l.due.MarkUpdated(now)
 	}
 	return began
 }
@@ -59,12 +59,12 @@
 
 // Leaves reports whether an endpoint is about to end, and until when it may get calls that no
 // other endpoint may take.
-func (b *Book) Leaves(life engine.Life, now time.Time) (until time.Time, leaves bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.find(life)
+func (t *Tracker) Leaves(incarnation engine.Incarnation, now time.Time) (until time.Time, leaves bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.find(incarnation)
 	if !ok || !k.leaving.holds(now) {
 		return time.Time{}, false
 	}
-	return k.leaving.since.Add(b.rule.Serves), true
+	return k.leaving.since.Add(t.rule.Serves), true
 }
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -7,20 +7,22 @@
 
 	"github.com/samber/lo"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Word reports an endpoint's notices to another node.
-type Word struct {
+// Report reports an endpoint's notices to another node.
+type Report struct {
 	Endpoint  string `json:"e"`
 	Born      int64  `json:"b,omitempty"` // start of the incarnation
 	LeavingMs *int64 `json:"l,omitempty"` // since the latest answer with a leaving notice; nil: none
 	RestMs    int64  `json:"r,omitempty"` // remaining rest; 0: none was requested
 }
 
-func (w Word) life() engine.Life { return engine.Life{ID: w.Endpoint, Born: w.Born} }
+func (r Report) incarnation() engine.Incarnation {
+	return engine.Incarnation{ID: r.Endpoint, Born: r.Born}
+}
 
 // Bounds of the reports that are sent.
 const (
@@ -29,34 +31,34 @@
 )
 
 // Urgent is signaled when there are updates that should not wait for the next digests.
-func (b *Book) Urgent() <-chan struct{} { return b.urgent }
+func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
-// News returns what this node learned since the last call: from answers and, if it forwards,
+// Updates returns what this node learned since the last call: from answers and, if it forwards,
 // from reports.
-func (b *Book) News(forward bool, now time.Time) []Word {
-	return b.reports(forward, now, func(d *telling.Due) bool { return d.TakeNews() })
+func (t *Tracker) Updates(forward bool, now time.Time) []Report {
+	return t.reports(forward, now, func(d *announce.Schedule) bool { return d.TakeUpdate() })
 }
 
-// Words returns the reports to be sent along with the digests.
-func (b *Book) Words(forward bool, now time.Time) []Word {
-	return b.reports(forward, now, func(d *telling.Due) bool { return d.Along(now) })
+// Reports returns the reports to be sent along with the digests.
+func (t *Tracker) Reports(forward bool, now time.Time) []Report {
+	return t.reports(forward, now, func(d *announce.Schedule) bool { return d.WithDigests(now) })
 }
 
-func (b *Book) reports(forward bool, now time.Time, due func(*telling.Due) bool) []Word {
-	if b.count.Load() == 0 {
+func (t *Tracker) reports(forward bool, now time.Time, due func(*announce.Schedule) bool) []Report {
+	if t.count.Load() == 0 {
 		return nil // the common case
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var reports []Word
-	for life, k := range b.known {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var reports []Report
+	for incarnation, k := range t.known {
 		k.expire(now)
-		b.dropEmpty(life, k)
-		if w := k.report(life, forward, now, due); k.gone.IsZero() && w.hasContent() {
+		t.dropEmpty(incarnation, k)
+		if w := k.report(incarnation, forward, now, due); k.gone.IsZero() && w.hasContent() {
 			reports = append(reports, w)
 		}
 	}
-	slices.SortFunc(reports, func(a, b Word) int {
+	slices.SortFunc(reports, func(a, b Report) int {
 		return cmp.Or(-cmp.Compare(a.priority(), b.priority()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return reports[:min(len(reports), maxReports)]
@@ -74,8 +76,8 @@
 }
 
 // report returns what is due to be sent of one incarnation.
-func (k *known) report(life engine.Life, forward bool, now time.Time, due func(*telling.Due) bool) Word {
-	w := Word{Endpoint: life.ID, Born: life.Born}
+func (k *known) report(incarnation engine.Incarnation, forward bool, now time.Time, due func(*announce.Schedule) bool) Report {
+	w := Report{Endpoint: incarnation.ID, Born: incarnation.Born}
 	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
 		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
 	}
@@ -90,37 +92,37 @@
 }
 
 // hasContent reports whether the report holds any notice.
-func (w Word) hasContent() bool { return w.LeavingMs != nil || w.RestMs > 0 }
+func (r Report) hasContent() bool { return r.LeavingMs != nil || r.RestMs > 0 }
 
 // priority orders reports when a message can't hold all: leaving notices first, the latest ones
 // before others, and then long rests.
-func (w Word) priority() int64 {
-	if w.LeavingMs != nil {
-		return maxRest.Milliseconds() + Believed.Milliseconds() - *w.LeavingMs
+func (r Report) priority() int64 {
+	if r.LeavingMs != nil {
+		return maxRest.Milliseconds() + Believed.Milliseconds() - *r.LeavingMs
 	}
-	return w.RestMs
+	return r.RestMs
 }
 
-// Heard records another node's reports on listed endpoints.
-func (b *Book) Heard(from string, reports []Word, now time.Time) {
+// Receive records another node's reports on listed endpoints.
+func (t *Tracker) Receive(from string, reports []Report, now time.Time) {
 	for _, w := range reports[:min(len(reports), maxReports)] {
 		if w.valid() {
-			b.record(from, w, now)
+			t.record(from, w, now)
 		}
 	}
 }
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
-func (w Word) valid() bool {
-	leaving := w.LeavingMs == nil || *w.LeavingMs >= 0 && *w.LeavingMs < Believed.Milliseconds()
-	return w.hasContent() && leaving && w.RestMs >= 0 && w.RestMs <= maxRest.Milliseconds()
+func (r Report) valid() bool {
+	leaving := r.LeavingMs == nil || *r.LeavingMs >= 0 && *r.LeavingMs < Believed.Milliseconds()
+	return r.hasContent() && leaving && r.RestMs >= 0 && r.RestMs <= maxRest.Milliseconds()
 }
 
-func (b *Book) record(from string, w Word, now time.Time) {
+func (t *Tracker) record(from string, w Report, now time.Time) {
 	var began []Change
-	b.mu.Lock()
-	if e, listed := b.listed[w.life()]; listed {
-		k := b.get(e, now)
+	t.mu.Lock()
+	if e, listed := t.listed[w.incarnation()]; listed {
+		k := t.get(e, now)
 		if w.LeavingMs != nil {
 			age := time.Duration(*w.LeavingMs) * time.Millisecond
 			if k.leaving.received(from, now.Add(-age), now) {
@@ -131,9 +133,9 @@
 			began = append(began, Began{Engine: e, Notice: call.Rest{For: left}, From: from})
 		}
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	for _, c := range began {
-		b.urgent.Hurry()
-		b.changed(c)
+		t.urgent.Notify()
+		t.changed(c)
 	}
 }
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/lynxshed/lynxshed/fleet/ident"
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
 // Use is how far a node uses an endpoint that asked for rest.
@@ -41,7 +41,7 @@
 	peerUntil    time.Time // end of the rest requested from another node
 	by           string    // that node
 	probed       time.Time // when the first call after the rest was sent
-	due          telling.Due
+	due          announce.Schedule
 }
 
 // requested records that this node is to send nothing for a while. It returns true if no rest
@@ -52,7 +52,7 @@
 		r.since = now
 	}
 	if began && !now.Before(r.peerUntil) {
-		r.due.News(now) // otherwise the others know of one
+		r.due.MarkUpdated(now) // otherwise the others know of one
 	}
 	if until := now.Add(length); until.After(r.until) {
 		r.until = until
@@ -69,7 +69,7 @@
 	began = !now.Before(r.end())
 	if began {
 		r.since, r.probed = now, time.Time{}
-		r.due.News(now)
+		r.due.MarkUpdated(now)
 	}
 	r.peerUntil, r.by = until, from
 	return began
@@ -109,34 +109,34 @@
 
 // spreadPosition returns this node's position among those that return to an endpoint, from 0 to
 // 1.
-func (b *Book) spreadPosition(life engine.Life) float64 {
+func (t *Tracker) spreadPosition(incarnation engine.Incarnation) float64 {
 	const shift = 11 // leaves as many bits of a hash as a float64 has in its fraction
-	return float64(ident.Mix(b.self^xxhash.Sum64String(life.ID))>>shift) / (1 << (64 - shift))
+	return float64(ident.Mix(t.self^xxhash.Sum64String(incarnation.ID))>>shift) / (1 << (64 - shift))
 }
 
 // Use returns how far this node uses an endpoint now.
-func (b *Book) Use(life engine.Life, now time.Time) Use {
-	if b.count.Load() == 0 {
+func (t *Tracker) Use(incarnation engine.Incarnation, now time.Time) Use {
+	if t.count.Load() == 0 {
 		return Free
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[life]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || k.rest.end().IsZero() {
 		return Free
 	}
-	return k.rest.use(b.spreadPosition(life), now)
+	return k.rest.use(t.spreadPosition(incarnation), now)
 }
 
 // Resting reports whether an endpoint wants nothing from this node now, until when, and the
 // length of the whole rest.
-func (b *Book) Resting(life engine.Life, now time.Time) (until time.Time, length time.Duration, resting bool) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Resting(incarnation engine.Incarnation, now time.Time) (until time.Time, length time.Duration, resting bool) {
+	if t.count.Load() == 0 {
 		return time.Time{}, 0, false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k, ok := b.known[life]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	k, ok := t.known[incarnation]
 	if !ok || !now.Before(k.rest.until) {
 		return time.Time{}, 0, false
 	}
@@ -144,32 +144,32 @@
 }
 
 // Placed records a call to an endpoint. After a rest the first call is sent alone.
-func (b *Book) Placed(life engine.Life, now time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Placed(incarnation engine.Incarnation, now time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if k, ok := b.known[life]; ok && !now.Before(k.rest.end()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if k, ok := t.known[incarnation]; ok && !now.Before(k.rest.end()) {
 		k.rest.probed = now
 	}
 }
 
 // Took records that an endpoint accepted a call that was sent at the given time. If that was
 // after a rest, the endpoint is used as before.
-func (b *Book) Took(life engine.Life, sent time.Time) {
-	if b.count.Load() == 0 {
+func (t *Tracker) Took(incarnation engine.Incarnation, sent time.Time) {
+	if t.count.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	k, ok := b.known[life]
+	t.mu.Lock()
+	k, ok := t.known[incarnation]
 	over := ok && !k.rest.end().IsZero() && !sent.Before(k.rest.end())
 	if over {
 		k.rest = rest{}
-		b.dropEmpty(life, k)
+		t.dropEmpty(incarnation, k)
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	if over {
-		b.changed(Ended{Engine: k.engine})
+		t.changed(Ended{Engine: k.engine})
 	}
 }
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
+	"github.com/lynxshed/lynxshed/fleet/relay/announce"
 	"github.com/lynxshed/lynxshed/fleet/relay/call"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
-	"github.com/lynxshed/lynxshed/fleet/relay/telling"
 )
 
-// Book tracks the notices that a node knows. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks the notices that a node knows. It is safe for concurrent use.
+type Tracker struct {
 	rule    Rule
 	self    uint64 // hash of this node's name
 	changed func(Change)
-	urgent  telling.Urgent
+	urgent  announce.Urgent
 	count   atomic.Int64 // of known incarnations; 0 skips the lock
 
 	mu     sync.Mutex
-	listed map[engine.Life]engine.Engine
-	known  map[engine.Life]*known
+	listed map[engine.Incarnation]engine.Engine
+	known  map[engine.Incarnation]*known
 }
 
 // Change is a change due to a notice: Began or Ended.
@@ -53,35 +53,35 @@
 	rest    rest
 }
 
-// NewBook returns an empty tracker of a node. It calls changed on each change.
-func NewBook(self string, r Rule, changed func(Change)) *Book {
-	return &Book{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: telling.NewUrgent(), listed: map[engine.Life]engine.Engine{}, known: map[engine.Life]*known{}}
+// NewTracker returns an empty tracker of a node. It calls changed on each change.
+func NewTracker(self string, r Rule, changed func(Change)) *Tracker {
+	return &Tracker{rule: r, self: xxhash.Sum64String(self), changed: changed, urgent: announce.NewUrgent(), listed: map[engine.Incarnation]engine.Engine{}, known: map[engine.Incarnation]*known{}}
 }
 
 // Engines sets the listed endpoints. The state of others is dropped after entryRetention.
-func (b *Book) Engines(all []engine.Engine, now time.Time) {
-	listed := lo.KeyBy(all, engine.Engine.Life)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listed = listed
-	for life, k := range b.known {
-		_, stays := listed[life]
+func (t *Tracker) Engines(all []engine.Engine, now time.Time) {
+	listed := lo.KeyBy(all, engine.Engine.Incarnation)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.listed = listed
+	for incarnation, k := range t.known {
+		_, stays := listed[incarnation]
 		switch {
 		case stays:
 			k.gone = time.Time{}
 		case k.gone.IsZero():
 			k.gone = now
 		case now.Sub(k.gone) > entryRetention:
-			delete(b.known, life)
+			delete(t.known, incarnation)
 		}
 	}
-	b.count.Store(int64(len(b.known)))
+	t.count.Store(int64(len(t.known)))
 }
 
-// Saw records a notice in an answer to this node.
-func (b *Book) Saw(e engine.Engine, n call.Notice, now time.Time) {
-	b.mu.Lock()
-	k := b.get(e, now)
+// Observe records a notice in an answer to this node.
+func (t *Tracker) Observe(e engine.Engine, n call.Notice, now time.Time) {
+	t.mu.Lock()
+	k := t.get(e, now)
 	var began bool
 	switch n := n.(type) {
 	case call.Leaving:
@@ -89,42 +89,42 @@
 	case call.Rest:
 		began = k.rest.requested(n.For, now)
 	}
-	b.mu.Unlock()
+	t.mu.Unlock()
 	if began {
-		b.urgent.Hurry()
-		b.changed(Began{Engine: e, Notice: n})
+		t.urgent.Notify()
+		t.changed(Began{Engine: e, Notice: n})
 	}
 }
 
 // get returns the state of an endpoint, creating it if necessary.
-func (b *Book) get(e engine.Engine, now time.Time) *known {
-	life := e.Life()
-	k, ok := b.known[life]
+func (t *Tracker) get(e engine.Engine, now time.Time) *known {
+	incarnation := e.Incarnation()
+	k, ok := t.known[incarnation]
 	if !ok {
 		k = &known{engine: e}
-		if _, listed := b.listed[life]; !listed {
+		if _, listed := t.listed[incarnation]; !listed {
 			k.gone = now
 		}
-		b.known[life] = k
-		b.count.Store(int64(len(b.known)))
+		t.known[incarnation] = k
+		t.count.Store(int64(len(t.known)))
 	}
 	return k
 }
 
 // dropEmpty drops an incarnation without any notice.
-func (b *Book) dropEmpty(life engine.Life, k *known) {
+func (t *Tracker) dropEmpty(incarnation engine.Incarnation, k *known) {
 	if k.leaving.observed.IsZero() && k.rest.end().IsZero() {
-		delete(b.known, life)
-		b.count.Store(int64(len(b.known)))
+		delete(t.known, incarnation)
+		t.count.Store(int64(len(t.known)))
 	}
 }
 
 // find returns the state of an incarnation, and false if there is none.
-func (b *Book) find(life engine.Life) (*known, bool) {
-	if b.count.Load() == 0 {
+func (t *Tracker) find(incarnation engine.Incarnation) (*known, bool) {
+	if t.count.Load() == 0 {
 		return nil, false
 	}
-	k, ok := b.known[life]
+	k, ok := t.known[incarnation]
 	return k, ok
 }
 
@@ -140,15 +140,15 @@
 }
 
 // List returns the notices of listed endpoints, ordered by id.
-func (b *Book) List(now time.Time) []Listed {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) List(now time.Time) []Listed {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	all := []Listed{}
-	for life, k := range b.known {
+	for incarnation, k := range t.known {
 		if !k.gone.IsZero() {
 			continue
 		}
-		one := Listed{Endpoint: life.ID, Service: k.engine.Service, Zone: k.engine.Zone}
+		one := Listed{Endpoint: incarnation.ID, Service: k.engine.Service, Zone: k.engine.Zone}
 		if k.leaving.holds(now) {
 			all = append(all, k.leaving.list(one, now))
 		}
--- a/fleet/relay/peer/fuzz_test.go
+++ b/fleet/relay/peer/fuzz_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // Whatever a datagram contains, the node keeps running, no tokens appear that were not drawn
@@ -38,28 +38,28 @@
 			return
 		}
 		allowance := allowanceWith("a", 100)
-		registry := NewRegistry(nil, Member{Name: "a", Life: "1", Address: "127.0.0.1:0"}, store.NewHealth(), 0, quiet)
+		registry := NewRegistry(nil, Member{Name: "a", Incarnation: "1", Address: "127.0.0.1:0"}, store.NewHealth(), 0, quiet)
 		gossip, err := Listen("127.0.0.1:0", registry, choice.NewPicker("z", choice.DefaultTuning()), allowance, func() bool { return false })
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, gossip.Close()) }()
-		suspicions := doubt.NewBook("a", "z", doubt.DefaultRule(), func(doubt.Avoided) {})
-		gossip.WithRollouts(&fakeTalk{}).WithDoubts(suspicions)
+		suspicions := suspicion.NewTracker("a", "z", suspicion.DefaultRule(), func(suspicion.Avoided) {})
+		gossip.WithRollouts(&fakeExchange{}).WithSuspicions(suspicions)
 		suspect := engine.Engine{ID: "e", Born: 5, Service: "s", Zone: "z"}
 		suspicions.Engines([]engine.Engine{suspect, {ID: "f", Service: "s", Zone: "z"}})
 		suspicions.Nodes(map[string]string{"a": "z", "p": "z", "q": "z", "r": "z"})
-		limits := limit.NewBook(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
+		limits := limit.NewTracker(limit.Rule{Overrun: 1.5, Tolerance: 5, Window: 4 * time.Second}, func(limit.Change) {})
 		limits.Engines([]engine.Engine{suspect})
 		gossip.WithLimits(limits)
 		gossip.receive(m, "127.0.0.1:9")
-		if perSecond, named := limits.Of(suspect.Life()); named {
+		if perSecond, named := limits.Of(suspect.Incarnation()); named {
 			assert.GreaterOrEqual(t, perSecond, 0.0)
 			assert.Positive(t, limits.Bound(perSecond).Calls, "a limited endpoint is still used at times, whatever is reported of it")
 		}
-		assert.False(t, suspicions.Avoids(suspect.Life(), false, 0, time.Now()), "one datagram removes no endpoint")
+		assert.False(t, suspicions.Avoids(suspect.Incarnation(), false, 0, time.Now()), "one datagram removes no endpoint")
 		free := allowance.State(tenant).Free
 		assert.GreaterOrEqual(t, free, int64(0))
 		assert.LessOrEqual(t, free, int64(100))
-		allowance.Fleets(gossip.transfers.fleets(nil, 1, time.Now()), time.Now())
+		allowance.SetFleets(gossip.transfers.fleets(nil, 1, time.Now()), time.Now())
 		allowance.Deficits(3, refillBelow, time.Now())
 	})
 }
--- a/fleet/relay/peer/message.go
+++ b/fleet/relay/peer/message.go
@@ -8,10 +8,10 @@
 
 	"github.com/lynxshed/lynxshed/fleet/relay/account"
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 	"github.com/lynxshed/lynxshed/fleet/relay/notice"
 	"github.com/lynxshed/lynxshed/fleet/relay/quarantine"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // message is a datagram from one node to another.
@@ -29,18 +29,18 @@
 	Outage        *account.Outage                 `json:"outage,omitempty"`     // of the store, expected again
 	Requests      []transferRequest               `json:"requests,omitempty"`
 	Grants        []grant                         `json:"grants,omitempty"`
-	Rollouts      *RolloutWord                    `json:"rollouts,omitempty"`   // open orders
-	Suspicions    []doubt.Word                    `json:"doubts,omitempty"`     // endpoints at which calls failed recently
-	Quarantine    *quarantine.Words               `json:"quarantine,omitempty"` // requests under which endpoints end
-	Limits        []limit.Word                    `json:"limits,omitempty"`     // limits that endpoints name
-	Notices       []notice.Word                   `json:"notices,omitempty"`    // signals of endpoints in their answers
+	Rollouts      *RolloutReport                  `json:"rollouts,omitempty"`   // open orders
+	Suspicions    []suspicion.Report              `json:"doubts,omitempty"`     // endpoints at which calls failed recently
+	Quarantine    *quarantine.Report              `json:"quarantine,omitempty"` // requests under which endpoints end
+	Limits        []limit.Report                  `json:"limits,omitempty"`     // limits that endpoints name
+	Notices       []notice.Report                 `json:"notices,omitempty"`    // signals of endpoints in their answers
 	Ledger        int64                           `json:"ledger,omitempty"`     // revision number of a ledger that the node wrote
 	Era           int64                           `json:"era,omitempty"`        // newest era that the node knows of; with Ledger, the era of its revision
 }
 
 // withSender fills in the sender of a message.
 func (g *Gossip) withSender(m message) message {
-	m.Node, m.Incarnation = g.registry.self.Name, g.registry.self.Life
+	m.Node, m.Incarnation = g.registry.self.Name, g.registry.self.Incarnation
 	return m
 }
 
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -15,28 +15,28 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 )
 
-// fakeTalk is a RolloutTalk that provides fixed reports and records received ones.
-type fakeTalk struct {
-	seen []RolloutSeen
-	bad  []rollout.Warn
+// fakeExchange is a RolloutExchange that provides fixed reports and records received ones.
+type fakeExchange struct {
+	seen []RolloutEvidence
+	bad  []rollout.AnnounceBad
 	out  bool
 	late bool
 
 	mu       sync.Mutex
-	received []RolloutWord
+	received []RolloutReport
 }
 
-func (k *fakeTalk) Own(time.Time) []RolloutSeen { return k.seen }
+func (k *fakeExchange) Own(time.Time) []RolloutEvidence { return k.seen }
 
-func (k *fakeTalk) Zone(time.Time) []RolloutSeen {
-	return lo.Map(k.seen, func(s RolloutSeen, _ int) RolloutSeen { s.Zone = "z"; return s })
+func (k *fakeExchange) Zone(time.Time) []RolloutEvidence {
+	return lo.Map(k.seen, func(s RolloutEvidence, _ int) RolloutEvidence { s.Zone = "z"; return s })
 }
 
-func (k *fakeTalk) Bad() []rollout.Warn { return k.bad }
-func (k *fakeTalk) Out(time.Time) bool  { return k.out }
-func (k *fakeTalk) Blind() bool         { return k.late }
+func (k *fakeExchange) Bad() []rollout.AnnounceBad { return k.bad }
+func (k *fakeExchange) Out(time.Time) bool         { return k.out }
+func (k *fakeExchange) AgeUnknown() bool           { return k.late }
 
-func (k *fakeTalk) Heard(_ Teller, w RolloutWord, _ time.Time) {
+func (k *fakeExchange) Receive(_ Sender, w RolloutReport, _ time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.received = append(k.received, w)
@@ -72,7 +72,7 @@
 	}
 }
 
-// The first delegate in the common order that is heard and reaches the store writes.
+// The first delegate in the common order that is received from and reaches the store writes.
 func TestTheFirstDelegateIsOneThatReachesTheStore(t *testing.T) {
 	order := []Member{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	now := time.Now()
@@ -104,13 +104,13 @@
 		g := gossipOf("c", order)
 		g.delegates = &delegates{order: order}
 		g.chosen = lo.SliceToMap(c.chosen, func(name string) (string, bool) { return name, true })
-		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeTalk{out: c.failed, late: c.late}
+		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeExchange{out: c.failed, late: c.late}
 		assert.Equal(t, c.want, g.FirstDelegate(), c.name)
 	}
 }
 
 // gossipWithPeer returns a gossip with one peer, and the peer's socket.
-func gossipWithPeer(t *testing.T, k *fakeTalk) (*Gossip, net.PacketConn) {
+func gossipWithPeer(t *testing.T, k *fakeExchange) (*Gossip, net.PacketConn) {
 	t.Helper()
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 }
 
 func TestNothingIsSentWithoutAnOrder(t *testing.T) {
-	g, other := gossipWithPeer(t, &fakeTalk{})
+	g, other := gossipWithPeer(t, &fakeExchange{})
 	g.sendRollouts(map[string]bool{"a": true, "b": true})
 	_, _, any := nextMessage(t, other)
 	assert.False(t, any)
@@ -153,7 +153,7 @@
 // The evidence on an order with five routes and over a thousand answers each fits into less
 // than two kilobytes.
 func TestEvidenceIsSent(t *testing.T) {
-	seen := RolloutSeen{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
+	seen := RolloutEvidence{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
 	for i := range 5 {
 		r := rollout.RouteEvidence{Route: fmt.Sprint("a-long-name-of-a-route-", i)}
 		for c := range rollout.Cohorts {
@@ -161,14 +161,14 @@
 		}
 		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
 	}
-	k := &fakeTalk{seen: []RolloutSeen{seen}, bad: []rollout.Warn{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeExchange{seen: []RolloutEvidence{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
 	require.True(t, ok)
 	assert.Less(t, size, 2<<10)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Seen: k.seen, Bad: k.bad, Out: true}}, k.received)
+	assert.Equal(t, []RolloutReport{{Evidence: k.seen, Bad: k.bad, Out: true}}, k.received)
 	g.sendRollouts(map[string]bool{"a": true})
 	_, _, ok = nextMessage(t, other)
 	assert.False(t, ok, "no other delegate")
@@ -177,14 +177,14 @@
 // A version found bad is announced to all nodes at once, and with every digest until its order
 // ends.
 func TestBadVersionIsAnnouncedToAll(t *testing.T) {
-	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "w"}
-	k := &fakeTalk{}
+	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "w"}
+	k := &fakeExchange{}
 	g, other := gossipWithPeer(t, k)
-	g.TellBad(w)
+	g.AnnounceBad(w)
 	m, _, ok := nextMessage(t, other)
 	require.True(t, ok)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutWord{{Bad: []rollout.Warn{w}}}, k.received)
-	k.bad = []rollout.Warn{w}
-	assert.Equal(t, &RolloutWord{Bad: []rollout.Warn{w}}, g.badTargets())
+	assert.Equal(t, []RolloutReport{{Bad: []rollout.AnnounceBad{w}}}, k.received)
+	k.bad = []rollout.AnnounceBad{w}
+	assert.Equal(t, &RolloutReport{Bad: []rollout.AnnounceBad{w}}, g.badTargets())
 }
--- a/fleet/relay/peer/source.go
+++ b/fleet/relay/peer/source.go
@@ -198,7 +198,7 @@
 	if r.busy() {
 		return busySlack
 	}
-	return store.AnswerBegins
+	return store.AnswerTimeout
 }
 
 const (
@@ -240,7 +240,7 @@
 	var answer objectsAnswer
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := clock.WaitFor(wait+r.slack(), func() { cancel(errSilent) })
+	timer := clock.StartTimeout(wait+r.slack(), func() { cancel(errSilent) })
 	defer timer.Stop()
 	if r.firsthand {
 		query.Set(firsthand, "")
@@ -281,7 +281,7 @@
 	case answer.Era == 0:
 		answer.Era = newest
 	default:
-		r.eras.Saw(answer.Era)
+		r.eras.Observe(answer.Era)
 	}
 	return answer, nil
 }
--- a/fleet/relay/peer/suspicions.go
+++ b/fleet/relay/peer/suspicions.go
@@ -6,7 +6,7 @@
 	"github.com/samber/lo"
 
 	"github.com/lynxshed/lynxshed/fleet/clock"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 )
 
 // A node reports to the delegates of its zone at once that one of its calls failed at an
@@ -15,8 +15,8 @@
 // nodes observed the failures. Both are sent again with the digests, so that a lost datagram
 // costs a second at most. In a fleet where all nodes write, each sends to all others.
 
-// WithDoubts exchanges reports on endpoints that fail. It must be called before Run.
-func (g *Gossip) WithDoubts(b *doubt.Book) *Gossip {
+// WithSuspicions exchanges reports on endpoints that fail. It must be called before Run.
+func (g *Gossip) WithSuspicions(b *suspicion.Tracker) *Gossip {
 	g.suspicions = b
 	g.registry.OnChange(func(members []Member) {
 		b.Nodes(lo.SliceToMap(members, func(m Member) (string, string) { return m.Name, m.Zone }))
@@ -38,8 +38,8 @@
 		return
 	}
 	now := clock.Now()
-	audience := g.suspicions.News(g.passesOn(), now)
-	if audience == doubt.Nobody {
+	audience := g.suspicions.Audience(g.passesOn(), now)
+	if audience == suspicion.Nobody {
 		return
 	}
 	reports := g.suspicionReports(now)
@@ -47,28 +47,28 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	if audience == doubt.All {
+	if audience == suspicion.All {
 		self := g.registry.self
 		near = addresses(lo.Filter(g.registry.Members(), func(m Member, _ int) bool { return m.Name != self.Name && m.Zone == self.Zone }))
 	}
 	to := near
-	if audience == doubt.All || g.Writes() && !g.passesOn() {
+	if audience == suspicion.All || g.Writes() && !g.passesOn() {
 		to = append(near, far...)
 	}
 	g.send(g.withSender(message{Suspicions: reports}), to...)
 }
 
 // suspicionReports returns the reports on endpoints that fail.
-func (g *Gossip) suspicionReports(now time.Time) []doubt.Word {
+func (g *Gossip) suspicionReports(now time.Time) []suspicion.Report {
 	if g.suspicions == nil {
 		return nil
 	}
-	return g.suspicions.Words(g.passesOn(), now)
+	return g.suspicions.Reports(g.passesOn(), now)
 }
 
 // receiveSuspicions processes a peer's reports on endpoints that fail.
 func (g *Gossip) receiveSuspicions(m message) {
 	if g.suspicions != nil && len(m.Suspicions) > 0 {
-		g.suspicions.Heard(m.Node, m.Suspicions, clock.Now())
+		g.suspicions.Receive(m.Node, m.Suspicions, clock.Now())
 	}
 }
--- a/fleet/relay/quarantine/model_test.go
+++ b/fleet/relay/quarantine/model_test.go
@@ -13,39 +13,39 @@
 // strategy is a strategy to identify the harmful request.
 type strategy interface {
 	interrupt(e int, incarnation int64, under []Suspect, now time.Time)
-	served(p Print, now time.Time)
-	holds(p Print, now time.Time) bool
+	served(p Fingerprint, now time.Time)
+	holds(p Fingerprint, now time.Time) bool
 }
 
 // countStrategy quarantines every request that was present at three ends.
-type countStrategy map[Print]int
+type countStrategy map[Fingerprint]int
 
 func (c countStrategy) interrupt(_ int, _ int64, under []Suspect, _ time.Time) {
 	for _, s := range under {
-		c[s.Print]++
+		c[s.Fingerprint]++
 	}
 }
-func (c countStrategy) served(Print, time.Time)         {}
-func (c countStrategy) holds(p Print, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
+func (c countStrategy) served(Fingerprint, time.Time)         {}
+func (c countStrategy) holds(p Fingerprint, _ time.Time) bool { return c[p] >= DefaultRule().Ends }
 
 // resetStrategy counts likewise but resets the count of a request that was served.
 type resetStrategy struct{ countStrategy }
 
-func (c resetStrategy) served(p Print, _ time.Time) { delete(c.countStrategy, p) }
+func (c resetStrategy) served(p Fingerprint, _ time.Time) { delete(c.countStrategy, p) }
 
-// trackerStrategy uses a Book.
+// trackerStrategy uses a Tracker.
 type trackerStrategy struct{ *node }
 
 func (j trackerStrategy) interrupt(e int, incarnation int64, under []Suspect, now time.Time) {
 	of := endpointOf(e, incarnation)
 	j.Engines(append(endpointsOf(e, incarnation), of), now)
 	for _, s := range under {
-		j.Cut(of, s, now)
+		j.Interrupted(of, s, now)
 	}
-	j.Ended(of.Life(), now)
+	j.Ended(of.Incarnation(), now)
 }
-func (j trackerStrategy) served(p Print, now time.Time)     { j.Served(p, now) }
-func (j trackerStrategy) holds(p Print, now time.Time) bool { return j.Holds(p, now) }
+func (j trackerStrategy) served(p Fingerprint, now time.Time)     { j.Served(p, now) }
+func (j trackerStrategy) holds(p Fingerprint, now time.Time) bool { return j.IsQuarantined(p, now) }
 
 // simulation models a service of ten endpoints, some of which end, and callers that retry
 // interrupted calls.
@@ -100,7 +100,7 @@
 	ends, calls := 0, 0
 	end := func(e int, now time.Time) {
 		under := lo.Map(at[e], func(c running, _ int) Suspect {
-			return Suspect{Print: printOf(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
+			return Suspect{Fingerprint: fingerprintOf(c.name), Progress: progressOf(now.Sub(c.from)), Customer: "customer"}
 		})
 		incarnation[e]++
 		down[e] = now.Add(modelDown)
@@ -115,7 +115,7 @@
 	place := func(c running, now time.Time) {
 		e := random.IntN(modelEndpoints)
 		switch {
-		case w.holds(printOf(c.name), now):
+		case w.holds(fingerprintOf(c.name), now):
 			held[c.name] = true
 			return
 		case now.Before(down[e]):
@@ -158,7 +158,7 @@
 				if now.Before(c.until) {
 					return true
 				}
-				w.served(printOf(c.name), now)
+				w.served(fingerprintOf(c.name), now)
 				return false
 			})
 		}
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -26,7 +26,6 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/choice"
 	"github.com/lynxshed/lynxshed/fleet/relay/cold"
 	"github.com/lynxshed/lynxshed/fleet/relay/distance"
-	"github.com/lynxshed/lynxshed/fleet/relay/doubt"
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 	"github.com/lynxshed/lynxshed/fleet/relay/evacuation"
 	"github.com/lynxshed/lynxshed/fleet/relay/forward"
@@ -40,6 +39,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/retry"
 	"github.com/lynxshed/lynxshed/fleet/relay/rollout"
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
+	"github.com/lynxshed/lynxshed/fleet/relay/suspicion"
 	"github.com/lynxshed/lynxshed/fleet/telemetry"
 	"github.com/lynxshed/lynxshed/fleet/version"
 )
@@ -85,16 +85,16 @@
 	moves              atomic.Pointer[forward.Trials]   // of the services with an open order
 	engineTable        *engineTable
 	trials             *trials
-	ordersRefresh      store.Again
-	evacuationsRefresh store.Again
+	ordersRefresh      store.Relist
+	evacuationsRefresh store.Relist
 	faults             *store.Faults // logs entries that can't be read
 	bounds             *bound.Gate
-	limits             *limit.Book  // nil: limits of endpoints are ignored
-	notices            *notice.Book // nil: notices in answers of endpoints are ignored
+	limits             *limit.Tracker  // nil: limits of endpoints are ignored
+	notices            *notice.Tracker // nil: notices in answers of endpoints are ignored
 	allowance          *account.Allowance
 	syncer             *account.Syncer
 	picker             *choice.Picker
-	suspicions         *doubt.Book        // nil: failures that other nodes report are ignored
+	suspicions         *suspicion.Tracker // nil: failures that other nodes report are ignored
 	quarantine         *quarantineManager // nil: no request is quarantined
 	places             distance.Places
 	registry           *peer.Registry
@@ -110,7 +110,7 @@
 	metrics            *Metrics
 	leaving            atomic.Bool
 	confirmation       confirmation
-	stalls             *clock.Standstills
+	stalls             *clock.StallDetector
 	dropAllIdle        func() int // closes idle connections to all endpoints
 }
 
@@ -129,8 +129,8 @@
 // New builds a node.
 func New(s Settings, a Adapter, l log.Interface) (*Node, error) {
 	limitMemory(s.MemoryMB)
-	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStandstills(), log: l}
-	n.health = store.NewHealth().WithStandstills(n.stalls.Since)
+	n := &Node{settings: s, adapter: a, places: s.Places(), stalls: clock.NewStallDetector(), log: l}
+	n.health = store.NewHealth().WithStalls(n.stalls.StalledSince)
 	if err := n.initTelemetry(); err != nil {
 		return nil, err
 	}
@@ -139,16 +139,16 @@
 	n.eras.OnRise(n.storeRestored)
 	n.store = store.NewSourced(store.Probed(store.Counted(a.Store(), n.metrics)), n.sources).WithEras(n.eras)
 	incarnation := uuid.NewString()
-	self := peer.Member{Name: s.Node, Life: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
+	self := peer.Member{Name: s.Node, Incarnation: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
 	n.allowance = account.NewAllowance(s.Node, incarnation, s.Budget.Tuning())
-	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Out() })
+	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Unavailable() })
 	n.picker = choice.NewPicker(s.Zone, s.Choice()).WithColdGate(n.bounds, cold.Rule{Overrun: s.Cold.Overrun, Tolerance: s.Cold.Tolerance}).WithPlaces(n.places)
 	n.engineTable, n.trials = newEngineTable(n), newTrials(n, incarnation)
 	n.registry = peer.NewRegistry(n.store, self, n.health, s.History(), l).WithFaults(n.faults)
 	if s.Bootstrap && s.Enabled(delegatesMechanism) {
 		n.registry.Starting(bootstrapTime)
 	}
-	gossip, err := peer.Listen(s.Peer, n.registry, n.picker, n.allowance, func() bool { return n.syncer.Out() })
+	gossip, err := peer.Listen(s.Peer, n.registry, n.picker, n.allowance, func() bool { return n.syncer.Unavailable() })
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		n.bounds.Nodes(lo.Map(members, func(m peer.Member, _ int) string { return m.Name }), clock.Now())
 	})
 	n.registry.OnChange(newBuilds(n).logChange)
-	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithTurns(gossip.Turn, gossip.Heard()).WithEras(n.eras)
+	n.syncer = account.NewSyncer(n.store, n.allowance, gossip.WriterCount, gossip.Writes, n.health, l).WithFaults(n.faults).WithWriters(gossip).WithSlots(gossip.Slot, gossip.LedgerWrites()).WithEras(n.eras)
 	n.gate = overload.NewGate(overload.DefaultRule())
 	n.intake = overload.NewIntake(overload.DefaultIntakeRule())
 	n.meter = link.NewMeter(s.LinkMbps)
@@ -171,9 +171,9 @@
 	n.dropIdle, n.dropAllIdle = transport.DropIdle, transport.DropAllIdle
 	n.handler = forward.New(forward.Options{
 		Wire: a.Wire(), Policy: &n.policy, Engines: &n.engines, Trials: &n.moves, Samples: n.trials, Allowance: n.allowance, Picker: n.picker,
-		Retries:    retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
-		Returns:    limit.NewReturns(),
-		Quarantine: n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Unread: n.stalls.Unread, Stood: n.stalls.Since, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
+		Retries:       retry.NewBudget(retry.Rule{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: s.Retry.Window()}, n.registry.Sharers),
+		RetrySchedule: limit.NewRetrySchedule(),
+		Quarantine:    n.quarantineTracker(), Gate: n.gate, Intake: n.intake, Memory: n.memory, Nodes: n.registry.Count, Places: n.places, Transport: transport, TokenSource: tokenSource{n}, Backlog: n.stalls.Backlog, Stalled: n.stalls.StalledSince, Log: l, Metrics: n.metrics, Tracer: n.tracer(),
 	})
 	if n.ingress, err = ingress.Listen(s.Listen, n.handler, l); err != nil {
 		return nil, errors.CombineErrors(err, gossip.Close())
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -25,8 +25,8 @@
 	fleet       delegation
 
 	mu               sync.Mutex
-	open             map[string]*trial // by service
-	bad              []rollout.Warn    // received, also about orders that this node does not know yet
+	open             map[string]*trial     // by service
+	bad              []rollout.AnnounceBad // received, also about orders that this node does not know yet
 	lastTick         time.Time
 	receivesUntil    time.Time // reports of others are collected until then, before anything is decided
 	recentStalls     []span    // around the latest stalls: answers that were read in one may have waited in a socket
@@ -37,7 +37,7 @@
 type delegation interface {
 	Writes() bool        // this node is a delegate
 	FirstDelegate() bool // this node is the delegate that writes statuses
-	TellBad(rollout.Warn)
+	AnnounceBad(rollout.AnnounceBad)
 }
 
 // trial holds the evidence and the decider of one open order.
@@ -48,9 +48,9 @@
 	ids            []string
 	counts         endpointCounts
 	recorder       *rollout.Recorder
-	zoneEvidence   *rollout.Gathered // of the nodes of this zone, by incarnation
-	fleetEvidence  *rollout.Gathered // of all zones, by zone
-	reports        map[string]report // by node of this zone and by other zone
+	zoneEvidence   *rollout.EvidenceTracker // of the nodes of this zone, by incarnation
+	fleetEvidence  *rollout.EvidenceTracker // of all zones, by zone
+	reports        map[string]report        // by node of this zone and by other zone
 	durations      durationWindow
 	decider        rollout.Decider
 	judgedRevision store.Revision // of the order as last passed to the decider; 0: this node does not judge
@@ -98,7 +98,7 @@
 			continue
 		}
 		open[r.Service] = t.trialOf(name, r, now)
-		open[r.Service].recorder.Refer(r.Status.Usual)
+		open[r.Service].recorder.SetReferences(r.Status.References)
 	}
 	t.open = open
 }
@@ -114,7 +114,7 @@
 	}
 	created := &trial{
 		name: name, rollout: r, learnedAt: now, recorder: rollout.NewRecorder(r.Order), reports: map[string]report{},
-		zoneEvidence: rollout.NewGathered(r.Service, r.Made), fleetEvidence: rollout.NewGathered(r.Service, r.Made),
+		zoneEvidence: rollout.NewEvidenceTracker(r.Service, r.Made), fleetEvidence: rollout.NewEvidenceTracker(r.Service, r.Made),
 	}
 	created.bad = slices.ContainsFunc(t.bad, created.matches)
 	return created
@@ -142,11 +142,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range t.open {
-		o.rollout.Found, o.learnedAt, o.judgedRevision = true, now, 0
+		o.rollout.AgeUnknown, o.learnedAt, o.judgedRevision = true, now, 0
 	}
 }
 
-func (o *trial) matches(w rollout.Warn) bool {
+func (o *trial) matches(w rollout.AnnounceBad) bool {
 	return w.Service == o.rollout.Service && w.Target == o.rollout.Target && w.Made == o.rollout.Made
 }
 
@@ -176,7 +176,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[s.Service]; ok {
-		o.recorder.Sent(s)
+		o.recorder.RecordSent(s)
 	}
 }
 
@@ -214,7 +214,7 @@
 		shortest = 0
 	}
 	s.Slowness *= shortest.Seconds() / max(s.Took, time.Nanosecond).Seconds()
-	s.Took, s.AtLeast = shortest, true
+	s.Took, s.LowerBound = shortest, true
 	return s
 }
 
@@ -244,18 +244,18 @@
 	return max(until.Sub(since), 0)
 }
 
-// SlowFrom implements forward.Samples.
-func (t *trials) SlowFrom(service, route string) (times float64, after time.Duration) {
+// SlowThreshold implements forward.Samples.
+func (t *trials) SlowThreshold(service, route string) (times float64, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
-		return o.recorder.SlowFrom(route)
+		return o.recorder.SlowThreshold(route)
 	}
 	return 0, 0
 }
 
-// Lasts implements forward.Samples.
-func (t *trials) Lasts(service string, d time.Duration) {
+// RecordExpected implements forward.Samples.
+func (t *trials) RecordExpected(service string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if o, ok := t.open[service]; ok {
@@ -263,23 +263,23 @@
 	}
 }
 
-var _ peer.RolloutTalk = (*trials)(nil)
+var _ peer.RolloutExchange = (*trials)(nil)
 
-// Own implements peer.RolloutTalk.
-func (t *trials) Own(now time.Time) []peer.RolloutSeen {
+// Own implements peer.RolloutExchange.
+func (t *trials) Own(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
+	return lo.Map(t.services(), func(service string, _ int) peer.RolloutEvidence {
 		o := t.open[service]
 		return o.observation(o.recorder.Evidence(), t.ownReport(o, now), now)
 	})
 }
 
 // observation is the message to peers about an order.
-func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutSeen {
-	return peer.RolloutSeen{
+func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutEvidence {
+	return peer.RolloutEvidence{
 		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.longest.Milliseconds(),
-		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.Found,
+		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.AgeUnknown,
 	}
 }
 
@@ -288,13 +288,13 @@
 	return report{old: t.picker.InFlight(slices.Values(o.ids)), longest: o.durations.longest(now), at: now}
 }
 
-// Zone implements peer.RolloutTalk.
-func (t *trials) Zone(now time.Time) []peer.RolloutSeen {
+// Zone implements peer.RolloutExchange.
+func (t *trials) Zone(now time.Time) []peer.RolloutEvidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Map(t.services(), func(service string, _ int) peer.RolloutSeen {
+	return lo.Map(t.services(), func(service string, _ int) peer.RolloutEvidence {
 		o := t.open[service]
-		o.zoneEvidence.Take(t.incarnation, o.recorder.Evidence())
+		o.zoneEvidence.Record(t.incarnation, o.recorder.Evidence())
 		sum := o.sum(t.ownReport(o, now), now, func(from string) bool { return from[0] == ofNode })
 		seen := o.observation(o.zoneEvidence.Sum(), sum, now)
 		seen.Zone = t.settings.Zone
@@ -329,34 +329,34 @@
 	return own
 }
 
-// Bad implements peer.RolloutTalk.
-func (t *trials) Bad() []rollout.Warn {
+// Bad implements peer.RolloutExchange.
+func (t *trials) Bad() []rollout.AnnounceBad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.Filter(t.bad, func(w rollout.Warn, _ int) bool {
+	return lo.Filter(t.bad, func(w rollout.AnnounceBad, _ int) bool {
 		o, ok := t.open[w.Service]
 		return ok && o.matches(w)
 	})
 }
 
-// Out implements peer.RolloutTalk.
+// Out implements peer.RolloutExchange.
 func (t *trials) Out(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.storeFailedUntil)
 }
 
-// Blind implements peer.RolloutTalk.
-func (t *trials) Blind() bool {
+// AgeUnknown implements peer.RolloutExchange.
+func (t *trials) AgeUnknown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.Found })
+	return lo.SomeBy(lo.Values(t.open), func(o *trial) bool { return o.rollout.AgeUnknown })
 }
 
-// Heard implements peer.RolloutTalk.
-func (t *trials) Heard(from peer.Teller, w peer.RolloutWord, now time.Time) {
+// Receive implements peer.RolloutExchange.
+func (t *trials) Receive(from peer.Sender, w peer.RolloutReport, now time.Time) {
 	t.mu.Lock()
-	for _, seen := range w.Seen {
+	for _, seen := range w.Evidence {
 		t.receiveObservation(from, seen, now)
 	}
 	t.mu.Unlock()
@@ -365,7 +365,7 @@
 	}
 }
 
-func (t *trials) receiveObservation(from peer.Teller, seen peer.RolloutSeen, now time.Time) {
+func (t *trials) receiveObservation(from peer.Sender, seen peer.RolloutEvidence, now time.Time) {
 	o, ok := t.open[seen.Evidence.Service]
 	if !ok || o.rollout.Made != seen.Evidence.Made || o.rollout.Target != seen.Target {
 		return
@@ -374,12 +374,12 @@
 	received := report{old: max(seen.Old, 0), longest: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
 	switch seen.Zone {
 	case "":
-		o.zoneEvidence.Take(from.Life, seen.Evidence)
+		o.zoneEvidence.Record(from.Incarnation, seen.Evidence)
 		o.reports[string(ofNode)+from.Name] = received
 	case t.settings.Zone:
-		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
 	default:
-		o.fleetEvidence.Take(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
 		o.reports[string(ofZone)+seen.Zone] = received
 	}
 }
@@ -388,9 +388,9 @@
 // node observed neither the creation of the order nor the write of its status.
 func elapsed(r rollout.Rollout, now time.Time) time.Duration {
 	if r.State() == rollout.Ordered {
-		return now.Sub(r.Learned)
+		return now.Sub(r.LearnedAt)
 	}
-	return r.Status.Used + now.Sub(r.Learned)
+	return r.Status.Used + now.Sub(r.LearnedAt)
 }
 
 // adoptElapsed takes over from another node how much of an order has elapsed, if this node found
@@ -398,15 +398,15 @@
 // possible, and a node that knows it corrects that. A node that found the status earlier knows a
 // lower bound: without it, nodes that restart one after the other, faster than elapsed time is
 // written, would keep an order from ever progressing.
-func (o *trial) adoptElapsed(seen peer.RolloutSeen, now time.Time) {
-	if !o.rollout.Found || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
+func (o *trial) adoptElapsed(seen peer.RolloutEvidence, now time.Time) {
+	if !o.rollout.AgeUnknown || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
 		return
 	}
 	learned := now.Add(o.rollout.Status.Used - time.Duration(seen.UsedMs)*time.Millisecond)
-	if seen.AtLeast && !learned.Before(o.rollout.Learned.Add(-minElapsedGain)) {
+	if seen.AtLeast && !learned.Before(o.rollout.LearnedAt.Add(-minElapsedGain)) {
 		return
 	}
-	o.rollout.Learned, o.rollout.Found = learned, seen.AtLeast
+	o.rollout.LearnedAt, o.rollout.AgeUnknown = learned, seen.AtLeast
 	o.judgedRevision = 0 // the decider restarts
 }
 
@@ -414,9 +414,9 @@
 const minElapsedGain = 500 * time.Millisecond
 
 // markBad records that the target of an order is bad: it gets no calls from now on.
-func (t *trials) markBad(w rollout.Warn, by string) {
+func (t *trials) markBad(w rollout.AnnounceBad, by string) {
 	t.mu.Lock()
-	if slices.ContainsFunc(t.bad, func(known rollout.Warn) bool {
+	if slices.ContainsFunc(t.bad, func(known rollout.AnnounceBad) bool {
 		return known.Service == w.Service && known.Target == w.Target && known.Made == w.Made
 	}) {
 		t.mu.Unlock()
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -66,12 +66,12 @@
 // fakeDelegation is the role of a node among the delegates.
 type fakeDelegation struct {
 	delegate, first bool
-	warnings        []rollout.Warn
+	warnings        []rollout.AnnounceBad
 }
 
-func (f *fakeDelegation) Writes() bool           { return f.delegate }
-func (f *fakeDelegation) FirstDelegate() bool    { return f.first }
-func (f *fakeDelegation) TellBad(w rollout.Warn) { f.warnings = append(f.warnings, w) }
+func (f *fakeDelegation) Writes() bool                      { return f.delegate }
+func (f *fakeDelegation) FirstDelegate() bool               { return f.first }
+func (f *fakeDelegation) AnnounceBad(w rollout.AnnounceBad) { f.warnings = append(f.warnings, w) }
 
 // judgingNode is a delegate on a store that holds an order of 12 s.
 type judgingNode struct {
@@ -109,7 +109,7 @@
 	for i := range 20 {
 		j.sent++
 		target := r.State() == rollout.InProgress && (i%10 == 0 || r.Status.Stage == rollout.Moving)
-		j.trials.Lasts("s", time.Second)
+		j.trials.RecordExpected("s", time.Second)
 		j.trials.Sample(rollout.Sample{
 			Service: "s", Route: "r", Target: target, Endpoint: uint64(j.sent), Slowness: 1,
 			Failed: target && j.bad > 0 && j.sent%int(j.bad) == 0,
@@ -288,19 +288,19 @@
 // A version that a peer found bad gets no calls at once, also if the order arrives later, and the
 // writing delegate reverts it.
 func TestAVersionThatAPeerFoundBad(t *testing.T) {
-	w := rollout.Warn{Service: "s", Target: "v2", Made: 5, Why: "fails"}
-	heard := func(n *Node, w rollout.Warn) {
-		n.trials.Heard(peer.Teller{Name: "o", Life: "o/1"}, peer.RolloutWord{Bad: []rollout.Warn{w}}, time.Now())
+	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "fails"}
+	heard := func(n *Node, w rollout.AnnounceBad) {
+		n.trials.Receive(peer.Sender{Name: "o", Incarnation: "o/1"}, peer.RolloutReport{Bad: []rollout.AnnounceBad{w}}, time.Now())
 	}
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
-		heard(j.Node, rollout.Warn{Service: "s", Target: "v3", Made: 5})
-		heard(j.Node, rollout.Warn{Service: "s", Target: "v2", Made: 4})
+		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v3", Made: 5})
+		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v2", Made: 4})
 		assert.False(t, j.trials.open["s"].bad, "that is another order")
 		heard(j.Node, w)
 		heard(j.Node, w)
 		assert.True(t, j.trials.open["s"].bad)
-		assert.Equal(t, []rollout.Warn{w}, j.trials.Bad())
+		assert.Equal(t, []rollout.AnnounceBad{w}, j.trials.Bad())
 		j.play(ctx, time.Second)
 		assert.Equal(t, rollout.Reverted, j.state())
 	})
@@ -317,13 +317,13 @@
 	n := versionedNode()
 	n.settings.Zone = "near"
 	n.applyRollouts(listed(9, order("s", "v2", 5, 5, rollout.Status{})))
-	seen := func(zone string, answers, old int) peer.RolloutSeen {
+	seen := func(zone string, answers, old int) peer.RolloutEvidence {
 		e := rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{{Route: "r", Old: rollout.Counts{{Answers: answers}}}}}
-		return peer.RolloutSeen{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
+		return peer.RolloutEvidence{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
 	}
 	now := time.Now()
-	send := func(name, incarnation string, s peer.RolloutSeen) {
-		n.trials.Heard(peer.Teller{Name: name, Life: incarnation}, peer.RolloutWord{Seen: []peer.RolloutSeen{s}}, now)
+	send := func(name, incarnation string, s peer.RolloutEvidence) {
+		n.trials.Receive(peer.Sender{Name: name, Incarnation: incarnation}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{s}}, now)
 	}
 	send("a", "a/1", seen("", 5, 2))
 	send("a", "a/1", seen("", 5, 2))
@@ -379,8 +379,8 @@
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.store.object = order("s", "v2", 5, 6, rollout.Status{State: rollout.InProgress, Target: "v2", Made: 5, Share: 0.1, Used: time.Second, Writes: 1})
 		j.applyRollouts(listed(6, j.store.object))
-		sent := peer.RolloutSeen{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
-		j.trials.Heard(peer.Teller{Name: "b", Life: "1"}, peer.RolloutWord{Seen: []peer.RolloutSeen{sent}}, time.Now())
+		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5}, At: 6, UsedMs: 20_000, AtLeast: true}
+		j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, time.Now())
 		own := j.trials.Own(time.Now())
 		require.Len(t, own, 1)
 		assert.Equal(t, int64(20_000), own[0].UsedMs, "and is passed on")
