--- a/fleet/clock/timeout.go
+++ b/fleet/clock/timeout.go
@@ -27,44 +27,44 @@
 // StartTimeout calls end after d, unless Stop is called before. If the process stalls at the end
 // of d, the timeout is extended by a short time: the message may be in the backlog of its
 // sockets, and a stall of its own must not count as silence of others.
-func StartTimeout(d time.Duration, end func()) *Timeout { return waitFor(d, end, time.Now) }
+func StartTimeout(d time.Duration, end func()) *Timeout { return newTimeout(d, end, time.Now) }
 
-func waitFor(d time.Duration, end func(), now func() time.Time) *Timeout {
-	p := &Timeout{end: end, now: now, due: now().Add(d)}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer = time.AfterFunc(d, p.fire)
-	return p
+func newTimeout(d time.Duration, end func(), now func() time.Time) *Timeout {
+	t := &Timeout{end: end, now: now, due: now().Add(d)}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(d, t.fire)
+	return t
 }
 
-func (p *Timeout) fire() {
-	if p.expired() {
-		p.end()
+func (t *Timeout) fire() {
+	if t.expired() {
+		t.end()
 	}
 }
 
 // expired reports whether the timeout ends now. Otherwise it was extended or stopped.
-func (p *Timeout) expired() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.now()
+func (t *Timeout) expired() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
 	switch {
-	case p.done:
+	case t.done:
 		return false
-	case now.Sub(p.due) >= stallDelay && p.extensions < maxExtensions:
-		p.extensions++
-		p.due = now.Add(backlogTime)
-		p.timer.Reset(backlogTime)
+	case now.Sub(t.due) >= stallDelay && t.extensions < maxExtensions:
+		t.extensions++
+		t.due = now.Add(backlogTime)
+		t.timer.Reset(backlogTime)
 		return false
 	}
-	p.done = true
+	t.done = true
 	return true
 }
 
 // Stop cancels the timeout; the message was received.
-func (p *Timeout) Stop() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.done = true
-	p.timer.Stop()
+func (t *Timeout) Stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.done = true
+	t.timer.Stop()
 }
--- a/fleet/clock/timeout_test.go
+++ b/fleet/clock/timeout_test.go
@@ -29,11 +29,11 @@
 				start := time.Now()
 				var delay, expired atomic.Int64
 				now := func() time.Time { return time.Now().Add(time.Duration(delay.Load())) }
-				p := waitFor(timeout, func() { expired.Store(int64(time.Since(start))) }, now)
+				running := newTimeout(timeout, func() { expired.Store(int64(time.Since(start))) }, now)
 				for range 20 {
 					delay.Add(int64(c.late))
 					if c.received > 0 && time.Since(start) >= c.received {
-						p.Stop()
+						running.Stop()
 					}
 					time.Sleep(backlogTime / 2)
 					synctest.Wait()
--- a/fleet/config/follower.go
+++ b/fleet/config/follower.go
@@ -102,7 +102,7 @@
 	return f.inForce.Advance(head, func(hash string) (Shard, error) { return f.loader.Shard(ctx, hash) })
 }
 
-// maxPulls is how many peers one check asks at most.
+// maxPulls is the maximum number of peers that one check asks.
 const maxPulls = 3
 
 // PullOnce asks peers that run a newer revision for it, those of the own zone first, until one
--- a/fleet/dispatch/dispatch.go
+++ b/fleet/dispatch/dispatch.go
@@ -60,7 +60,7 @@
 	batch  bool
 }
 
-// Endpoint is the chosen endpoint.
+// Endpoint returns the chosen endpoint.
 func (g Grant) Endpoint() catalog.Endpoint { return g.Choice.Target.Endpoint }
 
 // tracker holds what this node knows of one endpoint.
--- a/fleet/entry/chatjob.go
+++ b/fleet/entry/chatjob.go
@@ -177,9 +177,9 @@
 	resumable := true
 	if failure != attempt.NotStarted && j.run.relayed() == 0 {
 		// Nothing was relayed. If the engine never started the request, another one may run it.
-		o, askErr := j.entry.Backend.Outcome(ctx, j.attempt(), j.record.Request)
-		resumable = askErr == nil && o.State != backend.StateNeverStarted
-		if askErr == nil && o.State == backend.StateNeverStarted && failure != attempt.Rejected {
+		o, outcomeErr := j.entry.Backend.Outcome(ctx, j.attempt(), j.record.Request)
+		resumable = outcomeErr == nil && o.State != backend.StateNeverStarted
+		if outcomeErr == nil && o.State == backend.StateNeverStarted && failure != attempt.Rejected {
 			failure = attempt.NotStarted
 		}
 	}
--- a/fleet/entry/entry.go
+++ b/fleet/entry/entry.go
@@ -59,7 +59,7 @@
 	return value
 }
 
-// Dependencies are the dependencies of an entry.
+// Dependencies are the components that an entry uses.
 type Dependencies struct {
 	Self     membership.Member
 	Keeper   *keeper.Keeper
@@ -94,9 +94,9 @@
 }
 
 // New returns an entry without runs. When base is cancelled, all runs end.
-func New(base context.Context, p Dependencies, o Options) *Entry {
+func New(base context.Context, d Dependencies, o Options) *Entry {
 	base, stop := context.WithCancel(base)
-	return &Entry{Dependencies: p, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, evicted: newSummaries()}
+	return &Entry{Dependencies: d, options: o.withDefaults(), base: base, stop: stop, runs: map[ident.Request]*run{}, evicted: newSummaries()}
 }
 
 // Routes registers the handlers of callers' requests.
--- a/fleet/entry/holder.go
+++ b/fleet/entry/holder.go
@@ -148,14 +148,14 @@
 
 // noteAttempt reports a further attempt to the holder before it is sent.
 func (e *Entry) noteAttempt(ctx context.Context, r holder.Record, a holder.Attempt, extra int64) bool {
-	noting := peer.NoteRequest{Request: r.Request, Attempt: a, Extra: extra}
+	note := peer.NoteRequest{Request: r.Request, Attempt: a, Extra: extra}
 	if r.Holder == e.Keeper.Incarnation() {
-		return e.Keeper.AddAttempt(ctx, noting).Found
+		return e.Keeper.AddAttempt(ctx, note).Found
 	}
 	to, ok := e.View().Member(r.Holder.Node())
 	if !ok || to.Incarnation != r.Holder {
 		return false
 	}
-	known, err := peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbNote, noting)
+	known, err := peer.Call[peer.RecordLookup](ctx, e.Caller, to, peer.VerbNote, note)
 	return err == nil && known.Found && e.Keeper.StoreEntryRecord(known.Record) == nil
 }
--- a/fleet/holder/void.go
+++ b/fleet/holder/void.go
@@ -52,7 +52,7 @@
 	a.settled -= r.Usage.Tokens()
 	s = s.withAccount(a)
 	r.Voided, r.Unasked = true, nil
-	if _, undurable := s.records.Get(r.Request); undurable {
+	if _, notDurable := s.records.Get(r.Request); notDurable {
 		r.Usage = Usage{}
 	}
 	return s.withRecord(r), Ended{Record: r}
--- a/fleet/ingress/callers_test.go
+++ b/fleet/ingress/callers_test.go
@@ -28,7 +28,7 @@
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
 	l.SetBounds(ingress.Bounds{HeaderTimeout: 2 * time.Second}.WithDefaults(ingress.DefaultBounds))
 	c, r := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, c, r, 1))
+	assert.Equal(t, http.StatusOK, sendCall(t, c, r, 1))
 	time.Sleep(20 * time.Millisecond)
 	_, err := c.Write([]byte(bytes))
 	require.NoError(t, err)
@@ -112,7 +112,7 @@
 						done.Go(func() {
 							c, r := dial(t, l)
 							_ = c.SetDeadline(time.Now().Add(waitTimeout)) // large answers on a busy host
-							ask(t, c, r, 1)
+							sendCall(t, c, r, 1)
 							ready.Done()
 							<-start
 							go func() {
--- a/fleet/ingress/ingress.go
+++ b/fleet/ingress/ingress.go
@@ -144,7 +144,7 @@
 		conn, err := l.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
-				return errors.Wrap(err, "take a caller's connection")
+				return errors.Wrap(err, "accept a caller's connection")
 			}
 			time.Sleep(acceptRetryDelay)
 			continue
--- a/fleet/ingress/ingress_test.go
+++ b/fleet/ingress/ingress_test.go
@@ -59,8 +59,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// ask sends a call with a header of the given length and returns the status.
-func ask(t *testing.T, c net.Conn, r *bufio.Reader, header int) int {
+// sendCall sends a call with a header of the given length and returns the status.
+func sendCall(t *testing.T, c net.Conn, r *bufio.Reader, header int) int {
 	t.Helper()
 	_, err := fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: h\r\nX: %s\r\n\r\n", strings.Repeat("x", header))
 	require.NoError(t, err)
@@ -74,18 +74,18 @@
 func TestNewConnectionsGetTheCurrentBounds(t *testing.T) {
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
 	before, fromBefore := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, before, fromBefore, 20_000))
+	assert.Equal(t, http.StatusOK, sendCall(t, before, fromBefore, 20_000))
 	tighter := ingress.Bounds{HeaderBytes: 4 << 10, IdleTimeout: 100 * time.Millisecond}.WithDefaults(ingress.DefaultBounds)
 	assert.True(t, l.SetBounds(tighter))
 	assert.False(t, l.SetBounds(tighter), "nothing has changed")
 
 	after, fromAfter := dial(t, l)
-	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, ask(t, after, fromAfter, 20_000))
+	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, sendCall(t, after, fromAfter, 20_000))
 	idle, fromIdle := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, idle, fromIdle, 10))
+	assert.Equal(t, http.StatusOK, sendCall(t, idle, fromIdle, 10))
 	_, err := fromIdle.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "the idle timeout has passed")
-	assert.Equal(t, http.StatusOK, ask(t, before, fromBefore, 20_000), "an older connection keeps its bounds")
+	assert.Equal(t, http.StatusOK, sendCall(t, before, fromBefore, 20_000), "an older connection keeps its bounds")
 }
 
 func TestASlowHeaderTimesOut(t *testing.T) {
@@ -106,7 +106,7 @@
 		}
 	})
 	old, fromOld := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, old, fromOld, 1))
+	assert.Equal(t, http.StatusOK, sendCall(t, old, fromOld, 1))
 	l.SetBounds(ingress.Bounds{HeaderBytes: 8 << 10}.WithDefaults(ingress.DefaultBounds))
 	busy, fromBusy := dial(t, l)
 	_, err := busy.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\nX: xx\r\n\r\n"))
--- a/fleet/ingress/stop_test.go
+++ b/fleet/ingress/stop_test.go
@@ -16,8 +16,8 @@
 // The tests of this file guard against calls lost in a planned stop: a call was read from an idle
 // connection, the stop closed the connection, and the call was sent to its endpoint all the same,
 // so that its caller got neither an answer nor a refusal. With net/http alone a connection counts as
-// idle until the header of the next call is parsed, even if its bytes were read; the close was seen
-// up to 48 ms before the call's handler began. The attempt then ends as cancelled, as if the caller
+// idle until the header of the next call is parsed, even if its bytes were read; the close was
+// observed up to 48 ms before the call's handler began. The attempt then ends as cancelled, as if the caller
 // had left, while the node's other calls go on.
 
 // gate blocks connections after a read until it is released, like a goroutine that
@@ -87,7 +87,7 @@
 		}
 	})
 	c, r := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, c, r, 1))
+	assert.Equal(t, http.StatusOK, sendCall(t, c, r, 1))
 	g.active.Store(true)
 	_, err := c.Write([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"))
 	require.NoError(t, err)
@@ -108,7 +108,7 @@
 func TestACallWithAPartialHeaderIsAnsweredWhenAStopBegins(t *testing.T) {
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
 	c, r := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, c, r, 1))
+	assert.Equal(t, http.StatusOK, sendCall(t, c, r, 1))
 	_, err := c.Write([]byte("POST / HTTP/1.1\r\nHos"))
 	require.NoError(t, err)
 	time.Sleep(50 * time.Millisecond) // until it was read
@@ -125,7 +125,7 @@
 func TestAnIdleConnectionServesOneMoreCallAfterAnnounceClose(t *testing.T) {
 	l := open(t, func(http.ResponseWriter, *http.Request) {})
 	c, r := dial(t, l)
-	assert.Equal(t, http.StatusOK, ask(t, c, r, 1))
+	assert.Equal(t, http.StatusOK, sendCall(t, c, r, 1))
 	l.AnnounceClose()
 	_, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	require.NoError(t, err)
@@ -165,7 +165,7 @@
 	for range callers {
 		done.Go(func() {
 			c, r := dial(t, l)
-			ask(t, c, r, 1)
+			sendCall(t, c, r, 1)
 			ready.Done()
 			<-start
 			_, _ = c.Write([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"))
--- a/fleet/keeper/flush.go
+++ b/fleet/keeper/flush.go
@@ -130,8 +130,8 @@
 func (k *Keeper) notifyDurable(ctx context.Context, records []holder.Record) {
 	byNode := map[ident.Node][]ident.Request{}
 	for _, r := range records {
-		for _, who := range lo.Uniq([]ident.Node{r.Entry.Node(), r.Witness.Node()}) {
-			byNode[who] = append(byNode[who], r.Request)
+		for _, node := range lo.Uniq([]ident.Node{r.Entry.Node(), r.Witness.Node()}) {
+			byNode[node] = append(byNode[node], r.Request)
 		}
 	}
 	view := k.View()
--- a/fleet/keeper/keeper.go
+++ b/fleet/keeper/keeper.go
@@ -39,7 +39,7 @@
 	Cancel(ctx context.Context, a holder.Attempt, id ident.Request) (backend.Outcome, error)
 }
 
-// Options of a keeper. A zero value selects the default.
+// Options configure a keeper. Zero values select the defaults.
 type Options struct {
 	Slots          int           // default 16
 	KeyRetention   time.Duration // how long keys are kept; default 15 min
@@ -60,7 +60,7 @@
 	return o
 }
 
-// Dependencies are the dependencies of a keeper.
+// Dependencies are the components that a keeper uses.
 type Dependencies struct {
 	Self     membership.Member
 	Platform platform.Store
@@ -100,11 +100,11 @@
 }
 
 // New returns a keeper without accounts.
-func New(p Dependencies, o Options) *Keeper {
+func New(d Dependencies, o Options) *Keeper {
 	return &Keeper{
-		Dependencies: p,
+		Dependencies: d,
 		options:      o.withDefaults(),
-		holding:      holder.New(p.Self.Incarnation, p.Self.Zone),
+		holding:      holder.New(d.Self.Incarnation, d.Self.Zone),
 		witness:      witness.New(),
 		wants:        holder.Wants{},
 		denied:       map[ident.Budget]denial{},
--- a/fleet/keeper/matrix_test.go
+++ b/fleet/keeper/matrix_test.go
@@ -171,7 +171,7 @@
 	entry.Keeper.Fence(peer.FenceRequest{Holder: h.Incarnation()})
 
 	old := h.Incarnation()
-	id, verdict := w.admitRemembering(h, entry)
+	id, verdict := w.tryAdmit(h, entry)
 	assert.Nil(t, verdict.Admitted, "an entry VM that has fenced the holder must run nothing under it")
 	h.End(context.Background(), peer.EndRequest{Record: id, NotRun: true})
 
@@ -204,8 +204,8 @@
 	assertInvariants(t, w, false)
 }
 
-// admitRemembering is like admit, but the entry VM may refuse to store the record.
-func (w *world) admitRemembering(h, entry *vm) (holder.Record, peer.AdmitResponse) {
+// tryAdmit is like admit, but the entry VM may refuse to store the record.
+func (w *world) tryAdmit(h, entry *vm) (holder.Record, peer.AdmitResponse) {
 	r := holder.Record{Request: "z.0.x", Customer: customer, Bound: bound, Model: true, Entry: entry.Incarnation(), At: w.clock.Now()}
 	verdict := h.Admit(context.Background(), peer.AdmitRequest{Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: limit, Version: 1}}})
 	if verdict.Admitted != nil && entry.StoreEntryRecord(*verdict.Admitted) != nil {
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// keptBy returns the nodes to which a dead holder's records were copied.
-func (k *Keeper) keptBy(dead ident.Incarnation) []ident.Incarnation {
+// copiedTo returns the nodes to which a dead holder's records were copied.
+func (k *Keeper) copiedTo(dead ident.Incarnation) []ident.Incarnation {
 	records := k.Witness().Of(dead)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -129,21 +129,21 @@
 // outcome returns the total cost of all attempts of a request; ended is false while one
 // may still run or can't be queried. An attempt that never started counts as ended
 // only once its entry VM's incarnation has ended, since a paused VM may still send it.
-func (k *Keeper) outcome(ctx context.Context, r holder.Record, entryOver bool) (total holder.Usage, ended bool) {
+func (k *Keeper) outcome(ctx context.Context, r holder.Record, entryEnded bool) (total holder.Usage, ended bool) {
 	if !r.Model {
-		return holder.Usage{}, entryOver
+		return holder.Usage{}, entryEnded
 	}
 	ended = true
 	attempts := r.Attempts
 	if len(r.Awaiting) > 0 {
-		attempts, total, entryOver = r.Awaiting, r.Usage, true
+		attempts, total, entryEnded = r.Awaiting, r.Usage, true
 	}
 	for _, a := range attempts {
 		o, err := k.Outcomes.Outcome(ctx, a, r.Request)
 		if err == nil && !o.Ended() && k.Clock.Since(r.At) > k.options.AbandonAfter {
 			o, err = k.Outcomes.Cancel(ctx, a, r.Request)
 		}
-		if err != nil || !o.Ended() || (o.State == backend.StateNeverStarted && !entryOver) {
+		if err != nil || !o.Ended() || (o.State == backend.StateNeverStarted && !entryEnded) {
 			ended = false
 			continue
 		}
@@ -185,7 +185,7 @@
 	departed := k.View().GoneMembers(k.Self.Zone)
 	for _, d := range departed[max(0, len(departed)-maxRecovered):] {
 		if !needed[d.Incarnation] && len(k.uncopied(d.Incarnation)) == 0 {
-			recovered = append(recovered, membership.Recovery{Gone: d.Incarnation, KeptBy: k.keptBy(d.Incarnation)})
+			recovered = append(recovered, membership.Recovery{Gone: d.Incarnation, KeptBy: k.copiedTo(d.Incarnation)})
 		}
 	}
 	return recovered, alone
--- a/fleet/ledger/placement_bench_test.go
+++ b/fleet/ledger/placement_bench_test.go
@@ -145,12 +145,12 @@
 }
 
 func (r *modelRun) recall(zone int, limit int64) {
-	lack := modelBound - r.holders[zone].spendable()
+	missing := modelBound - r.holders[zone].spendable()
 	for other := range modelZones {
 		h := r.holders[other]
-		if give := min(lack, h.spendable()); other != zone && give > 0 {
+		if give := min(missing, h.spendable()); other != zone && give > 0 {
 			h.returned += give
-			lack -= give
+			missing -= give
 			r.post(other, limit, 0)
 		}
 	}
--- a/fleet/node/orders.go
+++ b/fleet/node/orders.go
@@ -31,7 +31,7 @@
 
 func provideGiver(i do.Injector) (*orders.Giver, error) {
 	n := do.MustInvoke[*Node](i)
-	n.giver = orders.New(orders.Parts{
+	n.giver = orders.New(orders.Dependencies{
 		Self:    do.MustInvoke[*keeper.Keeper](i).Incarnation,
 		Zone:    n.self.Zone,
 		Store:   do.MustInvoke[*platform.Monitored](i),
--- a/fleet/node/wire.go
+++ b/fleet/node/wire.go
@@ -205,9 +205,9 @@
 // gauges registers the gauges of the node.
 func (n *Node) gauges(m *telemetry.Metrics) error {
 	gauges := []struct {
-		name string
-		what string
-		read func() int64
+		name        string
+		description string
+		read        func() int64
 	}{
 		{"lynxshed.running", "requests running here", func() int64 { running, _ := n.entry.Active(); return int64(running) }},
 		{"lynxshed.unreported", "ends of requests that no holder has taken yet", func() int64 { _, left := n.entry.Active(); return int64(left) }},
@@ -217,7 +217,7 @@
 		{"lynxshed.stranded", "dead holders whose accounts can't be closed yet", func() int64 { return int64(len(n.keeper.Stranded())) }},
 	}
 	for _, g := range gauges {
-		if err := m.Gauge(g.name, g.what, g.read); err != nil {
+		if err := m.Gauge(g.name, g.description, g.read); err != nil {
 			return err
 		}
 	}
--- a/fleet/orders/giver.go
+++ b/fleet/orders/giver.go
@@ -19,8 +19,8 @@
 	Load(ctx context.Context, e Engine, fence int64, model string) error
 }
 
-// Parts are the dependencies of a Giver.
-type Parts struct {
+// Dependencies are the components that a Giver uses.
+type Dependencies struct {
 	Self    func() ident.Incarnation
 	Zone    ident.Zone
 	Store   platform.Store
@@ -35,7 +35,7 @@
 
 // Giver makes one node's decisions on orders and carries them out; New creates it.
 type Giver struct {
-	Parts
+	Dependencies
 	lease         Lease
 	version       platform.Version
 	read          bool      // lease and version are up to date
@@ -44,7 +44,7 @@
 }
 
 // New creates a Giver.
-func New(p Parts) *Giver { return &Giver{Parts: p} }
+func New(d Dependencies) *Giver { return &Giver{Dependencies: d} }
 
 // Step makes one decision and carries it out. One goroutine calls it periodically.
 func (g *Giver) Step(ctx context.Context) error {
--- a/fleet/orders/orders.go
+++ b/fleet/orders/orders.go
@@ -92,9 +92,9 @@
 
 // Decide makes one decision.
 func Decide(s Input) Effect {
-	mine := s.Lease.Giver == s.Self && s.At.Before(s.Lease.Until)
+	holdsLease := s.Lease.Giver == s.Self && s.At.Before(s.Lease.Until)
 	switch {
-	case mine && s.Lease.Until.Sub(s.At) > LeaseTime/2:
+	case holdsLease && s.Lease.Until.Sub(s.At) > LeaseTime/2:
 		return s.next()
 	case s.Lease.Giver == "" || s.Lease.Giver == s.Self || s.GiverGone || s.At.After(s.Lease.Until.Add(clockSkew)):
 		lease := s.Lease
--- a/fleet/orders/orders_test.go
+++ b/fleet/orders/orders_test.go
@@ -99,7 +99,7 @@
 
 func (s *fakeStore) giver(self ident.Incarnation, gone ident.Incarnation) *orders.Giver {
 	now := func() time.Time { return s.now }
-	return orders.New(orders.Parts{
+	return orders.New(orders.Dependencies{
 		Self: func() ident.Incarnation { return self }, Zone: "z", Store: s, Sender: s,
 		Gone:    func(i ident.Incarnation) bool { return i == gone },
 		Engines: func() []orders.Engine { return engines[:1] },
--- a/fleet/routing/routing_test.go
+++ b/fleet/routing/routing_test.go
@@ -28,7 +28,7 @@
 	cases := []struct {
 		name        string
 		query       routing.Query
-		look        map[ident.Endpoint]routing.Condition
+		condition   map[ident.Endpoint]routing.Condition
 		want        ident.Endpoint
 		wantOutcome routing.Outcome
 		wantRemote  bool
@@ -45,7 +45,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.query.Service = "s"
-			choice, outcome := endpoints(4, 2).Choose(c.query, func(e ident.Endpoint) routing.Condition { return c.look[e] })
+			choice, outcome := endpoints(4, 2).Choose(c.query, func(e ident.Endpoint) routing.Condition { return c.condition[e] })
 			assert.Equal(t, c.wantOutcome, outcome)
 			assert.Equal(t, c.want, choice.Target.Name)
 			assert.Equal(t, c.wantRemote, choice.Remote)
@@ -55,15 +55,15 @@
 
 func TestAffinityYieldsToLoad(t *testing.T) {
 	own := map[ident.Endpoint]int64{}
-	look := func(e ident.Endpoint) routing.Condition { return routing.Condition{Limit: 100, Own: own[e]} }
+	condition := func(e ident.Endpoint) routing.Condition { return routing.Condition{Limit: 100, Own: own[e]} }
 	ts := endpoints(8, 1)
-	first, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77}, look)
+	first, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77}, condition)
 	for i := range uint64(5) {
-		again, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77, Random: i}, look)
+		again, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77, Random: i}, condition)
 		assert.Equal(t, first.Target.Name, again.Target.Name, "the same prefix goes to the same endpoint")
 	}
 	own[first.Target.Name] = 50
-	other, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77}, look)
+	other, _ := ts.Choose(routing.Query{Service: "s", Prefix: 77}, condition)
 	assert.NotEqual(t, first.Target.Name, other.Target.Name)
 }
 
@@ -121,10 +121,10 @@
 	for _, count := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("engines=%d", count), func(b *testing.B) {
 			ts := endpoints(count, 8)
-			look := func(ident.Endpoint) routing.Condition { return routing.Condition{Limit: 16, Own: 3} }
+			condition := func(ident.Endpoint) routing.Condition { return routing.Condition{Limit: 16, Own: 3} }
 			b.ReportAllocs()
 			for i := range b.N {
-				ts.Choose(routing.Query{Service: "s", Prefix: uint64(i), Random: uint64(i)}, look)
+				ts.Choose(routing.Query{Service: "s", Prefix: uint64(i), Random: uint64(i)}, condition)
 			}
 		})
 	}
