--- a/ctl/fabric/fabric.go
+++ b/ctl/fabric/fabric.go
@@ -50,14 +50,14 @@
 			f.groups[p] = i + 1
 		}
 	}
-	var severed []*conn
+	var toReset []*conn
 	for c := range f.conns {
 		if !f.reachable(c.from, c.to) {
-			severed = append(severed, c)
+			toReset = append(toReset, c)
 		}
 	}
 	f.mu.Unlock()
-	for _, c := range severed {
+	for _, c := range toReset {
 		_ = c.Close()
 	}
 }
@@ -133,12 +133,12 @@
 func (p *Port) Kill() {
 	p.mu.Lock()
 	p.killed = true
-	severed := make([]*conn, 0, len(p.conns))
+	toReset := make([]*conn, 0, len(p.conns))
 	for c := range p.conns {
-		severed = append(severed, c)
+		toReset = append(toReset, c)
 	}
 	p.mu.Unlock()
-	for _, c := range severed {
+	for _, c := range toReset {
 		c.reset()
 	}
 }
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -30,7 +30,7 @@
 	Priority string // requested priority; empty means that of the service
 }
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Info           demo.Info
 	Rate           float64 // requests per second over the whole mix
--- a/ctl/logs/rollouts_test.go
+++ b/ctl/logs/rollouts_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, "without effect: it names no version", all[2].State+": "+all[2].Why)
 }
 
-// The store is restored from a copy, so that its revision numbers go back while its era goes up; the steps
+// The store is restored from a backup, so that its revision numbers go back while its era goes up; the steps
 // of the rollout must still be listed in the order of time.
 func TestRolloutStepsAreOrderedByEra(t *testing.T) {
 	const log = `{"timestamp":"2026-12-03T10:00:00Z","message":"rollout in force","fields":{"node":"a","service":"s","target":"v2","made":5,"revision":5,"era":1,"state":"ordered"}}
