--- a/fleet/backend/order.go
+++ b/fleet/backend/order.go
@@ -12,7 +12,7 @@
 )
 
 // ErrFenced means that the engine has accepted an order with a newer fencing token.
-var ErrFenced = errors.New("the engine has seen a newer fence")
+var ErrFenced = errors.New("the engine has accepted a newer fence")
 
 // orderRequest is the body of an order to an engine.
 type orderRequest struct {
--- a/fleet/holder/void.go
+++ b/fleet/holder/void.go
@@ -15,8 +15,8 @@
 	})
 }
 
-// Before orders two runs of the same request that partitioned zones both admitted:
-// the later is voided, and of two at the same time the higher zone's.
+// Before reports whether r is the earlier of two runs of the same request that partitioned
+// zones both admitted; the later is voided. Of two at the same time, the higher zone's is the later.
 func (r Record) Before(other Record) bool {
 	if !r.At.Equal(other.At) {
 		return r.At.Before(other.At)
--- a/fleet/keeper/guard.go
+++ b/fleet/keeper/guard.go
@@ -94,16 +94,16 @@
 }
 
 func (k *Keeper) setTarget(ctx context.Context, c limitChange) (ledger.Budget, error) {
-	var seen ledger.Budget
+	var updated ledger.Budget
 	err := k.update(ctx, c.slot, func(doc ledger.Slot) (ledger.Slot, error) {
 		b, ok := doc.Budget(c.budget)
 		if !ok {
 			b = ledger.Budget{Name: c.budget}
 		}
-		seen = b.WithRow(c.to, c.new)
-		return doc.WithBudget(seen), nil
+		updated = b.WithRow(c.to, c.new)
+		return doc.WithBudget(updated), nil
 	})
-	return seen, err
+	return updated, err
 }
 
 // restoreLimit removes the target, or restores the earlier limit if the target is already in force.
--- a/fleet/keeper/recover.go
+++ b/fleet/keeper/recover.go
@@ -66,9 +66,9 @@
 func (k *Keeper) uncopied(dead ident.Incarnation) []holder.Record {
 	return lo.Filter(k.Witness().Of(dead), func(r holder.Record, _ int) bool {
 		k.mu.Lock()
-		p, ok := k.copies[r.Request]
+		c, ok := k.copies[r.Request]
 		k.mu.Unlock()
-		return !ok || p.phase != r.Phase || k.unresponsive(p.to)
+		return !ok || c.phase != r.Phase || k.unresponsive(c.to)
 	})
 }
 
@@ -78,8 +78,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return lo.Uniq(lo.FilterMap(records, func(r holder.Record, _ int) (ident.Incarnation, bool) {
-		p, ok := k.copies[r.Request]
-		return p.to, ok
+		c, ok := k.copies[r.Request]
+		return c.to, ok
 	}))
 }
 
--- a/fleet/membership/membership.go
+++ b/fleet/membership/membership.go
@@ -89,7 +89,7 @@
 	At time.Time // when this node learned of it
 }
 
-// knownMember is a member with when and where it was last observed.
+// knownMember is a member as this node knows it from heartbeats and the platform's list.
 type knownMember struct {
 	Member
 	advanced time.Time // when a newer state was last received
@@ -384,7 +384,7 @@
 	goneInBeatFor = 5 * time.Minute
 )
 
-// recentlyGone lists the incarnations of the own zone that were lost last, the newest first.
+// recentlyGone lists the incarnations of the own zone that are gone for at most goneInBeatFor, the latest first.
 func (s State) recentlyGone() []Member {
 	departed := lo.Filter(s.GoneMembers(s.self.Zone), func(d GoneMember, _ int) bool { return s.ticked.Sub(d.At) <= goneInBeatFor })
 	slices.SortFunc(departed, func(x, y GoneMember) int { return y.At.Compare(x.At) })
@@ -447,8 +447,8 @@
 // maxOthersInAnswer is how many members an answer adds to those of the received digest.
 const maxOthersInAnswer = 3
 
-// Digest returns the members that a heartbeat carries: the node itself, the incarnations of
-// its zone that were lost last, and the members updated last, those of its own zone first.
+// Digest returns the members that a heartbeat carries: the node itself, the latest gone
+// incarnations of its zone, and the members updated last, those of its own zone first.
 func (s State) Digest() []Member { return s.digest() }
 
 func (s State) digest() []Member {
--- a/fleet/peer/wire.go
+++ b/fleet/peer/wire.go
@@ -56,7 +56,8 @@
 	EntryURL string            `json:"entryUrl"`
 }
 
-// ClaimRequest asks whether an idempotency key is known; Store leaves a copy with the runner-up.
+// ClaimRequest asks whether an idempotency key is known. Store asks to keep a copy; it is set for
+// the nodes that rank next for the slot.
 type ClaimRequest struct {
 	Record holder.Record `json:"record"`
 	Store  bool          `json:"store,omitempty"`
