--- a/ctl/demo/control.go
+++ b/ctl/demo/control.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Pause suspends a node for the given time. The node is not informed.
+// Pause pauses a node for the given time. The node is not informed.
 func (d *Demo) Pause(name string, duration time.Duration) error {
 	i, err := d.runningNode(name)
 	if err != nil {
@@ -118,9 +118,9 @@
 	if isRunning {
 		return errors.Newf("node %q is running", name)
 	}
-	for _, p := range d.info.Nodes {
-		if p.Name == name {
-			return d.startNode(p)
+	for _, c := range d.info.Nodes {
+		if c.Name == name {
+			return d.startNode(c)
 		}
 	}
 	return errors.Newf("there is no place for a node %q", name)
--- a/ctl/demo/demo.go
+++ b/ctl/demo/demo.go
@@ -126,8 +126,8 @@
 	if err := d.reserveAddresses(); err != nil {
 		return err
 	}
-	for _, p := range d.info.Nodes {
-		if err := d.startNode(p); err != nil {
+	for _, c := range d.info.Nodes {
+		if err := d.startNode(c); err != nil {
 			return err
 		}
 	}
@@ -189,23 +189,23 @@
 	return nil
 }
 
-func (d *Demo) settingsOf(p Component) settings.Settings {
+func (d *Demo) settingsOf(c Component) settings.Settings {
 	s := settings.Default()
-	s.Node, s.Zone, s.Advertise, s.Platform = p.Name, p.Zone, p.URL, d.info.Platform
-	s.Listen = p.URL[len("http://"):]
+	s.Node, s.Zone, s.Advertise, s.Platform = c.Name, c.Zone, c.URL, d.info.Platform
+	s.Listen = c.URL[len("http://"):]
 	s.Timing.FlushMs, s.Timing.LedgerMs = demoFlushMs, demoFlushMs
 	for _, other := range d.info.Nodes {
-		if other.Name != p.Name {
+		if other.Name != c.Name {
 			s.Peers = append(s.Peers, other.URL)
 		}
 	}
 	return s
 }
 
-func (d *Demo) startNode(p Component) error {
-	port := d.fabric.Port(fabric.Location(p.Zone))
+func (d *Demo) startNode(c Component) error {
+	port := d.fabric.Port(fabric.Location(c.Zone))
 	n, err := node.New(d.ctx, node.Options{
-		Settings:       d.settingsOf(p),
+		Settings:       d.settingsOf(c),
 		FleetKey:       d.fleetKey,
 		OperatorHashes: []string{catalog.HashKey(d.info.OperatorKey)},
 		Network:        port,
@@ -213,18 +213,19 @@
 		Log:            d.log,
 	})
 	if err != nil {
-		return errors.Wrapf(err, "start node %s", p.Name)
+		return errors.Wrapf(err, "start node %s", c.Name)
 	}
-	i := &incarnation{component: p, node: n, port: port, done: make(chan struct{})}
+	i := &incarnation{component: c, node: n, port: port, done: make(chan struct{})}
 	d.mu.Lock()
-	d.running[p.Name] = i
+	d.running[c.Name] = i
 	d.mu.Unlock()
-	d.platform.SetVM(platform.VM{Name: p.Name, Zone: p.Zone, URL: p.URL, State: "live"})
+	d.platform.SetVM(platform.VM{Name: c.Name, Zone: c.Zone, URL: c.URL, State: "live"})
 	d.wg.Go(func() { d.runNode(i) })
 	return nil
 }
 
-// runNode runs a node until it ends. A node that ended by itself, after a planned stop, loses its VM.
+// runNode runs a node until it ends. If it ended by itself, after a planned stop, its VM is removed from the
+// platform's list.
 func (d *Demo) runNode(i *incarnation) {
 	defer close(i.done)
 	if err := i.node.Run(d.ctx); err != nil && d.ctx.Err() == nil {
--- a/ctl/fabric/fabric.go
+++ b/ctl/fabric/fabric.go
@@ -34,10 +34,10 @@
 }
 
 // SetLocation sets the location of an address.
-func (f *Fabric) SetLocation(address string, p Location) {
+func (f *Fabric) SetLocation(address string, l Location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.locations[address] = p
+	f.locations[address] = l
 }
 
 // Partition splits the locations into groups that cannot reach each other and closes the connections
--- a/ctl/load/load.go
+++ b/ctl/load/load.go
@@ -177,14 +177,14 @@
 // next draws the next call at random.
 func (o Options) next(r *rand.Rand) call {
 	var totalWeight float64
-	for _, p := range o.Mix {
-		totalWeight += p.Weight
+	for _, e := range o.Mix {
+		totalWeight += e.Weight
 	}
 	at := r.Float64() * totalWeight
 	entry := o.Mix[len(o.Mix)-1]
-	for _, p := range o.Mix {
-		if at -= p.Weight; at < 0 {
-			entry = p
+	for _, e := range o.Mix {
+		if at -= e.Weight; at < 0 {
+			entry = e
 			break
 		}
 	}
--- a/ctl/logs/placements.go
+++ b/ctl/logs/placements.go
@@ -33,20 +33,20 @@
 			continue
 		}
 		key := placementKey{node: l.Node(), route: l.text("route")}
-		p := byKey[key]
+		s := byKey[key]
 		expected, observed := l.number("expectedFirstMs"), l.number("firstMs")
-		byKey[key] = samples{append(p.expected, expected), append(p.observed, observed), append(p.late, observed-expected)}
+		byKey[key] = samples{append(s.expected, expected), append(s.observed, observed), append(s.late, observed-expected)}
 		if l.number("fetched") > 0 {
 			fetched[key]++
 		}
 	}
 	all := make([]PlacementStats, 0, len(byKey))
 	for key := range maps.Keys(byKey) {
-		p := byKey[key]
+		s := byKey[key]
 		const median, p90 = 0.5, 0.9
 		all = append(all, PlacementStats{
-			Node: key.node, Route: key.route, Streams: len(p.observed), Expected: quantile(p.expected, median), Observed: quantile(p.observed, median),
-			LateP90: quantile(p.late, p90), Fetched: float64(fetched[key]) / float64(len(p.observed)),
+			Node: key.node, Route: key.route, Streams: len(s.observed), Expected: quantile(s.expected, median), Observed: quantile(s.observed, median),
+			LateP90: quantile(s.late, p90), Fetched: float64(fetched[key]) / float64(len(s.observed)),
 		})
 	}
 	slices.SortFunc(all, func(a, b PlacementStats) int {
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -48,8 +48,8 @@
 	return cached
 }
 
-// use marks a block as recently used, or stores it and evicts the oldest blocks above the limit. It reports
-// whether the block was cached.
+// use marks a block as recently used, or stores it and evicts the least recently used blocks above the limit.
+// It reports whether the block was cached.
 func (c *prefixCache) use(block uint64) bool {
 	if e, ok := c.blocks[block]; ok {
 		c.order.MoveToFront(e)
