--- a/fleet/backend/senderror.go
+++ b/fleet/backend/senderror.go
@@ -8,7 +8,7 @@
 	"github.com/lynxshed/lynxshed/fleet/holder"
 )
 
-// sendError wraps an error of sending. It is marked ErrNotStarted if the connection failed,
+// sendError wraps an error of sending. It is marked ErrNotStarted if dialing failed,
 // since the endpoint may have started the request after any other error.
 func sendError(err error, a holder.Attempt) error {
 	wrapped := errors.Wrapf(err, "step send, peer %s", a.Endpoint)
--- a/fleet/clock/timeout_test.go
+++ b/fleet/clock/timeout_test.go
@@ -11,7 +11,7 @@
 
 // A process that stalls at the end of a timeout must first read its backlog. If nothing was
 // received, the timeout must expire all the same.
-func TestAStallIsNoSilenceOfOthers(t *testing.T) {
+func TestAStallExtendsATimeout(t *testing.T) {
 	const timeout = 400 * time.Millisecond
 	for _, c := range []struct {
 		name     string
--- a/fleet/holder/holder_test.go
+++ b/fleet/holder/holder_test.go
@@ -184,21 +184,21 @@
 }
 
 func TestLastTokensAreKeptForTheGreatestWeight(t *testing.T) {
-	ask := func(s holder.State, unique string, weight, bound int64, at time.Time) (holder.State, bool) {
+	request := func(s holder.State, unique string, weight, bound int64, at time.Time) (holder.State, bool) {
 		r := holder.Record{Request: ident.NewRequest("a", 0, unique), Bound: bound, At: at}
 		s, effect := s.Handle(holder.Admit{At: at, Record: r, Weight: weight, Budgets: []holder.BudgetLine{{Name: budget, Limit: 1000, Version: 1}}})
 		_, ok := effect.(holder.Admitted)
 		return s, ok
 	}
-	s, ok := ask(funded(1000), "heavy", 4, 940, start)
+	s, ok := request(funded(1000), "heavy", 4, 940, start)
 	require.True(t, ok)
-	s, ok = ask(s, "light", 1, 30, start)
+	s, ok = request(s, "light", 1, 30, start)
 	assert.False(t, ok, "60 tokens are left, 37 of them kept for requests with a weight of 4")
-	s, ok = ask(s, "small", 1, 20, start)
+	s, ok = request(s, "small", 1, 20, start)
 	assert.True(t, ok)
-	s, ok = ask(s, "heavy again", 4, 30, start)
+	s, ok = request(s, "heavy again", 4, 30, start)
 	assert.True(t, ok)
-	_, ok = ask(s, "light later", 1, 10, start.Add(2*time.Minute))
+	_, ok = request(s, "light later", 1, 10, start.Add(2*time.Minute))
 	assert.True(t, ok, "nothing is kept after a minute without heavier requests")
 }
 
@@ -264,10 +264,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := keyed("a", "1")
 			r.Bound, r.Model = 600, true
-			ask := holder.Admit{At: start, Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: 1000, Version: 1}}}
-			s, _ := funded(1000).Handle(ask)
-			ask.Claimed, ask.Unreachable = true, []ident.Zone{"b"}
-			s, _ = s.Handle(ask)
+			request := holder.Admit{At: start, Record: r, Budgets: []holder.BudgetLine{{Name: budget, Limit: 1000, Version: 1}}}
+			s, _ := funded(1000).Handle(request)
+			request.Claimed, request.Unreachable = true, []ident.Zone{"b"}
+			s, _ = s.Handle(request)
 			s, _ = s.Handle(holder.Settle{At: start, Request: r.Request, Usage: holder.Usage{Prompt: 10, Output: 90}})
 			require.Len(t, s.Unverified(), 1)
 			if c.durable {
--- a/fleet/ingress/callers_test.go
+++ b/fleet/ingress/callers_test.go
@@ -169,7 +169,7 @@
 }
 
 // A call is refused before its body is read, and its caller sends no more: a stop must not wait for it.
-func TestARefusedBodyThatNeverComesIsNotBusy(t *testing.T) {
+func TestAStopDoesNotWaitForARefusedBody(t *testing.T) {
 	t.Parallel()
 	l := open(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) })
 	l.DisableKeepAlives()
