--- a/fleet/holder/void.go
+++ b/fleet/holder/void.go
@@ -15,8 +15,8 @@
 	})
 }
 
-// Before orders two runs of the same request that partitioned zones both admitted:
-// the later is voided, and of two at the same time the higher zone's.
+// Before reports whether r is the earlier of two runs of the same request that partitioned
+// zones both admitted; the later is voided. Of two at the same time, the higher zone's is the later.
 func (r Record) Before(other Record) bool {
 	if !r.At.Equal(other.At) {
 		return r.At.Before(other.At)
@@ -52,7 +52,7 @@
 	a.settled -= r.Usage.Tokens()
 	s = s.withAccount(a)
 	r.Voided, r.Unasked = true, nil
-	if _, undurable := s.records.Get(r.Request); undurable {
+	if _, notDurable := s.records.Get(r.Request); notDurable {
 		r.Usage = Usage{}
 	}
 	return s.withRecord(r), Ended{Record: r}
