--- a/fleet/relay/memory/budget.go
+++ b/fleet/relay/memory/budget.go
@@ -9,10 +9,10 @@
 type Budget struct {
 	bound int64 // bytes; 0: unbounded
 
-	mu    sync.Mutex
-	held  int64 // bytes
-	peak  int64 // bytes
-	short int64 // number of failed takes
+	mu       sync.Mutex
+	held     int64 // bytes
+	peak     int64 // bytes
+	rejected int64 // failed calls of Take
 }
 
 // NewBudget returns a budget with a bound in bytes; 0 means unbounded.
@@ -23,7 +23,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.bound > 0 && b.held+bytes > b.bound {
-		b.short++
+		b.rejected++
 		return false
 	}
 	b.held += bytes
@@ -41,12 +41,12 @@
 // State is a snapshot of a budget.
 type State struct {
 	Bound, Held, Peak int64 // bytes
-	Rejected          int64 // number of failed takes
+	Rejected          int64 // failed calls of Take
 }
 
 // State returns the budget's state, for metrics.
 func (b *Budget) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return State{Bound: b.bound, Held: b.held, Peak: b.peak, Rejected: b.short}
+	return State{Bound: b.bound, Held: b.held, Peak: b.peak, Rejected: b.rejected}
 }
--- a/fleet/relay/policy/policy.go
+++ b/fleet/relay/policy/policy.go
@@ -22,7 +22,7 @@
 	byName map[string]int
 }
 
-// Kind tells how often a call may run.
+// Kind determines how often a call may run.
 type Kind int
 
 // Kinds of routes.
--- a/fleet/relay/quarantine/end.go
+++ b/fleet/relay/quarantine/end.go
@@ -44,7 +44,7 @@
 }
 
 // sameEndWindow is how far apart reports on one end may lie if the endpoint does not announce its
-// time of birth. Starting again takes longer.
+// time of birth. A restart takes longer.
 const sameEndWindow = time.Second
 
 // matches reports whether e is the end of an incarnation reported for a given time.
--- a/fleet/relay/quarantine/history.go
+++ b/fleet/relay/quarantine/history.go
@@ -31,7 +31,7 @@
 func (h *answerHistory) contains(p Fingerprint) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, late := h.current[p]
-	_, before := h.previous[p]
-	return late || before
+	_, current := h.current[p]
+	_, previous := h.previous[p]
+	return current || previous
 }
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -144,15 +144,15 @@
 func (t *Tracker) Updates(now time.Time) (judges, all Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	judges.Ends, t.outbox.ends = takeDue(t.outbox.ends, maxEndReports, func(w EndReport, at time.Time) EndReport {
-		w.AgeMs = now.Sub(at).Milliseconds()
-		return w
+	judges.Ends, t.outbox.ends = takeDue(t.outbox.ends, maxEndReports, func(r EndReport, at time.Time) EndReport {
+		r.AgeMs = now.Sub(at).Milliseconds()
+		return r
 	})
-	judges.Served, t.outbox.served = takeDue(t.outbox.served, maxServedReports, func(w ServedReport, at time.Time) ServedReport {
-		w.AgeMs = now.Sub(at).Milliseconds()
-		return w
+	judges.Served, t.outbox.served = takeDue(t.outbox.served, maxServedReports, func(r ServedReport, at time.Time) ServedReport {
+		r.AgeMs = now.Sub(at).Milliseconds()
+		return r
 	})
-	all.Near, t.outbox.near = takeDue(t.outbox.near, maxNearReports, func(w NearReport, _ time.Time) NearReport { return w })
+	all.Near, t.outbox.near = takeDue(t.outbox.near, maxNearReports, func(r NearReport, _ time.Time) NearReport { return r })
 	for p, left := range t.outbox.held {
 		if len(all.Held) == maxHeldReports {
 			break
@@ -194,34 +194,34 @@
 }
 
 // Receive processes a report from another node. It returns the requests that were new or changed.
-func (t *Tracker) Receive(w Report, now time.Time) []Held {
+func (t *Tracker) Receive(r Report, now time.Time) []Held {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
 	if t.role() == Witness {
-		w.Ends, w.Served = nil, nil
+		r.Ends, r.Served = nil, nil
 	}
-	for _, n := range w.Near[:min(len(w.Near), maxNearReports)] {
+	for _, n := range r.Near[:min(len(r.Near), maxNearReports)] {
 		if _, known := t.near[n.Fingerprint]; known || len(t.near) < maxNear {
 			t.near[n.Fingerprint] = nearSuspect{n.Customer, now}
 		}
 	}
-	if len(w.Near) > 0 {
+	if len(r.Near) > 0 {
 		t.updateWatched()
 	}
-	for _, e := range w.Ends[:min(len(w.Ends), maxEndReports)] {
+	for _, e := range r.Ends[:min(len(r.Ends), maxEndReports)] {
 		age := time.Duration(e.AgeMs) * time.Millisecond
 		if e.AgeMs >= 0 && age < t.rule.Memory {
 			changed = t.recordEnd(e.incarnation(), now.Add(-age), e.Suspects[:min(len(e.Suspects), maxSuspects)], now) || changed
 		}
 	}
-	for _, s := range w.Served[:min(len(w.Served), maxServedReports)] {
+	for _, s := range r.Served[:min(len(r.Served), maxServedReports)] {
 		age := time.Duration(s.AgeMs) * time.Millisecond
 		if s.AgeMs >= 0 && age < t.rule.Memory {
 			t.markServed(s.Fingerprint, now.Add(-age), now)
 		}
 	}
-	learned := lo.FilterMap(w.Held[:min(len(w.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return t.learn(h, now) })
+	learned := lo.FilterMap(r.Held[:min(len(r.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return t.learn(h, now) })
 	if changed {
 		t.judge(now)
 	}
@@ -229,37 +229,37 @@
 }
 
 // Learn processes the stored state of a request.
-func (t *Tracker) Learn(w QuarantineReport, now time.Time) (Held, bool) {
+func (t *Tracker) Learn(r QuarantineReport, now time.Time) (Held, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.learn(w, now)
+	return t.learn(r, now)
 }
 
-func (t *Tracker) learn(w QuarantineReport, now time.Time) (Held, bool) {
-	known, ok := t.held[w.Fingerprint]
+func (t *Tracker) learn(r QuarantineReport, now time.Time) (Held, bool) {
+	known, ok := t.held[r.Fingerprint]
 	h := Held{
-		Fingerprint: w.Fingerprint, Round: w.Round, Released: w.Released, Why: w.Why, Stored: w.Stored, Answered: w.Answered, Tried: w.Tried, Probes: max(w.Probes, 0), Since: now.Add(-time.Duration(max(w.AgeMs, 0)) * time.Millisecond),
-		For: min(time.Duration(w.ForMs)*time.Millisecond, t.rule.MaxHold), Customer: w.Customer, Route: w.Route, Ends: w.Ends[:min(len(w.Ends), maxNamedEnds)],
+		Fingerprint: r.Fingerprint, Round: r.Round, Released: r.Released, Why: r.Why, Stored: r.Stored, Answered: r.Answered, Tried: r.Tried, Probes: max(r.Probes, 0), Since: now.Add(-time.Duration(max(r.AgeMs, 0)) * time.Millisecond),
+		For: min(time.Duration(r.ForMs)*time.Millisecond, t.rule.MaxHold), Customer: r.Customer, Route: r.Route, Ends: r.Ends[:min(len(r.Ends), maxNamedEnds)],
 	}
-	if w.Round < 1 || w.ForMs < 0 || w.AgeMs > 2*t.rule.MaxHold.Milliseconds() {
+	if r.Round < 1 || r.ForMs < 0 || r.AgeMs > 2*t.rule.MaxHold.Milliseconds() {
 		return Held{}, false
 	}
 	if ok && !h.supersedes(known) {
 		if known.sameState(h) {
 			known.Stored, known.Probes = known.Stored || h.Stored, max(known.Probes, h.Probes)
 			known.Answered, known.Tried = known.Answered || h.Answered, known.Tried || h.Tried
-			t.held[w.Fingerprint] = known
+			t.held[r.Fingerprint] = known
 		}
 		if known.supersedes(h) && t.role() != Witness {
-			t.outbox.addReleased(w.Fingerprint) // the sender missed the release
+			t.outbox.addReleased(r.Fingerprint) // the sender missed the release
 		}
 		return Held{}, false
 	}
 	if h.Released {
-		t.served[w.Fingerprint] = now
+		t.served[r.Fingerprint] = now
 	}
 	if h.Released && t.role() == Judge {
-		t.outbox.addReleased(w.Fingerprint) // its zone may have missed the release
+		t.outbox.addReleased(r.Fingerprint) // its zone may have missed the release
 	}
 	t.put(h, now)
 	t.updateWatched()
--- a/fleet/relay/quarantine/tracker.go
+++ b/fleet/relay/quarantine/tracker.go
@@ -68,12 +68,12 @@
 
 // NewTracker returns an empty Tracker. It calls role whenever it needs the node's current role.
 func NewTracker(r Rule, observer Observer, role func() Role) *Tracker {
-	b := &Tracker{
+	t := &Tracker{
 		rule: r, observer: observer, role: role, urgent: make(chan struct{}, 1),
 		registered: map[engine.Incarnation]bool{}, pending: map[engine.Incarnation]*interruption{}, near: map[Fingerprint]nearSuspect{}, served: map[Fingerprint]time.Time{}, servedLately: map[Fingerprint]time.Time{}, held: map[Fingerprint]Held{}, outbox: newOutbox(),
 	}
-	b.watched.Store(&map[string]bool{})
-	return b
+	t.watched.Store(&map[string]bool{})
+	return t
 }
 
 // Watches reports whether requests of a customer may be quarantined or suspects. No
@@ -101,7 +101,7 @@
 	return t.held[p].inForce(now) || len(ends) >= t.rule.Ends-1
 }
 
-// Interrupted records a call of this node that its endpoint ended before the whole answer. The call
+// Interrupted records a call of this node that its endpoint ended before the answer was complete. The call
 // counts once the endpoint is known to have ended.
 func (t *Tracker) Interrupted(e engine.Engine, s Suspect, now time.Time) {
 	s.Answered = t.history.contains(s.Fingerprint)
--- a/fleet/relay/quarantine/tracker_test.go
+++ b/fleet/relay/quarantine/tracker_test.go
@@ -302,8 +302,8 @@
 		n.Interrupted(endpointOf(5000+i, 1), suspects(Nothing, "x")[0], n.now)
 		if i%100 == 0 {
 			judges, all := n.Updates(n.now)
-			for _, w := range []Report{judges, all, n.Digest(n.now)} {
-				data, err := json.Marshal(w)
+			for _, r := range []Report{judges, all, n.Digest(n.now)} {
+				data, err := json.Marshal(r)
 				require.NoError(t, err)
 				assert.LessOrEqual(t, len(data), 15<<10, "fits into a datagram")
 			}
@@ -328,17 +328,17 @@
 		n.endUnder(i, suspects(Nothing, "deadly")...)
 	}
 	judges, all := n.Updates(n.now)
-	for _, w := range []Report{judges, all, n.Digest(n.now)} {
-		data, _ := json.Marshal(w)
+	for _, r := range []Report{judges, all, n.Digest(n.now)} {
+		data, _ := json.Marshal(r)
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w Report
-		if json.Unmarshal(data, &w) != nil {
+		var r Report
+		if json.Unmarshal(data, &r) != nil {
 			return
 		}
 		n := newNode(Peer)
-		n.Receive(w, n.now)
+		n.Receive(r, n.now)
 		n.Updates(n.now)
 		n.Digest(n.now)
 		assert.LessOrEqual(t, len(n.ends), maxEndReports)
