--- a/fleet/relay/account/allowance.go
+++ b/fleet/relay/account/allowance.go
@@ -35,8 +35,8 @@
 	shortfall      int64   // tokens that reservations lacked since the last completed proposal
 	others         float64 // demand on the other nodes in tokens a second
 	dependents     float64 // share of others for which this node draws
-	dependentsFast float64 // same as clients, over about the last second
-	left           int64   // upper bound of the whole budget's remainder, by the last ledger
+	dependentsFast float64 // same as dependents, over about the last second
+	maxRemaining   int64   // upper bound of the whole budget's remainder, by the last ledger
 	estimate       int64   // estimated remainder of the whole budget, by the last ledger (Account.Remaining)
 	pool           int64   // not drawn by any node, by the last ledger
 }
@@ -86,7 +86,7 @@
 	for tenant, tokens := range prepaid {
 		q := p.quota(tenant)
 		if q.prepaid != tokens {
-			q.left += tokens - q.prepaid
+			q.maxRemaining += tokens - q.prepaid
 			q.estimate += tokens - q.prepaid
 			q.pool = max(q.pool+tokens-q.prepaid, 0)
 		}
@@ -100,7 +100,7 @@
 }
 
 func (q *quota) holding(tenant string, now time.Time) Holding {
-	return Holding{Tenant: tenant, Prepaid: q.prepaid, Free: q.free(), Reserved: q.reserved, Pool: q.pool, Left: q.left, Rate: q.demand.rate(now), Others: q.others}
+	return Holding{Tenant: tenant, Prepaid: q.prepaid, Free: q.free(), Reserved: q.reserved, Pool: q.pool, Left: q.maxRemaining, Rate: q.demand.rate(now), Others: q.others}
 }
 
 func (p *Allowance) quota(tenant string) *quota {
@@ -112,7 +112,7 @@
 	return q
 }
 
-// Reserve sets aside the maximum that a call can cost.
+// Reserve reserves the maximum that a call can cost.
 func (p *Allowance) Reserve(tenant string, tokens int64, now time.Time) Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,9 +121,9 @@
 	return p.reserve(q, tokens)
 }
 
-// ReserveAgain is like Reserve, for a call that got Insufficient before: it does not count as
+// RetryReserve is like Reserve, for a call that got Insufficient before: it does not count as
 // demand a second time.
-func (p *Allowance) ReserveAgain(tenant string, tokens int64) Answer {
+func (p *Allowance) RetryReserve(tenant string, tokens int64) Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reserve(p.quota(tenant), tokens)
@@ -134,7 +134,7 @@
 		q.reserved += tokens
 		return Reserved
 	}
-	if q.left < tokens {
+	if q.maxRemaining < tokens {
 		return Exhausted
 	}
 	q.shortfall = max(q.shortfall, tokens-q.free())
--- a/fleet/relay/account/fleet.go
+++ b/fleet/relay/account/fleet.go
@@ -52,7 +52,7 @@
 		own := q.demand.steady(now)
 		q.others, q.dependents, q.dependentsFast = max(f.Others, f.All-own), f.Dependents, f.Fast
 		if f.Left > 0 && p.revision == 0 {
-			q.left, q.estimate = f.Left, f.Left
+			q.maxRemaining, q.estimate = f.Left, f.Left
 		}
 	}
 }
--- a/fleet/relay/account/outages.go
+++ b/fleet/relay/account/outages.go
@@ -37,9 +37,9 @@
 	return o
 }
 
-// StoreBack records that the store answers again after an outage of some length. Holdings are to
-// last through such an outage from now on.
-func (p *Allowance) StoreBack(length time.Duration, now time.Time) {
+// RecordOutage records an outage of the store that is over. Holdings are to last through such an
+// outage from now on.
+func (p *Allowance) RecordOutage(length time.Duration, now time.Time) {
 	p.expect(outage{length: length, until: now.Add(outagePeriod)}, now)
 }
 
--- a/fleet/relay/account/outages_test.go
+++ b/fleet/relay/account/outages_test.go
@@ -42,12 +42,12 @@
 		most  int64
 	}{
 		{"none observed", func(*Allowance) {}, 0, horizon, horizon + 400},
-		{"one of 16 s", func(p *Allowance) { p.StoreBack(16*time.Second, now) }, 0, 20_000, 20_400},
+		{"one of 16 s", func(p *Allowance) { p.RecordOutage(16*time.Second, now) }, 0, 20_000, 20_400},
 		{"a peer's", func(p *Allowance) { p.Expect(Outage{Ms: 16_000, LeftMs: 60_000}, now) }, 0, 20_000, 20_400},
 		{"a peer's, expired", func(p *Allowance) { p.Expect(Outage{Ms: 16_000, LeftMs: 0}, now) }, 0, horizon, horizon + 400},
-		{"a short one after a long one", func(p *Allowance) { p.StoreBack(16*time.Second, now); p.StoreBack(time.Second, now) }, 0, 20_000, 20_400},
-		{"one of an hour", func(p *Allowance) { p.StoreBack(time.Hour, now) }, 0, 20_000, 20_400},
-		{"long ago", func(p *Allowance) { p.StoreBack(16*time.Second, now.Add(-outagePeriod)) }, 0, horizon, horizon + 400},
+		{"a short one after a long one", func(p *Allowance) { p.RecordOutage(16*time.Second, now); p.RecordOutage(time.Second, now) }, 0, 20_000, 20_400},
+		{"one of an hour", func(p *Allowance) { p.RecordOutage(time.Hour, now) }, 0, 20_000, 20_400},
+		{"long ago", func(p *Allowance) { p.RecordOutage(16*time.Second, now.Add(-outagePeriod)) }, 0, horizon, horizon + 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 func TestOutageIsSentWithItsRemainingTime(t *testing.T) {
 	p := NewAllowance("n", "n/1", DefaultTuning())
 	assert.Nil(t, p.Expected(testStart))
-	p.StoreBack(8*time.Second, testStart)
+	p.RecordOutage(8*time.Second, testStart)
 	sent := p.Expected(testStart.Add(time.Minute))
 	assert.Equal(t, &Outage{Ms: 8000, LeftMs: (outagePeriod - time.Minute).Milliseconds()}, sent)
 	peer := NewAllowance("m", "m/1", DefaultTuning())
--- a/fleet/relay/account/propose.go
+++ b/fleet/relay/account/propose.go
@@ -21,7 +21,7 @@
 		row, _ := a.Row(p.incarnation)
 		q.limit = row.Drawn
 		q.pool = a.Pool(q.prepaid)
-		q.left = q.prepaid - a.Spent()
+		q.maxRemaining = q.prepaid - a.Spent()
 		q.estimate = a.Remaining(q.prepaid)
 	}
 }
--- a/fleet/relay/account/restore.go
+++ b/fleet/relay/account/restore.go
@@ -9,7 +9,7 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// The store may be restored from a copy. The ledger then lacks what was drawn after the copy was
+// The store may be restored from a backup. The ledger then lacks what was drawn after the backup was
 // made, although it is spent or held. Each node writes back what it knows, and no node draws
 // until the others have had time to do so.
 
@@ -20,13 +20,13 @@
 	Base     store.Revision // of the newest ledger of an earlier era that it includes; 0: none
 }
 
-// isCopy reports whether a ledger of this origin, held by the store at a revision, was written
-// before the store was restored from a copy.
-func (o Origin) isCopy(at store.Revision) bool { return o.Recorded && o.Era < at.Era() }
+// fromBackup reports whether a ledger of this origin, held by the store at a revision, was written
+// before the store was restored from a backup.
+func (o Origin) fromBackup(at store.Revision) bool { return o.Recorded && o.Era < at.Era() }
 
 // in returns the origin of a ledger that replaces the one at a revision.
 func (o Origin) in(at store.Revision) Origin {
-	if o.isCopy(at) {
+	if o.fromBackup(at) {
 		o.Base = max(o.Base, store.At(o.Era, at.Number()))
 	}
 	o.Recorded, o.Era = true, at.Era()
@@ -45,7 +45,7 @@
 	switch o := l.Origin; {
 	case !o.Recorded:
 		return false
-	case o.Era == known.Revision.Era() && o.Era < at.Era(): // it is the copy itself
+	case o.Era == known.Revision.Era() && o.Era < at.Era(): // it is the backup itself
 		return known.Revision.Number() <= at.Number()
 	default:
 		return o.Base.Era() == known.Revision.Era() && known.Revision <= o.Base
@@ -53,14 +53,14 @@
 }
 
 // Merge returns the ledger that the store holds at a revision, merged with what a node knew of an
-// earlier era. What was written before the copy was made is the same in both. Rows written since
+// earlier era. What was written before the backup was made is the same in both. Rows written since
 // may be counted twice, but none is omitted.
 func (l Ledger) Merge(known KnownLedger, at store.Revision) Ledger {
 	if l.Includes(known, at) {
 		return l
 	}
 	base := max(known.Revision, l.Origin.Base)
-	if l.Origin.isCopy(at) && l.Origin.Era <= known.Revision.Era() { // all that the copy holds was known
+	if l.Origin.fromBackup(at) && l.Origin.Era <= known.Revision.Era() { // all that the backup holds was known
 		l = known.Ledger
 	} else {
 		l = l.union(known.Ledger)
@@ -69,14 +69,14 @@
 	return l
 }
 
-// assumedCopyAge is the assumed age of a copy from which the store is restored.
-const assumedCopyAge = 6 * time.Second
+// assumedBackupAge is the assumed age of a backup from which the store is restored.
+const assumedBackupAge = 6 * time.Second
 
-// WithUnclaimed returns a ledger that comes from a copy and that no node has written back, with what
-// may have been drawn since the copy counted as lost.
+// WithUnclaimed returns a ledger that comes from a backup and that no node has written back, with what
+// may have been drawn since the backup counted as lost.
 func (l Ledger) WithUnclaimed(t Tuning) Ledger {
 	for _, a := range l.Accounts {
-		if lost := a.drawnSince(assumedCopyAge, t.Horizon); lost > 0 {
+		if lost := a.drawnSince(assumedBackupAge, t.Horizon); lost > 0 {
 			a.ClosedDrawn = min(a.ClosedDrawn+lost, maxTokens) // nodes reject a ledger with more
 			l = l.WithAccount(a)
 		}
--- a/fleet/relay/account/restore_test.go
+++ b/fleet/relay/account/restore_test.go
@@ -45,14 +45,14 @@
 		at   store.Revision
 		want Ledger
 	}{
-		{"the copy is older", ledgerOf(0, in(1, 0), map[string]int64{"a": 80, "b": 20}), store.At(2, 12), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 50, "b": 70})},
-		{"the copy is newer than what the node knows", ledgerOf(10, in(1, 0), map[string]int64{"a": 60, "b": 70}), store.At(2, 31), ledgerOf(10, in(1, 0), map[string]int64{"a": 60, "b": 70})},
+		{"the backup is older", ledgerOf(0, in(1, 0), map[string]int64{"a": 80, "b": 20}), store.At(2, 12), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 50, "b": 70})},
+		{"the backup is newer than what the node knows", ledgerOf(10, in(1, 0), map[string]int64{"a": 60, "b": 70}), store.At(2, 31), ledgerOf(10, in(1, 0), map[string]int64{"a": 60, "b": 70})},
 		{"another node has written back the same", ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 90, "b": 70}), store.At(2, 14), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 90, "b": 70})},
 		{"another node has written back less", ledgerOf(0, in(2, store.At(1, 28)), map[string]int64{"a": 90, "c": 5}), store.At(2, 14), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 90, "b": 70, "c": 5})},
 		{"an earlier build has written it since", ledgerOf(20, Origin{}, map[string]int64{"a": 60, "c": 5}), store.At(2, 40), ledgerOf(20, in(2, store.At(1, 30)), map[string]int64{"a": 60, "b": 70, "c": 5})},
 		{"written back in an era that the node missed", ledgerOf(10, in(2, store.At(1, 31)), map[string]int64{"a": 60, "b": 70}), store.At(3, 15), ledgerOf(10, in(2, store.At(1, 31)), map[string]int64{"a": 60, "b": 70})},
 		{"less written back in an era that the node missed", ledgerOf(0, in(2, store.At(1, 20)), map[string]int64{"a": 60}), store.At(3, 15), ledgerOf(10, in(3, store.At(1, 30)), map[string]int64{"a": 60, "b": 70})},
-		{"the copy has no ledger", Ledger{}, store.At(2, 0), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 50, "b": 70})},
+		{"the backup has no ledger", Ledger{}, store.At(2, 0), ledgerOf(10, in(2, store.At(1, 30)), map[string]int64{"a": 50, "b": 70})},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,15 +73,15 @@
 	}
 }
 
-// restoreSim simulates a store that is restored from copies, and the nodes that write its ledger.
+// restoreSim simulates a store that is restored from backups, and the nodes that write its ledger.
 type restoreSim struct {
 	store.Store
 	eras         *store.Eras
 	random       *rand.Rand
 	object       store.Object
-	copy         store.Object
+	backup       store.Object
 	number       int64 // the store's counter
-	copiedNumber int64 // value of number in the copy
+	backupNumber int64 // value of number in the backup
 	era          int64
 	unavailable  bool
 	restoredAt   time.Time // when it was last restored
@@ -113,14 +113,14 @@
 	for d.object.Revision == 0 {
 		_ = d.nodes[0].syncer.sync(context.Background(), time.Now(), false)
 	}
-	d.keepCopy()
+	d.makeBackup()
 	return d
 }
 
-// keepCopy makes a copy of the store.
-func (d *restoreSim) keepCopy() {
-	d.copy, d.copiedNumber = d.object, d.number
-	d.copy.Revision = store.At(d.era, d.object.Revision.Number())
+// makeBackup makes a backup of the store.
+func (d *restoreSim) makeBackup() {
+	d.backup, d.backupNumber = d.object, d.number
+	d.backup.Revision = store.At(d.era, d.object.Revision.Number())
 }
 
 func (d *restoreSim) start(n *simNode) {
@@ -179,13 +179,13 @@
 	}
 }
 
-// restore restores the store from the copy.
+// restore restores the store from the backup.
 func (d *restoreSim) restore() {
 	d.era++
-	d.number = d.copiedNumber
-	d.object = d.copy
+	d.number = d.backupNumber
+	d.object = d.backup
 	if d.object.Revision.Number() > 0 {
-		d.object.Revision = store.At(d.era, d.copy.Revision.Number())
+		d.object.Revision = store.At(d.era, d.backup.Revision.Number())
 	}
 	d.unavailable, d.restoredAt = false, time.Now()
 }
@@ -223,7 +223,7 @@
 	case pick < 35:
 		_ = n.syncer.sync(ctx, time.Now(), false)
 	case pick == 35:
-		d.keepCopy()
+		d.makeBackup()
 	case pick == 36:
 		d.unavailable = time.Since(d.restoredAt) > 2*writeBackDelay
 	case pick == 37 && d.random.IntN(3) == 0:
@@ -268,13 +268,13 @@
 	return total
 }
 
-// Guards against tokens that are drawn twice after the store was restored from a copy, while nodes
+// Guards against tokens that are drawn twice after the store was restored from a backup, while nodes
 // end, except a node that alone knows of a write.
 func TestRestoredStoreExceedsNoBudget(t *testing.T) {
 	const steps = 600
-	worlds := modelSteps() / steps
+	runs := modelSteps() / steps
 	used := int64(0)
-	for seed := range uint64(worlds) {
+	for seed := range uint64(runs) {
 		synctest.Test(t, func(t *testing.T) {
 			d := newRestoreSim(seed)
 			for step := range steps {
@@ -284,10 +284,10 @@
 			used += d.spent()
 		})
 	}
-	t.Logf("%.2f of the budgets were spent", float64(used)/float64(worlds*simPrepaid))
+	t.Logf("%.2f of the budgets were spent", float64(used)/float64(runs*simPrepaid))
 }
 
-// Guards against a node that never draws again after the store was restored from a copy.
+// Guards against a node that never draws again after the store was restored from a backup.
 func TestNodesDrawAgainAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newRestoreSim(1)
@@ -299,7 +299,7 @@
 			}
 		}
 		round()
-		d.keepCopy()
+		d.makeBackup()
 		for range 4 {
 			round()
 		}
--- a/fleet/relay/account/restoring.go
+++ b/fleet/relay/account/restoring.go
@@ -9,13 +9,13 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// How long nothing is drawn after the store was restored from a copy.
+// How long nothing is drawn after the store was restored from a backup.
 const (
 	writeBackDelay = time.Second     // for other nodes to write back what they know
 	unclaimedDelay = 2 * time.Second // on a node without a known ledger, if no node has written it back
 )
 
-// newEra reports whether the store was restored from a copy since this node last read the ledger.
+// newEra reports whether the store was restored from a backup since this node last read the ledger.
 func (s *Syncer) newEra() bool {
 	return store.Revision(s.lastRead.Load()).IsOfEraBefore(store.At(s.era(), 0))
 }
@@ -48,19 +48,19 @@
 	s.allowance.Apply(l, at)
 }
 
-// firstRead delays draws where the first ledger that this node reads went through a copy, so that
+// firstRead delays draws where the first ledger that this node reads went through a backup, so that
 // nodes that know more can write it back.
 func (s *Syncer) firstRead(l Ledger, at store.Revision) {
 	switch {
-	case l.Origin.isCopy(at):
+	case l.Origin.fromBackup(at):
 		s.pausedUntil = clock.Now().Add(unclaimedDelay)
-		s.log.WithFields(s.originFields(l, at)).Warn("accounts: ledger was restored from a copy and this node has no newer one: drawing is paused so that other nodes can write theirs back")
+		s.log.WithFields(s.originFields(l, at)).Warn("accounts: ledger was restored from a backup and this node has no newer one: drawing is paused so that other nodes can write theirs back")
 	case l.Origin.Base > 0:
 		s.pausedUntil = clock.Now().Add(writeBackDelay)
 	}
 }
 
-// restored records that the store was restored from a copy since the ledger was last read.
+// restored records that the store was restored from a backup since the ledger was last read.
 func (s *Syncer) restored(l Ledger, at store.Revision) {
 	if s.earlier.Revision == 0 { // otherwise the ledger contains what was known before, not written back yet
 		s.earlier.Revision = s.revision
@@ -68,7 +68,7 @@
 	s.earlier.Ledger = s.ledger
 	s.pausedUntil = clock.Now().Add(writeBackDelay)
 	s.log.WithFields(s.originFields(l, at)).WithField("known", s.revision.Number()).WithField("knownEra", s.revision.Era()).
-		WithField("included", l.Includes(s.earlier, at)).Warn("accounts: store was restored from a copy: writing back the ledger known to this node")
+		WithField("included", l.Includes(s.earlier, at)).Warn("accounts: store was restored from a backup: writing back the ledger known to this node")
 }
 
 func (s *Syncer) originFields(l Ledger, at store.Revision) log.Fields {
@@ -99,21 +99,21 @@
 }
 
 // writesBack reports whether the ledger is to be written even if nothing is to be drawn: it lacks
-// what this node knows, or no node has written it since it was restored from a copy.
+// what this node knows, or no node has written it since it was restored from a backup.
 func (s *Syncer) writesBack(now time.Time) bool {
 	if s.earlier.Revision > 0 {
 		return true
 	}
-	return s.isCopy() && !now.Before(s.pausedUntil)
+	return s.ledgerFromBackup() && !now.Before(s.pausedUntil)
 }
 
 // proposalBase returns the ledger on which this node bases its proposal.
 func (s *Syncer) proposalBase(now time.Time) Ledger {
-	if s.earlier.Revision > 0 || !s.isCopy() || now.Before(s.pausedUntil) {
+	if s.earlier.Revision > 0 || !s.ledgerFromBackup() || now.Before(s.pausedUntil) {
 		return s.ledger
 	}
 	l := s.ledger.WithUnclaimed(s.allowance.tuning)
-	s.log.WithFields(s.originFields(l, s.revision)).WithField("tokens", l.drawnBeyond(s.ledger)).Warn("accounts: no node has written the ledger back: tokens possibly drawn since the copy count as spent")
+	s.log.WithFields(s.originFields(l, s.revision)).WithField("tokens", l.drawnBeyond(s.ledger)).Warn("accounts: no node has written the ledger back: tokens possibly drawn since the backup count as spent")
 	return l
 }
 
@@ -128,9 +128,9 @@
 	return more
 }
 
-// isCopy reports whether no node has written the ledger since it was restored from a copy.
-func (s *Syncer) isCopy() bool {
-	return s.stored.Origin.isCopy(s.revision)
+// ledgerFromBackup reports whether no node has written the ledger since it was restored from a backup.
+func (s *Syncer) ledgerFromBackup() bool {
+	return s.stored.Origin.fromBackup(s.revision)
 }
 
 // drawingPaused reports whether drawing is paused, since the ledger may lack what others have drawn.
--- a/fleet/relay/account/syncer.go
+++ b/fleet/relay/account/syncer.go
@@ -110,7 +110,7 @@
 	return s
 }
 
-// WithEras enables writing the ledger back after the store was restored from a copy. Call it
+// WithEras enables writing the ledger back after the store was restored from a backup. Call it
 // before Run.
 func (s *Syncer) WithEras(e *store.Eras) *Syncer {
 	s.era = e.Newest
@@ -280,7 +280,7 @@
 		return
 	}
 	outage := clock.Since(s.answered)
-	s.allowance.StoreBack(outage, clock.Now())
+	s.allowance.RecordOutage(outage, clock.Now())
 	entry.WithField("outageMs", outage.Milliseconds()).Info("accounts: store reconnected")
 	s.health.Reconnected(Kind)
 }
@@ -313,7 +313,7 @@
 			s.allowance.ShortfallProposed()
 			return nil
 		}
-		tried := clock.Now()
+		attempted := clock.Now()
 		if err = s.write(ctx, next); err == nil {
 			s.allowance.ShortfallProposed()
 			return nil
@@ -321,7 +321,7 @@
 		if !errors.Is(err, store.ErrConflict) {
 			return err
 		}
-		if !leaving && clock.Since(began)+clock.Since(tried) > time.Duration(s.retryWithin.Load()) {
+		if !leaving && clock.Since(began)+clock.Since(attempted) > time.Duration(s.retryWithin.Load()) {
 			return err
 		}
 		s.pauseAfterConflict()
@@ -391,7 +391,7 @@
 		return l, err
 	}
 	if o.Revision.Era() != s.revision.Era() {
-		return l, nil // what was reported after the copy was made is missing
+		return l, nil // what was reported after the backup was made is missing
 	}
 	return l, l.Follows(s.stored)
 }
--- a/fleet/relay/account/unclaimed_test.go
+++ b/fleet/relay/account/unclaimed_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// loseAll restarts all nodes and restores the store from the copy.
+// loseAll restarts all nodes and restores the store from the backup.
 func (d *restoreSim) loseAll() {
 	for _, n := range d.nodes {
 		d.spentByEnded += spentOf(n.allowance)
@@ -41,18 +41,18 @@
 	d.restore()
 }
 
-// Guards against drawing tokens twice that were drawn after a copy was made, when no node that knows
+// Guards against drawing tokens twice that were drawn after a backup was made, when no node that knows
 // of it is left.
-func TestDrawsSinceACopyCountWhereNoNodeIsLeft(t *testing.T) {
+func TestDrawsSinceABackupCountWhereNoNodeIsLeft(t *testing.T) {
 	for _, rate := range []int{1500, 4000, 9000} {
 		t.Run(fmt.Sprint("tokens a second ", rate), func(t *testing.T) {
 			over, used := 0, int64(0)
-			const plays = 80
-			for seed := range uint64(plays) {
+			const runs = 80
+			for seed := range uint64(runs) {
 				synctest.Test(t, func(t *testing.T) {
 					d := newRestoreSim(seed)
 					d.callAndWrite(t, time.Duration(1000+d.random.IntN(8000))*time.Millisecond, rate)
-					d.keepCopy()
+					d.makeBackup()
 					d.callAndWrite(t, time.Duration(500+d.random.IntN(4500))*time.Millisecond, rate)
 					d.loseAll()
 					d.callAndWrite(t, 90*time.Second, rate)
@@ -62,7 +62,7 @@
 					}
 				})
 			}
-			t.Logf("%d of %d runs exceeded the budget, %.2f of the budgets spent", over, plays, float64(used)/float64(plays*simPrepaid))
+			t.Logf("%d of %d runs exceeded the budget, %.2f of the budgets spent", over, runs, float64(used)/float64(runs*simPrepaid))
 			assert.Zero(t, over)
 		})
 	}
--- a/fleet/relay/forward/handler.go
+++ b/fleet/relay/forward/handler.go
@@ -253,7 +253,7 @@
 	answer := j.Allowance.Reserve(j.tenant.Name, j.call.Cost(), j.start)
 	if answer == account.Insufficient && j.TokenSource.Acquire(j.r.Context(), j.tenant.Name, j.call.Cost()) {
 		j.note = "transferred"
-		answer = j.Allowance.ReserveAgain(j.tenant.Name, j.call.Cost())
+		answer = j.Allowance.RetryReserve(j.tenant.Name, j.call.Cost())
 	}
 	switch answer {
 	case account.Exhausted:
