--- a/fleet/relay/choice/baseline.go
+++ b/fleet/relay/choice/baseline.go
@@ -9,9 +9,9 @@
 // The timing of an attempt is compared with the prediction of its service's model, given
 // the tokens that had to be read and the calls in flight at the endpoint.
 
-// slownessBaseline is added to both sides of a ratio, in ms, so that the delay of a packet or of
+// slownessOffset is added to both sides of a ratio, in ms, so that the delay of a packet or of
 // a busy node has little effect on the ratio of a short call.
-const slownessBaseline = 1.0
+const slownessOffset = 1.0
 
 // Slowness returns how many times longer an attempt took than expected at the service's
 // endpoints: the larger ratio of the time to the first event (or of a whole plain call) and of
@@ -32,7 +32,7 @@
 
 func timesBaseline(took time.Duration, baselineMs float64) float64 {
 	ms := float64(took) / float64(time.Millisecond)
-	return (ms + slownessBaseline) / (baselineMs + slownessBaseline)
+	return (ms + slownessOffset) / (baselineMs + slownessOffset)
 }
 
 // SlowAfter returns the time to the first event, or of a whole plain call, that is the given
@@ -40,7 +40,7 @@
 func (t *Placement) SlowAfter(times float64) time.Duration {
 	t.picker.mu.Lock()
 	defer t.picker.mu.Unlock()
-	ms := times*(t.baselineMs+slownessBaseline) - slownessBaseline
+	ms := times*(t.baselineMs+slownessOffset) - slownessOffset
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
@@ -49,9 +49,9 @@
 	return cold.IsCold(t.Engine, t.request.Profile.ColdStart, t.request.Now)
 }
 
-// Lasts returns the expected duration of a call with the given number of events if its whole
+// ExpectedDuration returns the expected duration of a call with the given number of events if its whole
 // prompt has to be read and all slots of the endpoint are taken.
-func (p *Picker) Lasts(profile Profile, promptTokens, events int64, slots int) time.Duration {
+func (p *Picker) ExpectedDuration(profile Profile, promptTokens, events int64, slots int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.model(profile.Service)
--- a/fleet/relay/choice/baseline_test.go
+++ b/fleet/relay/choice/baseline_test.go
@@ -81,10 +81,10 @@
 	}
 	profile := Profile{Service: service, Tokens: true}
 	expected := kind.first(4000) + 20*kind.eventMs
-	assert.InEpsilon(t, expected, float64(p.Lasts(profile, 4000, 20, 1).Milliseconds()), 0.2)
-	assert.Greater(t, p.Lasts(profile, 4000, 40, 1), p.Lasts(profile, 4000, 20, 1))
-	assert.Greater(t, p.Lasts(profile, 8000, 20, 1), p.Lasts(profile, 4000, 20, 1))
-	assert.Greater(t, p.Lasts(Profile{Service: "unknown"}, 0, 0, 6), time.Duration(0))
+	assert.InEpsilon(t, expected, float64(p.ExpectedDuration(profile, 4000, 20, 1).Milliseconds()), 0.2)
+	assert.Greater(t, p.ExpectedDuration(profile, 4000, 40, 1), p.ExpectedDuration(profile, 4000, 20, 1))
+	assert.Greater(t, p.ExpectedDuration(profile, 8000, 20, 1), p.ExpectedDuration(profile, 4000, 20, 1))
+	assert.Greater(t, p.ExpectedDuration(Profile{Service: "unknown"}, 0, 0, 6), time.Duration(0))
 }
 
 func TestInFlightCountsSomeEndpoints(t *testing.T) {
--- a/fleet/relay/choice/bounds_test.go
+++ b/fleet/relay/choice/bounds_test.go
@@ -14,9 +14,9 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/limit"
 )
 
-// An endpoint whose limit was over got no calls for more than 15 seconds. Only an answer shows
-// that a limit is over, and the nodes with a share of the limit kept choosing other endpoints that were
-// as good or nearer. It was observed with few nodes that write for many, under load.
+// Guards against an endpoint that gets no calls for more than 15 seconds after its limit is over. Only
+// an answer shows that, and nodes with a share of the limit prefer other endpoints that are as good or
+// nearer. It happens under load, where few nodes write for many.
 func TestLimitedEndpointIsProbedRegularly(t *testing.T) {
 	now := time.Now()
 	all := engines(3)
--- a/fleet/relay/choice/choice.go
+++ b/fleet/relay/choice/choice.go
@@ -70,21 +70,21 @@
 }
 
 // WithLimits makes the picker respect limits that endpoints name, using the same gate.
-func (p *Picker) WithLimits(b *limit.Tracker) *Picker {
-	p.limits = b
+func (p *Picker) WithLimits(t *limit.Tracker) *Picker {
+	p.limits = t
 	return p
 }
 
 // WithNotices makes the picker act on notices in endpoints' answers.
-func (p *Picker) WithNotices(b *notice.Tracker) *Picker {
-	p.notices = b
+func (p *Picker) WithNotices(t *notice.Tracker) *Picker {
+	p.notices = t
 	return p
 }
 
 // WithSuspicions makes the picker avoid endpoints suspected by several nodes, and report this node's
 // failures.
-func (p *Picker) WithSuspicions(b *suspicion.Tracker) *Picker {
-	p.suspicions = b
+func (p *Picker) WithSuspicions(t *suspicion.Tracker) *Picker {
+	p.suspicions = t
 	return p
 }
 
@@ -102,20 +102,20 @@
 
 // Request holds the input of one choice.
 type Request struct {
-	Call           call.Call
-	Engines        []engine.Engine             // ordered by id
-	Sources        []engine.Engine             // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
-	Again          bool                        // the call is idempotent and may run again
-	Elsewhere      bool                        // if this endpoint turns the call away, it may be sent to another one
-	Trial          bool                        // the endpoints are on trial: their timing does not update the service's model
-	Exclude        map[engine.Incarnation]bool // already tried
-	Profile        Profile
-	Objective      time.Duration // time to the first event, from now; 0: none
-	Gap            time.Duration // longest acceptable pause between two events; 0: none
-	AllowedRegions []string      // regions whose nodes may learn which parts the call read; nil: all
-	Bytes          int64         // expected bytes sent to the endpoint and back
-	Cap            int           // maximum calls in flight from this node at one endpoint
-	Now            time.Time
+	Call            call.Call
+	Engines         []engine.Engine             // ordered by id
+	Sources         []engine.Engine             // endpoints that cached parts may be fetched from, ordered by id; nil: Engines
+	Repeatable      bool                        // the call is idempotent and may run again
+	HasMoreAttempts bool                        // if this endpoint turns the call away, it may be sent to another one
+	Trial           bool                        // the endpoints are on trial: their timing does not update the service's model
+	Exclude         map[engine.Incarnation]bool // already tried
+	Profile         Profile
+	Objective       time.Duration // time to the first event, from now; 0: none
+	Gap             time.Duration // longest acceptable pause between two events; 0: none
+	AllowedRegions  []string      // regions whose nodes may learn which parts the call read; nil: all
+	Bytes           int64         // expected bytes sent to the endpoint and back
+	Cap             int           // maximum calls in flight from this node at one endpoint
+	Now             time.Time
 }
 
 // Pick chooses an endpoint and counts the call there. It returns false if no endpoint may take
--- a/fleet/relay/choice/cost.go
+++ b/fleet/relay/choice/cost.go
@@ -29,17 +29,17 @@
 	}
 	slowdown := s.speed.slowdown(r.Now)
 	dist := p.places.To(e.Zone, r.Now)
-	kept := p.keptTokens(r, e, s, affinity)
+	cached := p.cachedTokens(r, e, s, affinity)
 	fetchMs := 0.0
-	if p.tuning.Fetch && from.id != e.ID && from.tokens > kept {
-		if ms := from.moveMs(from.tokens-kept, p.places.Between(from.zone, e.Zone, r.Now)); ms < m.readMs(from.tokens-kept) {
-			t.Source, t.Fetched, fetchMs = from.address, from.tokens-kept, ms
+	if p.tuning.Fetch && from.id != e.ID && from.tokens > cached {
+		if ms := from.moveMs(from.tokens-cached, p.places.Between(from.zone, e.Zone, r.Now)); ms < m.readMs(from.tokens-cached) {
+			t.Source, t.Fetched, fetchMs = from.address, from.tokens-cached, ms
 			if from.known || !p.tuning.Homes {
-				kept = from.tokens
+				cached = from.tokens
 			}
 		}
 	}
-	t.Uncached = max(r.Call.PromptMax-kept, 0)
+	t.Uncached = max(r.Call.PromptMax-cached, 0)
 	t.ahead = waiting + t.Uncached
 	first, overheadMs := m.firstMs(t.ahead), fetchMs+p.slotMs(m, e, inFlight)+dist.DelayMs()
 	t.baselineMs = first + overheadMs
@@ -69,21 +69,21 @@
 	return cost + dist.Plain() + dist.DelayMs()/objectiveMs(r)
 }
 
-// keptTokens estimates how many tokens of the prompt the endpoint has cached.
-func (p *Picker) keptTokens(r Request, e engine.Engine, s *endpoint, affinity string) int64 {
-	kept, assumed := int64(0), 0.0
+// cachedTokens estimates how many tokens of the prompt the endpoint has cached.
+func (p *Picker) cachedTokens(r Request, e engine.Engine, s *endpoint, affinity string) int64 {
+	cached, assumed := int64(0), 0.0
 	shared := len(r.Call.Shared())
 	for i, part := range r.Call.Parts {
 		switch {
 		case s.cache.has(part.ID):
-			kept += part.Tokens
+			cached += part.Tokens
 		case i < shared && affinity == e.ID && len(p.holders[part.ID]) == 0:
 			assumed += p.tuning.AffinityTrust * float64(part.Tokens)
 		default:
-			return kept + int64(assumed)
+			return cached + int64(assumed)
 		}
 	}
-	return kept + int64(assumed)
+	return cached + int64(assumed)
 }
 
 // slotMs estimates how long a call waits for a free slot.
--- a/fleet/relay/choice/distance_test.go
+++ b/fleet/relay/choice/distance_test.go
@@ -94,7 +94,7 @@
 
 // Parts are fetched only from endpoints at which the call itself may run, whichever others cache them.
 // The affinity target is one of these, too.
-func TestPartsAreFetchedFromHomeRegionsOnly(t *testing.T) {
+func TestPartsAreFetchedFromAllowedRegionsOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := testEngines(6)
 	profile := Profile{Service: service, Tokens: true, Capacity: 100_000, TokenBytes: 131_072, LinkMbps: 500_000}
@@ -130,8 +130,8 @@
 	}
 }
 
-// The reads of a call with home regions are sent only to nodes of these regions.
-func TestReadsAreSentToHomeRegionsOnly(t *testing.T) {
+// The reads of a call with allowed regions are sent only to nodes of these regions.
+func TestReadsAreSentToAllowedRegionsOnly(t *testing.T) {
 	var l recentReads
 	now := time.Unix(1000, 0)
 	l.add(engine.Incarnation{ID: "anywhere"}, []call.Part{{ID: "a"}}, nil, false, now)
--- a/fleet/relay/choice/endpoint.go
+++ b/fleet/relay/choice/endpoint.go
@@ -23,7 +23,7 @@
 	loadAt         time.Time
 	failures       int
 	suspectedUntil time.Time // avoided until then
-	gone           bool      // its incarnation has ended, as its successor told this node or a peer
+	gone           bool      // its incarnation has ended, as its successor reported to this node or a peer
 	speed          speed
 	pauses         average // share of recent streams that paused for too long
 }
--- a/fleet/relay/choice/incarnation.go
+++ b/fleet/relay/choice/incarnation.go
@@ -7,8 +7,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// noBirthGrace is how long after a new incarnation was learned of a peer's report without a
-// start time may still concern the previous one. Older builds send none, and a read is sent for
+// noBirthGrace is how long after this node learned of a new incarnation a peer's report without
+// a start time may still concern the previous one. Older builds send none, and a read is sent for
 // readTTL by its origin and again by whoever forwards it, plus one gossip interval of each.
 const noBirthGrace = 4 * time.Second
 
--- a/fleet/relay/choice/model.go
+++ b/fleet/relay/choice/model.go
@@ -97,7 +97,7 @@
 	speedHalfLife = 4 * time.Second
 	maxSlowdown   = 20.0
 	minSlowdown   = 0.5
-	speedBaseline = 20.0 // ms added to both sides of a ratio, so that short times have little effect
+	speedOffset   = 20.0 // ms added to both sides of a ratio, so that short times have little effect
 )
 
 func (s speed) slowdown(now time.Time) float64 {
@@ -109,7 +109,7 @@
 
 // logRatio returns the logarithm of the actual over the expected time, both in ms.
 func logRatio(took, expected float64) float64 {
-	return math.Log(min(max((took+speedBaseline)/(expected+speedBaseline), minSlowdown), maxSlowdown))
+	return math.Log(min(max((took+speedOffset)/(expected+speedOffset), minSlowdown), maxSlowdown))
 }
 
 // with adds a sample of the endpoint. The common ratio of all endpoints is subtracted: it is an
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -21,7 +21,7 @@
 	case notice.LastResort:
 		return level != allowAll
 	case notice.Probe:
-		return level != allowAll && !r.Elsewhere
+		return level != allowAll && !r.HasMoreAttempts
 	case notice.Free:
 	}
 	return false
--- a/fleet/relay/choice/placement.go
+++ b/fleet/relay/choice/placement.go
@@ -68,7 +68,7 @@
 		t.model.ratio = t.model.ratio.with(ratio)
 	}
 	e.speed = e.speed.with(ratio, t.model.ratio.mean(), now)
-	if !t.request.Trial && ms < outlier*slowdown*expected+speedBaseline {
+	if !t.request.Trial && ms < outlier*slowdown*expected+speedOffset {
 		t.model.first = t.model.first.with(float64(t.ahead), ms/slowdown)
 	}
 }
--- a/fleet/relay/choice/reason.go
+++ b/fleet/relay/choice/reason.go
@@ -16,7 +16,7 @@
 const (
 	Usable            Reason = iota
 	Ending                   // it signals its end, in its entry or in answers
-	Emptied                  // its availability zone is being evacuated
+	Evacuated                // its availability zone is being evacuated
 	Tried                    // the call was already there
 	Replaced                 // another endpoint has its address, or another incarnation its id
 	Busy                     // this node's maximum of calls in flight there is reached
@@ -52,7 +52,7 @@
 		return s, Suspected
 	case level == healthyOnly && p.unreachable(e.Zone, r.Now):
 		return s, Unreachable
-	case level != allowAll && p.suspicions != nil && p.suspicions.Avoids(e.Incarnation(), r.Again, key, r.Now):
+	case level != allowAll && p.suspicions != nil && p.suspicions.Avoids(e.Incarnation(), r.Repeatable, key, r.Now):
 		return s, SuspectedByOthers
 	case !p.withinBounds(*r, *e):
 		return s, Bounded
@@ -67,7 +67,7 @@
 	lastResort := e.State == engine.Leaving && level == allowAll && r.Now.Before(e.LeavesBy)
 	switch {
 	case e.State == engine.Evacuated:
-		return Emptied
+		return Evacuated
 	case e.State != engine.Ready && !lastResort:
 		return Ending
 	case r.Exclude[e.Incarnation()]:
--- a/fleet/relay/choice/rest_test.go
+++ b/fleet/relay/choice/rest_test.go
@@ -38,9 +38,9 @@
 func newRestFleet(nodes int, seed uint64) *restFleet {
 	w := &restFleet{random: rand.New(rand.NewPCG(seed, 5)), now: time.Unix(1000, 0), engines: testEngines(restEndpoints), ends: map[time.Time][]func(){}, running: map[string]int{}}
 	for i := range nodes {
-		b := notice.NewTracker(fmt.Sprint("n", i), notice.Rule{}, func(notice.Change) {})
-		b.Engines(w.engines, w.now)
-		w.pickers = append(w.pickers, NewPicker("z", DefaultTuning()).WithNotices(b))
+		tracker := notice.NewTracker(fmt.Sprint("n", i), notice.Rule{}, func(notice.Change) {})
+		tracker.Engines(w.engines, w.now)
+		w.pickers = append(w.pickers, NewPicker("z", DefaultTuning()).WithNotices(tracker))
 	}
 	return w
 }
@@ -76,7 +76,7 @@
 // arrive simulates one call at a random node.
 func (w *restFleet) arrive() {
 	p := w.pickers[w.random.IntN(len(w.pickers))]
-	r := Request{Call: call.Call{ID: fmt.Sprint(w.random.Uint64())}, Engines: w.engines, Profile: Profile{Service: service}, Elsewhere: true, Cap: 50, Now: w.now}
+	r := Request{Call: call.Call{ID: fmt.Sprint(w.random.Uint64())}, Engines: w.engines, Profile: Profile{Service: service}, HasMoreAttempts: true, Cap: 50, Now: w.now}
 	t, ok := p.Pick(r)
 	if !ok {
 		return
--- a/fleet/relay/choice/source.go
+++ b/fleet/relay/choice/source.go
@@ -75,7 +75,7 @@
 		return ident.Mix(key^a.Hash) > ident.Mix(key^b.Hash)
 	}
 	holders := p.holders[parts[len(parts)-1].ID]
-	if holders[affinity] && p.keepsAll(affinity, parts) {
+	if holders[affinity] && p.cachesAll(affinity, parts) {
 		if e, healthy := p.healthySource(r, affinity); healthy {
 			return e, true
 		}
@@ -84,7 +84,7 @@
 		if checked++; checked > maxHoldersChecked {
 			break
 		}
-		if !p.keepsAll(id, parts) {
+		if !p.cachesAll(id, parts) {
 			continue
 		}
 		if e, healthy := p.healthySource(r, id); healthy && (!found || before(e, best)) {
@@ -94,8 +94,8 @@
 	return best, found
 }
 
-// keepsAll reports whether an endpoint is assumed to cache all of the parts.
-func (p *Picker) keepsAll(id string, parts []call.Part) bool {
+// cachesAll reports whether an endpoint is assumed to cache all of the parts.
+func (p *Picker) cachesAll(id string, parts []call.Part) bool {
 	for _, part := range parts {
 		if !p.holders[part.ID][id] {
 			return false
--- a/fleet/relay/forward/answer.go
+++ b/fleet/relay/forward/answer.go
@@ -20,8 +20,8 @@
 	return err == nil && kind == eventStream
 }
 
-// passWhole passes an answer on once all of it has arrived, so that a caller never gets part of one.
-func (j *job) passWhole(ctx context.Context, t *choice.Placement, o answered) (*refusal, bool) {
+// passComplete passes an answer on once all of it has arrived, so that a caller never gets part of one.
+func (j *job) passComplete(ctx context.Context, t *choice.Placement, o answered) (*refusal, bool) {
 	defer closeBody(o.resp)
 	body, err := io.ReadAll(o.resp.Body)
 	if err != nil {
--- a/fleet/relay/forward/forward_test.go
+++ b/fleet/relay/forward/forward_test.go
@@ -181,7 +181,7 @@
 		{"whole stream", "/stream/", events(0, 4, true), 10 + 4*3},
 		{"broken stream", "/stream/", events(0, 2, false), 10 + 2*3},
 		{"broken before an event", "/stream/", events(0, 0, false), 0},
-		{"never more than the most", "/stream/", events(0, 90, true), 10 + 100},
+		{"never more than the maximum", "/stream/", events(0, 90, true), 10 + 100},
 		{"lost answer", "/stream/", reset, 0},
 		{"not run", "/stream/", status(503, true), 0},
 		{"failed", "/stream/", status(500, false), 0},
--- a/fleet/relay/forward/outcome.go
+++ b/fleet/relay/forward/outcome.go
@@ -11,7 +11,7 @@
 // neverSent means that not a byte of the call reached the endpoint.
 type neverSent struct {
 	err       error
-	connected bool // this node closed the connection itself, which is no evidence on the endpoint
+	connected bool // a connection was obtained but not written to, which is no evidence on the endpoint
 }
 
 // rejected means that the endpoint itself stated that the call did not run there.
--- a/fleet/relay/forward/overdue.go
+++ b/fleet/relay/forward/overdue.go
@@ -69,7 +69,7 @@
 }
 
 // stallCheck detects suspensions of the VM and stalls of the process during a call. Durations
-// that include one say nothing about an endpoint and are not recorded.
+// that include one are no evidence on an endpoint and are not recorded.
 type stallCheck struct {
 	suspended time.Duration              // in total, when the call began
 	stalled   func(since time.Time) bool // nil: no stalls
--- a/fleet/relay/forward/overdue_test.go
+++ b/fleet/relay/forward/overdue_test.go
@@ -13,7 +13,7 @@
 )
 
 // A call whose deadline passed while the VM was suspended is ended as timed out when the VM resumes,
-// since its timer did not run. Its endpoint notices that, and the caller is not told that the call did
+// since its timer did not run. Its endpoint notices that, and the answer does not state that the call did
 // not run. A call with time left goes on, with less of it.
 func TestOverdueCallsAreEnded(t *testing.T) {
 	t.Cleanup(func() { clock.Suspend(-35 * time.Second) }) // reset for later tests
--- a/fleet/relay/forward/regions.go
+++ b/fleet/relay/forward/regions.go
@@ -13,8 +13,8 @@
 
 // allowedRegions are the regions in which a call may run by its route and its customer.
 type allowedRegions struct {
-	bound   bool
-	regions policy.Regions // sorted; if empty, the call can't run
+	restricted bool
+	regions    policy.Regions // sorted; if empty, the call can't run
 }
 
 func allowedRegionsOf(r policy.Route, t policy.Tenant) allowedRegions {
@@ -23,19 +23,19 @@
 	}
 	regions := r.AllowedRegions.Intersect(t.AllowedRegions)
 	slices.Sort(regions)
-	return allowedRegions{bound: true, regions: regions}
+	return allowedRegions{restricted: true, regions: regions}
 }
 
 // allows reports whether the call may run in a region; an unknown region ("") is never allowed to a
 // restricted call.
 func (r allowedRegions) allows(region string) bool {
-	return !r.bound || region != "" && slices.Contains(r.regions, region)
+	return !r.restricted || region != "" && slices.Contains(r.regions, region)
 }
 
 // noAllowedRegion reports whether the call may run in no region: its route and its customer
 // allow none in common, or none that has an availability zone.
 func (j *job) noAllowedRegion() bool {
-	return j.regions.bound && !lo.SomeBy(j.regions.regions, j.Places.Has)
+	return j.regions.restricted && !lo.SomeBy(j.regions.regions, j.Places.Has)
 }
 
 // refreshRegions applies the regions of the policy in force, so that a retry after a change of
@@ -57,7 +57,7 @@
 
 // inAllowedRegions returns the endpoints at which the call may run.
 func (j *job) inAllowedRegions(engines []engine.Engine) []engine.Engine {
-	if !j.regions.bound {
+	if !j.regions.restricted {
 		return engines
 	}
 	return lo.Filter(engines, func(e engine.Engine, _ int) bool { return j.regions.allows(j.Places.Region(e.Zone)) })
@@ -67,7 +67,7 @@
 // call get ids of their own: they are neither looked up nor announced where they may not be kept,
 // and calls with other allowed regions don't fetch them.
 func (j *job) regionScopedCall() call.Call {
-	if !j.regions.bound || len(j.call.Parts) == 0 {
+	if !j.regions.restricted || len(j.call.Parts) == 0 {
 		return j.call
 	}
 	c := j.call
--- a/fleet/relay/forward/resumed_test.go
+++ b/fleet/relay/forward/resumed_test.go
@@ -70,7 +70,7 @@
 }
 
 // The log line of a call must contain the reason why its broken stream was not resumed.
-func TestLogTellsWhyStreamWasNotResumed(t *testing.T) {
+func TestLogShowsWhyStreamWasNotResumed(t *testing.T) {
 	breaks := events(0, 3, false)
 	fails := func(f *fleet, w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last") != "" {
--- a/fleet/relay/forward/run.go
+++ b/fleet/relay/forward/run.go
@@ -47,11 +47,11 @@
 		tried[placement.Engine.Incarnation()] = true
 		j.engine, j.placed = placement.Engine.ID, placement
 		out := j.send(ctx, placement, j.call.LastEventID)
-		next, again := j.decide(ctx, placement, out)
-		j.logAttempt(placement, out, again)
-		if again {
-			switch lost, ok := out.(neverSent); {
-			case ok && lost.connected:
+		next, retry := j.decide(ctx, placement, out)
+		j.logAttempt(placement, out, retry)
+		if retry {
+			switch unsent, ok := out.(neverSent); {
+			case ok && unsent.connected:
 				delete(tried, placement.Engine.Incarnation()) // another connection to it may work
 				dropped++
 			case ok:
@@ -71,8 +71,8 @@
 }
 
 // logAttempt logs an attempt without an answer, and whether the call is sent again.
-func (j *job) logAttempt(t *choice.Placement, out outcome, again bool) {
-	fields := log.Fields{"request": j.call.ID, "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts, "again": again, "expectedMs": int64(t.FirstMs)}
+func (j *job) logAttempt(t *choice.Placement, out outcome, retry bool) {
+	fields := log.Fields{"request": j.call.ID, "endpoint": t.Engine.ID, "address": t.Engine.Address, "attempt": j.attempts, "again": retry, "expectedMs": int64(t.FirstMs)}
 	switch o := out.(type) {
 	case neverSent:
 		j.Log.WithFields(fields).WithField("error", o.err.Error()).Info("attempt not sent")
@@ -105,7 +105,7 @@
 func (j *job) choiceRequest(tried map[engine.Incarnation]bool, now time.Time) choice.Request {
 	return choice.Request{
 		Call: j.regionScopedCall(), AllowedRegions: j.regions.regions, Exclude: tried, Profile: profile(j.service),
-		Again: j.route.MayRepeat(), Elsewhere: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.cap(), Now: now,
+		Repeatable: j.route.MayRepeat(), HasMoreAttempts: j.attempts+1 < j.route.Attempts, Objective: j.route.Objective - now.Sub(j.start), Gap: j.route.Gap, Bytes: j.transferBytes(), Cap: j.cap(), Now: now,
 	}
 }
 
@@ -328,5 +328,5 @@
 		j.relayStream(ctx, t, o)
 		return nil, false
 	}
-	return j.passWhole(ctx, t, o)
+	return j.passComplete(ctx, t, o)
 }
--- a/fleet/relay/forward/stall_test.go
+++ b/fleet/relay/forward/stall_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A call that is read right after a stall would be decided by outdated knowledge, so it waits until
+// A call that is read right after a stall would be decided on outdated state, so it waits until
 // the updates that arrived during the stall have been read.
 func TestCallWaitsForBacklogAfterStall(t *testing.T) {
 	for _, c := range []struct {
--- a/fleet/relay/forward/stream.go
+++ b/fleet/relay/forward/stream.go
@@ -174,17 +174,17 @@
 	if end < 0 {
 		return nil
 	}
-	whole := s.pending[:end+len(eventEnd)]
+	complete := s.pending[:end+len(eventEnd)]
 	if s.events == 0 {
 		s.Metrics.FirstEvent(s.route.Name, clock.Since(s.start))
 	}
 	before, first := s.events, s.pace.last.IsZero()
-	s.count(whole)
+	s.count(complete)
 	s.pace.observe(int(s.events-before), clock.Now())
 	if first && s.pace.first > 0 {
 		s.reportFirstEvent(s.pace.placement, s.pace.sent, s.pace.first)
 	}
-	if _, err := s.w.Write(whole); err != nil {
+	if _, err := s.w.Write(complete); err != nil {
 		return err
 	}
 	if err := flusher.Flush(); err != nil {
@@ -195,8 +195,8 @@
 }
 
 // count counts events and records the last event id.
-func (s *streamRelay) count(whole []byte) {
-	for event := range bytes.SplitSeq(whole, eventEnd) {
+func (s *streamRelay) count(complete []byte) {
+	for event := range bytes.SplitSeq(complete, eventEnd) {
 		if len(bytes.Trim(event, "\n")) == 0 {
 			continue
 		}
--- a/fleet/relay/forward/trial.go
+++ b/fleet/relay/forward/trial.go
@@ -118,7 +118,7 @@
 	if j.service.TokensPerEvent > 0 {
 		events = j.call.OutputMax/j.service.TokensPerEvent + 1
 	}
-	expected := j.Picker.Lasts(r.Profile, j.call.PromptMax, events, j.service.Slots)
+	expected := j.Picker.ExpectedDuration(r.Profile, j.call.PromptMax, events, j.service.Slots)
 	return min(time.Duration(durationMargin*float64(expected)), j.end.Sub(r.Now))
 }
 
--- a/fleet/relay/forward/trial_test.go
+++ b/fleet/relay/forward/trial_test.go
@@ -23,7 +23,7 @@
 	mu       sync.Mutex
 	recorded []rollout.Sample
 	sent     int
-	lasts    []time.Duration
+	expected []time.Duration
 	slow     float64 // slowness above which an answer is bad; 0: none is
 	first    func()  // called before the next call is sent; may be nil
 }
@@ -61,7 +61,7 @@
 func (s *samples) RecordExpected(_ string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lasts = append(s.lasts, d)
+	s.expected = append(s.expected, d)
 }
 
 // list waits for a number of samples, since a sample is reported after its answer.
