--- a/fleet/relay/account/encode.go
+++ b/fleet/relay/account/encode.go
@@ -15,10 +15,10 @@
 
 // ledgerForm is the stored form of a ledger.
 type ledgerForm struct {
-	Lives    [][2]string   `json:"lives"` // node and incarnation
-	Accounts []accountForm `json:"accounts"`
-	Era      *int64        `json:"era,omitempty"`  // nil: written by an earlier build
-	Base     *[2]int64     `json:"base,omitempty"` // era and number of a revision; nil: none
+	Incarnations [][2]string   `json:"lives"` // node and incarnation
+	Accounts     []accountForm `json:"accounts"`
+	Era          *int64        `json:"era,omitempty"`  // nil: written by an earlier build
+	Base         *[2]int64     `json:"base,omitempty"` // era and number of a revision; nil: none
 }
 
 // origin returns where in the store's history the ledger was written.
@@ -99,7 +99,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (l Ledger) MarshalJSON() ([]byte, error) {
-	form := ledgerForm{Lives: [][2]string{}, Accounts: make([]accountForm, 0, len(l.Accounts))}
+	form := ledgerForm{Incarnations: [][2]string{}, Accounts: make([]accountForm, 0, len(l.Accounts))}
 	index := map[[2]string]int64{}
 	for _, a := range l.Accounts {
 		f := accountForm{Tenant: a.Tenant, Closed: [3]int64{a.ClosedDrawn, a.ClosedSpent, a.ClosedGranted}, Rate: a.Rate}
@@ -110,9 +110,9 @@
 			incarnation := [2]string{r.Node, r.Incarnation}
 			at, ok := index[incarnation]
 			if !ok {
-				at = int64(len(form.Lives))
+				at = int64(len(form.Incarnations))
 				index[incarnation] = at
-				form.Lives = append(form.Lives, incarnation)
+				form.Incarnations = append(form.Incarnations, incarnation)
 			}
 			f.Rows = append(f.Rows, rowForm{at, r.Drawn, r.Spent, r.Granted})
 		}
@@ -140,10 +140,10 @@
 	for _, f := range form.Accounts {
 		a := Account{Tenant: f.Tenant, ClosedDrawn: f.Closed[0], ClosedSpent: f.Closed[1], ClosedGranted: f.Closed[2], Rate: min(max(f.Rate, 0), maxTokens)}
 		for _, r := range f.Rows {
-			if r[0] < 0 || r[0] >= int64(len(form.Lives)) {
-				return errors.Newf("ledger: a row of %s names life %d of %d", f.Tenant, r[0], len(form.Lives))
+			if r[0] < 0 || r[0] >= int64(len(form.Incarnations)) {
+				return errors.Newf("ledger: a row of %s names life %d of %d", f.Tenant, r[0], len(form.Incarnations))
 			}
-			incarnation := form.Lives[r[0]]
+			incarnation := form.Incarnations[r[0]]
 			a.Rows = append(a.Rows, Row{Node: incarnation[0], Incarnation: incarnation[1], Drawn: r[1], Spent: r[2], Granted: r[3]})
 		}
 		accounts = append(accounts, a)
--- a/fleet/relay/forward/closed_connection_test.go
+++ b/fleet/relay/forward/closed_connection_test.go
@@ -57,7 +57,7 @@
 // After an answer without a body the transport makes the connection idle before the call has
 // continued: a second call may hold it when the first one times out. The first call ran and must not
 // be refused as never sent. The second was never sent and goes to another connection.
-func TestACallThatRanIsNotTakenForNeverSent(t *testing.T) {
+func TestCallThatRanIsNotTreatedAsUnsent(t *testing.T) {
 	f := newFleet(t, 1000, status(http.StatusNoContent, false))
 	assert.Equal(t, http.StatusNoContent, f.serve(f.request(t, "POST", "/once/", "warm")).Code)
 
--- a/fleet/relay/quarantine/probe_test.go
+++ b/fleet/relay/quarantine/probe_test.go
@@ -197,7 +197,7 @@
 
 // Guards against a harmless request that a single end quarantines again since it was served only
 // after its hold had expired.
-func TestServedAfterItsHoldARequestNeedsThreeEnds(t *testing.T) {
+func TestRequestServedAfterItsHoldNeedsThreeEnds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		served bool
