--- a/fleet/relay/rollout/decider.go
+++ b/fleet/relay/rollout/decider.go
@@ -16,7 +16,7 @@
 	refusedLongDelay = 750 * time.Millisecond
 	// writeTimeout is the time after which a write without an answer is requested again.
 	writeTimeout = 1500 * time.Millisecond
-	// minOutage is the shortest time in which no node runs before a started node finds a status.
+	// minOutage is the minimum time from the end of the last node until a started node finds a status.
 	minOutage = time.Second
 )
 
@@ -26,7 +26,7 @@
 	rule          Rule
 	rollout       Rollout
 	known         bool
-	orderStart    time.Time // by this node's monotonic clock, as far as the status tells
+	orderStart    time.Time // by this node's monotonic clock, as far as the status shows
 	judge         Judge
 	firstEvidence Evidence // when nodes first reported, for the call rates
 	firstAt       time.Time
@@ -104,7 +104,7 @@
 	return a.Service == b.Service && a.Target == b.Target && a.Made == b.Made
 }
 
-// orderStart returns when the order was made, as far as its status tells.
+// orderStart returns when the order was made, as far as its status shows.
 func (r Rollout) orderStart() time.Time {
 	if r.State() == Ordered {
 		return r.LearnedAt
--- a/fleet/relay/rollout/drawn_test.go
+++ b/fleet/relay/rollout/drawn_test.go
@@ -95,7 +95,7 @@
 	if len(a.dropped) > 0 {
 		p99 = a.dropped[len(a.dropped)*99/100]
 	}
-	return fmt.Sprintf("good %d, completed in time %d; bad %d, reverted %d, over the share %d (%d with nodes just started), over the time %d; from the 50th bad answer p99 %s, most %s; writes at most %d, calls cut %d",
+	return fmt.Sprintf("good %d, completed in time %d; bad %d, reverted %d, over the share %d (%d with nodes just started), over the time %d; from the 50th bad answer p99 %s, most %s; writes at most %d, calls interrupted %d",
 		a.good, a.completed, a.bad, a.reverted, a.exposed, a.sent, a.late, p99, lo.LastOr(a.dropped, 0), a.writes, a.interrupted)
 }
 
--- a/fleet/relay/rollout/evidence.go
+++ b/fleet/relay/rollout/evidence.go
@@ -15,7 +15,7 @@
 	Failed      bool
 	Unreachable bool          // no answer came: no connection, a reset or silence; implies Failed
 	Cold        bool          // the endpoint signals a cold start: its slowness isn't counted
-	Now         time.Time     // by the node's steady clock
+	Now         time.Time     // by the node's monotonic clock
 	Sent        bool          // Recorder.RecordSent counted the call when it was sent
 	Slowness    float64       // time taken over time expected for its prompt and the load; 0 if unknown
 	Took        time.Duration // until the first event, or all of a plain call; 0 if unknown
@@ -83,7 +83,7 @@
 	MedianMs float64 `json:"u,omitempty"`
 }
 
-// Evidence is what was observed of an order's two versions, by one node since it knows of the order,
+// Evidence is what was observed of an order's two versions, by one node since it learned of the order,
 // or by several nodes together. Its counts only grow.
 type Evidence struct {
 	Service string          `json:"s"`
--- a/fleet/relay/rollout/evidence_tracker.go
+++ b/fleet/relay/rollout/evidence_tracker.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// EvidenceTracker is what all nodes have reported about an order's versions. A restarted node has another
+// EvidenceTracker holds what all nodes have reported about an order's versions. A restarted node has another
 // incarnation; what its earlier one reported still counts. It changes in place, since each node
 // reports several times per second, and isn't safe for concurrent use.
 type EvidenceTracker struct {
--- a/fleet/relay/rollout/judge.go
+++ b/fleet/relay/rollout/judge.go
@@ -23,9 +23,8 @@
 	// clearedScore is the score below which the other cohorts count as healthy: a dozen good
 	// answers.
 	clearedScore = -2.0
-	// unhealthyPrior is the logarithm of the number of rollouts per rollout that meets an unhealthy
-	// endpoint among the few that are sampled: five, a cautious estimate, as such rollouts are
-	// rarer.
+	// unhealthyPrior is the logarithm of five: one rollout in five is assumed to sample an unhealthy
+	// endpoint, which is cautious, as fewer do.
 	unhealthyPrior = 1.6
 	// minRecent is the number of recent answers needed to tell which cohorts answer, and
 	// singleCohortPart the part of them that one cohort must give to count as the only one.
--- a/fleet/relay/rollout/model_decider_test.go
+++ b/fleet/relay/rollout/model_decider_test.go
@@ -28,7 +28,7 @@
 	}
 	if p.windows != nil && p.windows.bad(sum, p.now) {
 		p.handle(ReportedBad{Target: "v2", Made: made, Why: "by windows", Now: at})
-		p.warn()
+		p.announceBad()
 	}
 	maximum := time.Duration(0)
 	for _, r := range p.service.routes {
@@ -48,12 +48,13 @@
 			}
 			p.write(e)
 		case AnnounceBad:
-			p.warn()
+			p.announceBad()
 		}
 	}
 }
 
-func (p *play) warn() {
+// announceBad notifies each node after a drawn delay that the target is bad.
+func (p *play) announceBad() {
 	for i := range p.nodes {
 		if n := &p.nodes[i]; n.badAt == 0 {
 			n.badAt = p.now + time.Duration(p.rand.Float64()*float64(maxSendDelay))
--- a/fleet/relay/rollout/model_test.go
+++ b/fleet/relay/rollout/model_test.go
@@ -54,7 +54,7 @@
 }
 
 func (o outcome) String() string {
-	return fmt.Sprintf("%s: state %d at %s, moved at %s, exposed %d (%d with nodes just started) of %d, %d bad answers, %d after, dropped %s, cut %d, writes %d, why %s", o.scenario,
+	return fmt.Sprintf("%s: state %d at %s, moved at %s, exposed %d (%d with nodes just started) of %d, %d bad answers, %d after, dropped %s, interrupted %d, writes %d, why %s", o.scenario,
 		o.state, o.endedAt.Round(step), o.moved.Round(step), o.exposed, o.sent, o.calls, o.badAnswers, o.afterBad, o.dropped.Round(step), o.interrupted, o.writes, o.why)
 }
 
--- a/fleet/relay/rollout/move.go
+++ b/fleet/relay/rollout/move.go
@@ -168,7 +168,7 @@
 	return time.Duration(slowFactor * float64(slowest))
 }
 
-// comparable reports whether enough is known of both versions to say that the target is no worse.
+// versionsComparable reports whether enough is known of both versions to say that the target is no worse.
 // After a loss of the nodes that observed it, lack of evidence against it is not enough.
 func (d Decider) versionsComparable() bool {
 	if d.rollout.uncertainty() == 0 {
--- a/fleet/relay/rollout/order.go
+++ b/fleet/relay/rollout/order.go
@@ -86,9 +86,9 @@
 	Order
 	Status         Status
 	Revision       store.Revision // of the object in the store
-	LearnedAt      time.Time      // when this node learned of this status, by its steady clock
+	LearnedAt      time.Time      // when this node learned of this status, by its monotonic clock
 	AgeUnknown     bool           // the status was there when this node first read the order: its age is unknown
-	MissingInStore bool           // the store was restored from a copy without this status
+	MissingInStore bool           // the store was restored from a backup without this status
 }
 
 // CarryOver returns the rollout as a later era of the store holds it, with the status known from an
--- a/fleet/relay/rollout/pace.go
+++ b/fleet/relay/rollout/pace.go
@@ -20,7 +20,7 @@
 // pace tracks how fast evidence comes in. While nodes or the decider stall, answers are missing, and
 // the time that passes proves nothing. It is an immutable value.
 type pace struct {
-	baselineSince   time.Time // start of the baseline, once other nodes were received
+	baselineSince   time.Time // start of the baseline, once other nodes' reports were received
 	baselineAnswers int       // answers before baselineSince
 	evidenceStart   time.Time // when evidence first came in
 	answers         int       // answers in the latest evidence
--- a/fleet/relay/rollout/plan.go
+++ b/fleet/relay/rollout/plan.go
@@ -22,7 +22,7 @@
 	Once        bool          // it may run at most once
 	MaxDuration time.Duration // expected maximum duration
 	Attempt     int           // 0 is the first; later ones never sample the target
-	Now         time.Time     // by the node's steady clock
+	Now         time.Time     // by the node's monotonic clock
 }
 
 // rampTime is how long the share of calls that could still end at old endpoints takes to rise from
--- a/fleet/relay/rollout/recorder.go
+++ b/fleet/relay/rollout/recorder.go
@@ -30,7 +30,7 @@
 	maxPending = 256
 )
 
-// Recorder counts one node's own evidence for an order since it knows of the order. It changes in
+// Recorder counts one node's own evidence for an order since it learned of the order. It changes in
 // place, once per answer, and isn't safe for concurrent use.
 type Recorder struct {
 	evidence       Evidence
@@ -183,12 +183,12 @@
 	if s.Slowness <= 0 || s.Target && !r.hasBaseline {
 		return false // no baseline to compare with
 	}
-	informs := !s.Target && !s.LowerBound
+	updatesBaseline := !s.Target && !s.LowerBound
 	if s.LowerBound && r.routeSlowness[route].answers == 0 {
 		return false
 	}
-	excess := r.routeSlowness[route].excess(math.Log(s.Slowness)-r.commonSlowness, !informs)
-	if informs {
+	excess := r.routeSlowness[route].excess(math.Log(s.Slowness)-r.commonSlowness, !updatesBaseline)
+	if updatesBaseline {
 		r.hasBaseline = true
 		r.commonSlowness += max(min(excess, commonStep), -commonStep)
 		r.evidence.Routes[route].MedianMs = r.routeSlowness[route].nextMedianMs(r.evidence.Routes[route].MedianMs, s.Took)
--- a/fleet/relay/rollout/sampling.go
+++ b/fleet/relay/rollout/sampling.go
@@ -10,18 +10,18 @@
 	// the current one looks bad: its answers have arrived by then.
 	minPulseSkip = 900 * time.Millisecond
 	// minWithoutOld is how long there must be no old endpoint before a service counts as running on
-	// the target already: entries that lapsed while the store was unavailable are back by then.
+	// the target already: entries that lapsed while the store was unavailable are listed again by then.
 	minWithoutOld = 3 * time.Second
 	// minRateWindow is how long calls are counted before routes get shares of their own. The window
 	// is extended until there are minRateCalls, to at most maxRateWindow.
 	minRateWindow = 1500 * time.Millisecond
 	minRateCalls  = 60
 	maxRateWindow = 3 * time.Second
-	// checkpointPart is the part of the duration after which the time used is stored again, which
-	// bounds how much of it a loss of all nodes forgets.
+	// checkpointPart is the part of the duration after which the time used is stored again, so
+	// that no more than that is forgotten when all nodes are lost.
 	checkpointPart = 0.3
-	// maxColdPart is the part of the duration for which sampling waits for cold endpoints: how slow
-	// they are says nothing about the version.
+	// maxColdPart is the part of the duration for which sampling waits for cold endpoints: their
+	// slowness is no evidence against the version.
 	maxColdPart = 0.25
 	// maxOptionalWrites is the number of writes after which only those are made that change what
 	// calls get: each costs one call to the store, and one more for every delegate that watches it.
--- a/fleet/relay/rollout/share.go
+++ b/fleet/relay/rollout/share.go
@@ -15,7 +15,7 @@
 	// as calls: a version that breaks under load in the ramp is dropped within this.
 	moveReserve = 1500 * time.Millisecond
 	moveCalls   = 15
-	// minSampledPart is the least part of the bound to sample, where an order is so short that
+	// minSampledPart is the minimum part of the bound to sample, where an order is so short that
 	// nothing else is left for the move.
 	minSampledPart = 0.5
 	// maxShare bounds the share where the tolerance alone would allow more.
@@ -61,8 +61,8 @@
 }
 
 // sampledShare returns the share of a service's calls to sample: what the bound leaves beside the
-// move, plus what the tolerance allows over the order's duration, which is much where few calls
-// come.
+// move, plus what the tolerance allows over the order's duration, which is a large share where there
+// are few calls.
 func (r Rule) sampledShare(perSecond float64, duration time.Duration) float64 {
 	tolerated := 0.0
 	if calls := perSecond * duration.Seconds(); calls > 0 {
--- a/fleet/relay/rollout/slowness.go
+++ b/fleet/relay/rollout/slowness.go
@@ -29,21 +29,21 @@
 	return medianMs * math.Exp(max(min(math.Log(ms/medianMs), step), -step))
 }
 
-// excess returns how far the logarithm of an answer's slowness lies above the median, and updates
-// the median unless the answer is the target's. A first answer far from the expectation sets the
-// median, and later ones move it by ever smaller steps, as if three had been as expected. With
-// expectations that are far too low, a slower start would count many answers of the old version as
-// slow, which would hide a bad target.
-func (s *routeSlowness) excess(logSlowness float64, target bool) float64 {
+// excess returns how far the logarithm of an answer's slowness lies above the median. It updates the
+// median unless fixed is set, as for answers of the target and for lower bounds. A first answer far
+// from the expectation sets the median, and later ones move it by ever smaller steps, as if three had
+// been as expected. With expectations that are far too low, a slower start would count many answers
+// of the old version as slow, which would hide a bad target.
+func (s *routeSlowness) excess(logSlowness float64, fixed bool) float64 {
 	excess := logSlowness - s.median
 	switch {
-	case s.answers == 0 && !target && math.Abs(excess) > math.Ln2:
+	case s.answers == 0 && !fixed && math.Abs(excess) > math.Ln2:
 		s.median, excess = s.median+excess, 0
-	case !target:
+	case !fixed:
 		step := max(routeStep, 1/float64(s.answers+priorAnswers))
 		s.median += max(min(excess, step), -step)
 	}
-	if !target {
+	if !fixed {
 		s.answers++
 	}
 	return excess
