--- a/fleet/relay/suspicion/fleet.go
+++ b/fleet/relay/suspicion/fleet.go
@@ -45,7 +45,7 @@
 }
 
 // isRelevant reports whether a node's report on an endpoint matters to the nodes of a zone. A
-// failure seen across zones may be one of the link between them, which does not concern the
+// failure observed across zones may be one of the link between them, which does not concern the
 // nodes on the endpoint's side.
 func (f fleet) isRelevant(zone, reporter string, e engine.Engine) bool {
 	from := f.zones[reporter]
--- a/fleet/relay/suspicion/harness_test.go
+++ b/fleet/relay/suspicion/harness_test.go
@@ -39,16 +39,16 @@
 type behavior func(endpoint int, at time.Duration, r *rand.Rand) Outcome
 
 type model struct {
-	method    method
-	rule      Rule
-	nodes     int
-	endpoints int
-	perSecond float64 // calls of one node
-	again     float64 // fraction of them that may run again
-	behave    behavior
-	seed      uint64
-	length    time.Duration
-	liars     func(now time.Time, send func(sender int, w Report)) // called in each interval
+	method     method
+	rule       Rule
+	nodes      int
+	endpoints  int
+	perSecond  float64 // calls of one node
+	idempotent float64 // fraction of them that may run more than once
+	behave     behavior
+	seed       uint64
+	length     time.Duration
+	forge      func(now time.Time, send func(sender int, w Report)) // sends false reports in each interval
 }
 
 type losses struct {
@@ -99,7 +99,7 @@
 	return engine.Incarnation{ID: fmt.Sprint("e", endpoint), Born: 1}
 }
 
-func (n *modelNode) avoids(w method, endpoint int, again bool, key uint64, now time.Time) bool {
+func (n *modelNode) avoids(w method, endpoint int, idempotent bool, key uint64, now time.Time) bool {
 	if now.Before(n.suspected[endpoint]) {
 		return true
 	}
@@ -107,10 +107,10 @@
 	case before:
 		return false
 	case rates:
-		return now.Before(n.avoidedUntil[endpoint]) && (!again || key%4 != 0)
+		return now.Before(n.avoidedUntil[endpoint]) && (!idempotent || key%4 != 0)
 	case delegates, direct:
 	}
-	return n.tracker.Avoids(incarnationOf(endpoint), again, key, now)
+	return n.tracker.Avoids(incarnationOf(endpoint), idempotent, key, now)
 }
 
 func (n *modelNode) observe(endpoint int, o Outcome, now time.Time) {
@@ -161,18 +161,18 @@
 // call simulates one call and returns the number of lost ones: a non-repeatable call that failed
 // at the failing endpoint.
 func (m model) call(n *modelNode, at time.Duration, now time.Time, r *rand.Rand) int {
-	again, key := r.Float64() < m.again, r.Uint64()
+	idempotent, key := r.Float64() < m.idempotent, r.Uint64()
 	first := r.IntN(m.endpoints)
 	pick := first
 	for i := range m.endpoints {
-		if e := (first + i) % m.endpoints; !n.avoids(m.method, e, again, key, now) {
+		if e := (first + i) % m.endpoints; !n.avoids(m.method, e, idempotent, key, now) {
 			pick = e
 			break
 		}
 	}
 	o := m.behave(pick, at, r)
 	n.observe(pick, o, now)
-	if o != Succeeded && !again && pick == 0 {
+	if o != Succeeded && !idempotent && pick == 0 {
 		return 1
 	}
 	return 0
@@ -214,8 +214,8 @@
 // exchange simulates one gossip interval and returns the number of messages.
 func (m model) exchange(all []*modelNode, round int, now time.Time) int {
 	sent := 0
-	if m.liars != nil {
-		m.liars(now, func(sender int, w Report) {
+	if m.forge != nil {
+		m.forge(now, func(sender int, w Report) {
 			for _, n := range all {
 				n.tracker.Receive(nodeName(sender), []Report{w}, now)
 			}
@@ -247,7 +247,7 @@
 	return sent
 }
 
-// sendRates sums the failure rates of each zone at its delegates, which tell the zone which
+// sendRates sums the failure rates of each zone at its delegates, which report to the zone which
 // endpoints failed a quarter of its calls.
 func (m model) sendRates(all []*modelNode, round int, now time.Time) int {
 	const windowIntervals = 7
@@ -312,7 +312,7 @@
 func allHealthy(_ int, _ time.Duration, r *rand.Rand) Outcome { return healthyOutcome(r) }
 
 func newModel(w method, behave behavior, seed uint64) model {
-	return model{method: w, rule: DefaultRule(), nodes: 60, endpoints: 3, perSecond: 4, again: 0.2, behave: behave, seed: seed, length: 14 * time.Second}
+	return model{method: w, rule: DefaultRule(), nodes: 60, endpoints: 3, perSecond: 4, idempotent: 0.2, behave: behave, seed: seed, length: 14 * time.Second}
 }
 
 func total(t *testing.T, m model, seeds int) losses {
--- a/fleet/relay/suspicion/tracker.go
+++ b/fleet/relay/suspicion/tracker.go
@@ -52,12 +52,12 @@
 
 // NewTracker returns the tracker of a node. It calls avoided at the start of each suspicion period.
 func NewTracker(self, zone string, r Rule, avoided func(Avoided)) *Tracker {
-	b := &Tracker{
+	t := &Tracker{
 		rule: r, self: self, zone: zone, avoided: avoided, urgent: make(chan struct{}, 1), fleet: newFleet(),
 		own: map[engine.Incarnation]outcomes{}, received: map[engine.Incarnation]map[string]observation{}, periods: map[engine.Incarnation]period{},
 	}
-	b.avoidedUntil.Store(&time.Time{})
-	return b
+	t.avoidedUntil.Store(&time.Time{})
+	return t
 }
 
 // noneAvoided reports whether no endpoint is avoided.
@@ -116,9 +116,8 @@
 }
 
 // Avoids reports whether a call is to avoid the endpoint if others can take it. The key is a
-// hash of the call. Idempotent calls (again) probe the endpoint before the suspicion period
-// ends.
-func (t *Tracker) Avoids(incarnation engine.Incarnation, again bool, key uint64, now time.Time) bool {
+// hash of the call. Idempotent calls probe the endpoint before the suspicion period ends.
+func (t *Tracker) Avoids(incarnation engine.Incarnation, idempotent bool, key uint64, now time.Time) bool {
 	if t.noneAvoided(now) {
 		return false
 	}
@@ -129,7 +128,7 @@
 		return false
 	}
 	probing := s.until.Sub(now) < time.Duration(t.rule.ProbeShare*float64(s.hold))
-	return !again || !probing || key%t.rule.ProbeOneIn != 0 || now.Sub(s.probe) < t.rule.ProbeInterval
+	return !idempotent || !probing || key%t.rule.ProbeOneIn != 0 || now.Sub(s.probe) < t.rule.ProbeInterval
 }
 
 // slot returns how much later than the first node this one uses the endpoint again.
--- a/fleet/relay/suspicion/tracker_test.go
+++ b/fleet/relay/suspicion/tracker_test.go
@@ -301,10 +301,10 @@
 	b := newTestTracker(3)
 	b.Receive(nodeName(3), []Report{interruptedReport(3, 0)}, testStart)
 	b.Receive(nodeName(6), []Report{interruptedReport(6, 0)}, testStart)
-	probes := func(now time.Time, again bool) int {
+	probes := func(now time.Time, idempotent bool) int {
 		n := 0
 		for key := range uint64(100) {
-			if !b.Avoids(incarnationOf(0), again, key, now) {
+			if !b.Avoids(incarnationOf(0), idempotent, key, now) {
 				n++
 			}
 		}
