--- a/fleet/relay/bound/gate.go
+++ b/fleet/relay/bound/gate.go
@@ -9,7 +9,7 @@
 )
 
 // settleTime is how long the list of nodes must be known before a node takes a share: a node
-// that has just started may see only itself. A longer window is waited for as well, since an
+// that has just started may see only itself. If the window is longer, the node waits for that, since an
 // earlier incarnation of the node may have sent calls in it.
 const settleTime = 2 * time.Second
 
@@ -117,8 +117,8 @@
 	return g.share(e, b, partitioned, now), g.sentWithin(e.ID, b.Window, now)
 }
 
-// share uses the smaller sum until every node that can has received a new list, and has sent
-// nothing by an older one for a window.
+// share returns how many calls in any window this node may send. It uses the smaller sum until
+// every reachable node has received a new list and has sent nothing by an older one for a window.
 func (g *Gate) share(e engine.Engine, b Bound, partitioned bool, now time.Time) int {
 	calls := b.Calls
 	if partitioned || now.Before(g.changed.Add(settleTime+b.Window)) {
--- a/fleet/relay/limit/model_test.go
+++ b/fleet/relay/limit/model_test.go
@@ -115,7 +115,7 @@
 }
 
 // Whichever nodes join, leave, restart or are partitioned, a limited endpoint gets no more calls
-// in any window than promised.
+// in any window than its bound.
 func TestLimitedEndpointStaysWithinThePromise(t *testing.T) {
 	e := engine.NewDirectory(1, []engine.Engine{{ID: "e", Service: "s"}}).Of("s")[0]
 	for seed, nodes := range []int{1, 4, 8, 75} {
--- a/fleet/relay/limit/retry_schedule.go
+++ b/fleet/relay/limit/retry_schedule.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Bounds of the delay after which a caller is told to retry.
+// Bounds of the delay after which a caller is to retry.
 const (
-	minWait = 300 * time.Millisecond
-	maxWait = 10 * time.Second
+	minDelay = 300 * time.Millisecond
+	maxDelay = 10 * time.Second
 )
 
 // RetrySchedule schedules the retries of callers that are refused due to the limits of a service's
@@ -27,7 +27,7 @@
 // them wait than can be served.
 func (r *RetrySchedule) After(service string, perSecond float64, now time.Time) time.Duration {
 	if perSecond <= 0 {
-		return maxWait
+		return maxDelay
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,10 +35,10 @@
 	if at.Before(now) {
 		at = now
 	}
-	wait := at.Sub(now) + time.Duration(float64(time.Second)/perSecond)
-	if wait > maxWait {
-		return maxWait
+	delay := at.Sub(now) + time.Duration(float64(time.Second)/perSecond)
+	if delay > maxDelay {
+		return maxDelay
 	}
-	r.next[service] = now.Add(wait)
-	return max(wait, minWait)
+	r.next[service] = now.Add(delay)
+	return max(delay, minDelay)
 }
--- a/fleet/relay/limit/rule.go
+++ b/fleet/relay/limit/rule.go
@@ -1,5 +1,5 @@
-// Package limit tracks the limits of endpoints in need. Such an endpoint names in its answers
-// how many calls per second it accepts from all nodes together, for as long as that holds.
+// Package limit tracks the limits of endpoints that ask for fewer calls. Such an endpoint names
+// in its answers how many calls per second it accepts from all nodes together, for as long as that holds.
 //
 // A node learns of a limit from an answer of its own or from another node's report. It learns of
 // the end of a limit from the answer to a call that it sent after it knew of the limit: answers
--- a/fleet/relay/limit/tracker.go
+++ b/fleet/relay/limit/tracker.go
@@ -177,9 +177,9 @@
 	probeOneIn     = 2                // one in so many calls that the limit allows is a probe, over all nodes
 )
 
-// MayProbe reports whether a node without a share may send one call to an endpoint whose limit
-// it received nothing about for long. The node may be partitioned from those with a share, and
-// the limit be over. The more nodes there are, the less often each probes.
+// MayProbe reports whether a node without a share may send one call to an endpoint, as no report
+// of its limit arrived for long. The node may be partitioned from those with a share, and the
+// limit may be over. The more nodes there are, the less often each probes.
 func (t *Tracker) MayProbe(incarnation engine.Incarnation, nodes int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -64,8 +64,8 @@
 	return reports[:min(len(reports), maxReports)]
 }
 
-// expire drops a rest that ended long ago, and schedules a leaving notice to be sent again if it
-// was not for long.
+// expire drops a rest that ended long ago, and schedules a leaving notice to be sent again if
+// it was not sent for long.
 func (k *known) expire(now time.Time) {
 	if end := k.rest.end(); !end.IsZero() && now.Sub(end) > restRetention {
 		k.rest = rest{}
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -129,7 +129,7 @@
 }
 
 // Resting reports whether an endpoint wants nothing from this node now, until when, and the
-// length of the whole rest.
+// total length of the rest.
 func (t *Tracker) Resting(incarnation engine.Incarnation, now time.Time) (until time.Time, length time.Duration, resting bool) {
 	if t.count.Load() == 0 {
 		return time.Time{}, 0, false
