--- a/fleet/relay/suspicion/suspicion.go
+++ b/fleet/relay/suspicion/suspicion.go
@@ -1,6 +1,7 @@
-// Package suspicion detects failing endpoints by the failures that nodes report to each other. An endpoint is avoided if two nodes report failures, or if one does and
-// this node observed a failure itself. The report of a single node is never enough. All state
-// belongs to one incarnation of an endpoint.
+// Package suspicion detects failing endpoints by the failures that nodes report to each other. An
+// endpoint is avoided if two nodes report failures, or if one does and this node observed a failure
+// itself. The report of a single node is never enough. All state belongs to one incarnation of an
+// endpoint.
 package suspicion
 
 import (
