--- a/fleet/relay/chain_test.go
+++ b/fleet/relay/chain_test.go
@@ -104,12 +104,12 @@
 	cache   *store.Cache
 	mu      sync.Mutex
 	failure string                       // how its links fail; "" means they work
-	seen    map[store.Revision]time.Time // when each revision came into force
+	inForce map[store.Revision]time.Time // when each revision came into force
 }
 
 // follow starts a node that asks the given sources, or the store if there are none.
 func follow(ctx context.Context, s store.Store, rest time.Duration, firsthand bool, from ...*chainNode) *chainNode {
-	h := &chainNode{cache: store.NewCache(), seen: map[store.Revision]time.Time{}}
+	h := &chainNode{cache: store.NewCache(), inForce: map[store.Revision]time.Time{}}
 	minOrigin := store.FromWatcher
 	if firsthand {
 		minOrigin = store.FromStore
@@ -164,8 +164,8 @@
 	case store.Lost:
 		return
 	}
-	if _, known := h.seen[at]; !known {
-		h.seen[at] = time.Now()
+	if _, known := h.inForce[at]; !known {
+		h.inForce[at] = time.Now()
 	}
 }
 
@@ -220,7 +220,7 @@
 				time.Sleep(3 * long)
 				node.mu.Lock()
 				defer node.mu.Unlock()
-				in, arrived := node.seen[3]
+				in, arrived := node.inForce[3]
 				assert.True(t, arrived)
 				assert.Less(t, in.Sub(changed), c.limit)
 				cancel()
@@ -274,7 +274,7 @@
 		assert.LessOrEqual(t, calls, 2*len(watchers)+nodes/4, "lists and watches of the two, and few of others")
 		for i, h := range append(append(watchers, delegates...), others...) {
 			h.mu.Lock()
-			in, arrived := h.seen[3]
+			in, arrived := h.inForce[3]
 			h.mu.Unlock()
 			assert.True(t, arrived, i)
 			assert.Less(t, in.Sub(back), contact, i)
--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -49,9 +49,9 @@
 	switch c := c.(type) {
 	case store.Snapshot:
 		t.confirmation.enginesReceived()
-		fromCopy := t.revision.IsOfEraBefore(c.Revision)
+		fromBackup := t.revision.IsOfEraBefore(c.Revision)
 		t.revision = c.Revision
-		t.replace(c.Objects, fromCopy)
+		t.replace(c.Objects, fromBackup)
 		t.once.Do(func() { close(t.listed) })
 	case store.Update:
 		t.revision = c.Revision
@@ -80,16 +80,16 @@
 }
 
 // replace applies a whole list; an entry that it does not name is gone.
-func (t *engineTable) replace(objects []store.Object, fromCopy bool) {
+func (t *engineTable) replace(objects []store.Object, fromBackup bool) {
 	listed := map[string]bool{}
 	for _, o := range objects {
 		listed[o.Name] = true
-		t.put(o, fromCopy)
+		t.put(o, fromBackup)
 	}
 	for name := range t.byName {
 		switch {
 		case listed[name]:
-		case fromCopy:
+		case fromBackup:
 			t.keepUnlisted(name)
 		default:
 			t.gone(name)
@@ -108,7 +108,7 @@
 
 // put applies an entry. An unreadable one names no endpoint, whatever it held before, also while
 // the store is suspected.
-func (t *engineTable) put(o store.Object, fromCopy bool) {
+func (t *engineTable) put(o store.Object, fromBackup bool) {
 	before, known := t.byName[o.Name]
 	if known && o.Revision < before.Seen {
 		t.log.WithField("endpoint", o.Name).WithField("revision", o.Revision.Number()).WithField("known", before.Seen.Number()).Info("entry of an endpoint ignored: older than the one known")
@@ -125,7 +125,7 @@
 	t.faults.Resolve(o)
 	delete(t.lapsed, o.Name)
 	delete(t.eras.unlisted, o.Name)
-	e = t.reconciled(t.trackIncarnation(before, known, e), known, fromCopy)
+	e = t.reconciled(t.trackIncarnation(before, known, e), known, fromBackup)
 	if !known || before.State != e.State || turnedCold(before, e) {
 		t.log.WithFields(engineFields(e)).Info("endpoint seen")
 	}
@@ -186,7 +186,7 @@
 		}
 		lapsed[e.Service]++
 	}
-	return lo.PickBy(lo.MapValues(lapsed, func(n int, service string) bool { return listed[service] > n }), func(_ string, apart bool) bool { return apart })
+	return lo.PickBy(lo.MapValues(lapsed, func(n int, service string) bool { return listed[service] > n }), func(_ string, partly bool) bool { return partly })
 }
 
 // refresh publishes the directory again after evacuations, orders, warnings or notices changed.
@@ -206,9 +206,9 @@
 	}
 	zones := t.evacuated()
 	all := make([]engine.Engine, 0, len(t.byName))
-	apart, foreign := t.partlyLapsed(), t.foreign()
+	partly, foreign := t.partlyLapsed(), t.foreign()
 	for _, e := range t.byName {
-		if !t.lapsed[e.ID].IsZero() && apart[e.Service] && !t.eras.unlisted[e.ID] || foreign[e.ID] {
+		if !t.lapsed[e.ID].IsZero() && partly[e.Service] && !t.eras.unlisted[e.ID] || foreign[e.ID] {
 			continue
 		}
 		e = t.withNotice(e)
--- a/fleet/relay/evacuations.go
+++ b/fleet/relay/evacuations.go
@@ -28,7 +28,7 @@
 	switch c := c.(type) {
 	case store.Snapshot:
 		listed := n.listedZones(before, c.Objects)
-		if before.Revision().IsOfEraBefore(c.Revision) { // operators write what the copy lacks again
+		if before.Revision().IsOfEraBefore(c.Revision) { // operators write again what the backup lacks
 			listed = lo.Union(listed, before.Names())
 			time.AfterFunc(rewriteWindow, n.evacuationsRefresh.Request)
 		}
--- a/fleet/relay/follow.go
+++ b/fleet/relay/follow.go
@@ -11,8 +11,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// How long a watch of the store rests after events, as a share of the time within which a change
-// must be in force: a burst of changes then costs few calls. A change that arrives during the rest
+// How long a follower pauses after events of the store, as a share of the time within which a change
+// must be in force: a burst of changes then costs few calls. A change that arrives during the pause
 // waits for its end and for an answer of the store. An entry that goes while the store is
 // suspected is kept for lapseShare of that time from then on.
 const (
@@ -27,8 +27,8 @@
 // list.
 const heartbeatShare = 0.15
 
-// relayedRest is how long a node rests that receives changes from others: the node that watches
-// the store has already batched them in its own rest.
+// relayedRest is how long a node pauses that receives changes from others: the node that watches
+// the store has already batched them during its own pause.
 const relayedRest = 50 * time.Millisecond
 
 // follow starts to follow the store and the other nodes.
@@ -64,16 +64,16 @@
 	go n.watchLink(ctx)
 }
 
-// storeRestored handles a restore of the store from a copy.
+// storeRestored handles a restore of the store from a backup.
 func (n *Node) storeRestored(before, now int64) {
-	n.log.WithField("dependency", "store").WithField("eraBefore", before).WithField("era", now).Warn("store restored from a copy: writes acknowledged since the copy was made are lost")
+	n.log.WithField("dependency", "store").WithField("eraBefore", before).WithField("era", now).Warn("store restored from a backup: writes acknowledged since the backup was made are lost")
 	n.health.Restored()
 	if n.quarantine != nil {
 		n.quarantine.writeBack()
 	}
 }
 
-// rest returns how long the follower of a kind rests after events.
+// rest returns how long the follower of a kind pauses after events.
 func (n *Node) rest(kind string, atStore time.Duration) func() time.Duration {
 	return func() time.Duration { return restAfter(n.store.Origin(kind), atStore) }
 }
@@ -86,17 +86,17 @@
 }
 
 // followEvacuations follows the zones that operators want evacuated, if the deployment supports
-// that. Changes are applied at once, without a rest between them.
+// that. Changes are applied at once, without a pause between them.
 func (n *Node) followEvacuations(ctx context.Context) {
 	if !n.settings.EvacuationsEnabled() {
 		n.evacuations.Store(&evacuation.Zones{})
 		return
 	}
 	kind := n.adapter.EvacuationKind()
-	w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, Relist: &n.evacuationsRefresh}
+	options := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, Relist: &n.evacuationsRefresh}
 	go func() {
 		n.awaitPeers(ctx)
-		store.Follow(ctx, n.store, w, n.cached(kind, n.applyEvacuations))
+		store.Follow(ctx, n.store, options, n.cached(kind, n.applyEvacuations))
 	}()
 }
 
@@ -136,8 +136,8 @@
 // that lists them earlier knows too few to determine who watches the store.
 const bootstrapTime = 1500 * time.Millisecond
 
-// awaitPeers waits until the node knows the others, so that it asks them for the rest in place of
-// the store.
+// awaitPeers waits until the node knows the others, so that it asks them for everything else in place
+// of the store.
 func (n *Node) awaitPeers(ctx context.Context) {
 	if !n.settings.Enabled(delegatesMechanism) {
 		return
--- a/fleet/relay/incarnations_test.go
+++ b/fleet/relay/incarnations_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Guards against state of an ended incarnation that is held against the next one, also if it
-// arrives late: the new one is neither avoided nor believed to cache anything.
+// Guards against state of an ended incarnation that is applied to the next one, also if it
+// arrives late: the new one is neither avoided nor assumed to cache anything.
 func TestANewIncarnationInheritsNothing(t *testing.T) {
 	inZone := func(e *engine.Engine) { e.Zone = "z2" }
 	was := func(born int64) map[string]choice.Digest {
@@ -319,8 +319,8 @@
 	}
 }
 
-// Guards against dropping a restarted endpoint when the time of its lapsed entry is over, after an
-// outage of the store.
+// Guards against dropping a restarted endpoint when its lapsed entry is due to be dropped, after
+// an outage of the store.
 func TestANewIncarnationOfALapsedEntryStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := incarnationNode(entry("a", firstBorn, 1))
--- a/fleet/relay/peer/delegates.go
+++ b/fleet/relay/peer/delegates.go
@@ -11,7 +11,7 @@
 	silenceTimeout = 4 * time.Second  // after which a silent delegate of the region is replaced
 	replacedFor    = 15 * time.Second // after which it may be chosen again, in case it is available again
 	maxZoneWriters = 4                // delegates of a zone, including spares for ones that do not reach the store
-	maxZoneTried   = 16               // delegates of a zone of which many became silent, until two of them are received from
+	maxZoneSearch  = 16               // delegates of a zone of which many became silent, until two of them send
 )
 
 // delegates chooses the nodes that write the ledger, and tracks since when each is expected
@@ -31,7 +31,7 @@
 	return &delegates{self: self, near: func(string) bool { return true }, since: map[string]time.Time{}, suspected: map[string]bool{}}
 }
 
-// peerState is when a node was last received from, and what it reported about itself.
+// peerState holds when a node last sent a message, and what it reported about itself.
 type peerState struct {
 	at          time.Time
 	storeLost   bool // it does not reach the store
@@ -65,7 +65,7 @@
 
 // pick picks the first two of each zone in order. If replacements of silent delegates become
 // silent too, many nodes were lost: then as many more are picked as are silent, until two
-// of them are received from. So a zone with one node left finds it in about three rounds instead of
+// of them send. So a zone with one node left finds it in about three rounds instead of
 // one round for each pair of nodes it had.
 func (d *delegates) pick(healthy, silent []Member, state func(name string) peerState, now time.Time) map[string]bool {
 	silentIn := lo.CountValuesBy(silent, func(m Member) string { return m.Zone })
@@ -76,7 +76,7 @@
 		many := silentIn[m.Zone]+suspectedIn[m.Zone] > zoneWriters
 		limit := maxZoneWriters
 		if many {
-			limit = min(max(maxZoneWriters, silentIn[m.Zone]+suspectedIn[m.Zone]), maxZoneTried)
+			limit = min(max(maxZoneWriters, silentIn[m.Zone]+suspectedIn[m.Zone]), maxZoneSearch)
 		}
 		if certain[m.Zone] >= zoneWriters || count[m.Zone] >= limit {
 			continue
--- a/fleet/relay/peer/delegates_test.go
+++ b/fleet/relay/peer/delegates_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// view is a node's view of a fleet of several zones with three wide links each.
+// view is a node's view of a fleet of several zones with three fast links each.
 type view struct {
 	members []Member
 	now     time.Time
@@ -90,7 +90,7 @@
 	assert.Equal(t, 200.0, one.LinkMbps, "the next in order, though it sent nothing for a minute")
 }
 
-// A replaced delegate is chosen again once it is received from.
+// A replaced delegate is chosen again once it sends.
 func TestASilentWriterIsChosenAgain(t *testing.T) {
 	v := newView(295)
 	d := newDelegates(v.members[100])
--- a/fleet/relay/peer/gossip.go
+++ b/fleet/relay/peer/gossip.go
@@ -102,7 +102,7 @@
 }
 
 // WithEras exchanges the store's era with peers, so that all learn that it was restored from
-// a copy. It must be called before Run.
+// a backup. It must be called before Run.
 func (g *Gossip) WithEras(e *store.Eras) *Gossip {
 	g.eras = e
 	return g
--- a/fleet/relay/peer/quarantine.go
+++ b/fleet/relay/peer/quarantine.go
@@ -22,7 +22,7 @@
 	Urgent() <-chan struct{}
 	Updates(now time.Time) (judges, all quarantine.Report)
 	Digest(now time.Time) quarantine.Report
-	Receive(from string, w quarantine.Report, now time.Time)
+	Receive(from string, r quarantine.Report, now time.Time)
 }
 
 // WithQuarantine exchanges reports on quarantined requests. It must be called before Run.
@@ -59,13 +59,13 @@
 	}
 }
 
-// quarantineDigest returns what the digest says about quarantined requests; nil if nothing.
+// quarantineDigest returns the report on quarantined requests for the digest; nil if it is empty.
 func (g *Gossip) quarantineDigest(now time.Time) *quarantine.Report {
 	if g.quarantine == nil {
 		return nil
 	}
-	if w := g.quarantine.Digest(now); !w.None() {
-		return &w
+	if r := g.quarantine.Digest(now); !r.None() {
+		return &r
 	}
 	return nil
 }
--- a/fleet/relay/peer/regions_test.go
+++ b/fleet/relay/peer/regions_test.go
@@ -151,7 +151,7 @@
 	return len(data), nil
 }
 
-// A node sends what calls with homes read only to peers in those home regions.
+// A node sends what calls with allowed regions read only to peers in these regions.
 func TestReadsStayInAllowedRegions(t *testing.T) {
 	all, regions := regional(12, 3) // all nodes send to all
 	self := all[0]
--- a/fleet/relay/peer/registry.go
+++ b/fleet/relay/peer/registry.go
@@ -114,7 +114,7 @@
 }
 
 // Maximum lag of the list of nodes. In a small fleet each node's share of the budgets depends
-// on the list; in a large one the few nodes that write the ledger receive from each other.
+// on the list; in a large one the few nodes that write the ledger receive updates from each other.
 const (
 	smallFleetRest = 300 * time.Millisecond
 	largeFleetRest = time.Second
@@ -199,13 +199,13 @@
 func (r *Registry) apply(c store.Change) {
 	switch c := c.(type) {
 	case store.Snapshot:
-		fromCopy := r.at.IsOfEraBefore(c.Revision)
+		fromBackup := r.at.IsOfEraBefore(c.Revision)
 		r.at = c.Revision
 		r.byName = map[string]Member{}
 		for _, o := range c.Objects {
 			r.put(o)
 		}
-		if fromCopy {
+		if fromBackup {
 			r.restoreOwn()
 		}
 	case store.Update:
@@ -226,7 +226,7 @@
 // maxEnded limits the number of incarnations that are remembered after they left.
 const maxEnded = 512
 
-// restoreOwn requests a rewrite of this node's own entry if a copy of the store lacks it or
+// restoreOwn requests a rewrite of this node's own entry if a restored store lacks it or
 // holds that of an earlier incarnation.
 func (r *Registry) restoreOwn() {
 	own, listed := r.byName[r.self.Name]
--- a/fleet/relay/peer/restored_test.go
+++ b/fleet/relay/peer/restored_test.go
@@ -20,7 +20,7 @@
 	return store.Object{Kind: Kind, Name: name, Revision: at, Data: data}
 }
 
-// After the store was restored from a copy, no running node may stay unknown to the others,
+// After the store was restored from a backup, no running node may stay unknown to the others,
 // and no node that left may count again.
 func TestNodesAfterARestoredStore(t *testing.T) {
 	old, again := store.At(1, 9), store.At(2, 5)
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -45,7 +45,7 @@
 	Bad() []rollout.AnnounceBad           // targets found bad
 	Out(now time.Time) bool               // reports whether the node recently failed to write a status
 	AgeUnknown() bool                     // reports whether the age of the status of an open order is unknown
-	Receive(from Sender, w RolloutReport, now time.Time)
+	Receive(from Sender, r RolloutReport, now time.Time)
 }
 
 // Sender is one incarnation of a node that sends a report.
@@ -68,11 +68,11 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	w := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), AgeUnknown: g.rollouts.AgeUnknown()}
-	g.send(g.withSender(message{Rollouts: &w}), near...)
+	report := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), AgeUnknown: g.rollouts.AgeUnknown()}
+	g.send(g.withSender(message{Rollouts: &report}), near...)
 	if delegates[self.Name] && len(far) > 0 {
-		w.Evidence = g.rollouts.Zone(now)
-		g.send(g.withSender(message{Rollouts: &w}), far...)
+		report.Evidence = g.rollouts.Zone(now)
+		g.send(g.withSender(message{Rollouts: &report}), far...)
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 // FirstDelegate reports whether this node comes first, in the order that all nodes share,
-// among the delegates that are received from and reach the store. A delegate that does not know the
+// among the delegates that still send to this node and reach the store. A delegate that does not know the
 // age of a status comes after those that observed it being written, and so know its age.
 func (g *Gossip) FirstDelegate() bool {
 	g.chooseMu.Lock()
@@ -153,7 +153,7 @@
 	return ok && first.Name == g.registry.self.Name
 }
 
-// mayWrite reports whether a delegate is received from and, by its own report, reaches the store.
+// mayWrite reports whether a delegate still sends to this node and, by its own report, reaches the store.
 func (g *Gossip) mayWrite(m Member) bool {
 	if m.Name == g.registry.self.Name {
 		return !g.storeLost() && !g.rollouts.Out(clock.Now())
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -17,19 +17,19 @@
 
 // fakeExchange is a RolloutExchange that provides fixed reports and records received ones.
 type fakeExchange struct {
-	seen []RolloutEvidence
-	bad  []rollout.AnnounceBad
-	out  bool
-	late bool
+	evidence []RolloutEvidence
+	bad      []rollout.AnnounceBad
+	out      bool
+	late     bool
 
 	mu       sync.Mutex
 	received []RolloutReport
 }
 
-func (k *fakeExchange) Own(time.Time) []RolloutEvidence { return k.seen }
+func (k *fakeExchange) Own(time.Time) []RolloutEvidence { return k.evidence }
 
 func (k *fakeExchange) Zone(time.Time) []RolloutEvidence {
-	return lo.Map(k.seen, func(s RolloutEvidence, _ int) RolloutEvidence { s.Zone = "z"; return s })
+	return lo.Map(k.evidence, func(s RolloutEvidence, _ int) RolloutEvidence { s.Zone = "z"; return s })
 }
 
 func (k *fakeExchange) Bad() []rollout.AnnounceBad { return k.bad }
@@ -72,7 +72,7 @@
 	}
 }
 
-// The first delegate in the common order that is received from and reaches the store writes.
+// The first delegate in the common order that still sends and reaches the store writes.
 func TestTheFirstDelegateIsOneThatReachesTheStore(t *testing.T) {
 	order := []Member{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 	now := time.Now()
@@ -90,7 +90,7 @@
 		{"the previous one does not reach the store", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, storeLost: true}}, false, false, false, true},
 		{"the previous one failed to write", []string{"a", "c"}, map[string]peerRecord{"a": {at: now, writeFailed: true}}, false, false, false, true},
 		{"the previous one is silent", []string{"a", "c"}, map[string]peerRecord{"a": {at: now.Add(-2 * firstSilenceTimeout)}}, false, false, false, true},
-		{"the previous one was never heard from", []string{"a", "c"}, nil, false, false, false, true},
+		{"nothing was ever received from the previous one", []string{"a", "c"}, nil, false, false, false, true},
 		{"one of the previous ones may write", []string{"a", "b", "c"}, map[string]peerRecord{"a": {at: now, storeLost: true}, "b": {at: now}}, false, false, false, false},
 		{"not a delegate", []string{"a"}, nil, false, false, false, false},
 		{"this node does not reach the store", []string{"c"}, nil, true, false, false, false},
@@ -153,22 +153,22 @@
 // The evidence on an order with five routes and over a thousand answers each fits into less
 // than two kilobytes.
 func TestEvidenceIsSent(t *testing.T) {
-	seen := RolloutEvidence{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
+	evidence := RolloutEvidence{Target: "v2", Old: 7, LastsMs: 900, Evidence: rollout.Evidence{Service: "s", Made: 5}}
 	for i := range 5 {
 		r := rollout.RouteEvidence{Route: fmt.Sprint("a-long-name-of-a-route-", i)}
 		for c := range rollout.Cohorts {
 			r.Old[c], r.Target[c] = rollout.Count{Answers: 1000 + c, Bad: c}, rollout.Count{Answers: 100 + c, Bad: 2}
 		}
-		seen.Evidence.Routes = append(seen.Evidence.Routes, r)
+		evidence.Evidence.Routes = append(evidence.Evidence.Routes, r)
 	}
-	k := &fakeExchange{seen: []RolloutEvidence{seen}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeExchange{evidence: []RolloutEvidence{evidence}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
 	require.True(t, ok)
 	assert.Less(t, size, 2<<10)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutReport{{Evidence: k.seen, Bad: k.bad, Out: true}}, k.received)
+	assert.Equal(t, []RolloutReport{{Evidence: k.evidence, Bad: k.bad, Out: true}}, k.received)
 	g.sendRollouts(map[string]bool{"a": true})
 	_, _, ok = nextMessage(t, other)
 	assert.False(t, ok, "no other delegate")
--- a/fleet/relay/peer/source.go
+++ b/fleet/relay/peer/source.go
@@ -204,7 +204,7 @@
 const (
 	dialTimeout = 300 * time.Millisecond
 	// busySlack is the timeout for connecting, and until an answer begins, while this node's
-	// link is busy: a delay of 0.4 s there says nothing about the source, and otherwise all
+	// link is busy: a delay of 0.4 s there is no evidence against the source, and otherwise all
 	// sources would count as silent at once.
 	busySlack = 900 * time.Millisecond
 	maxAnswer = 8 << 20 // bytes of a peer's answer
@@ -272,7 +272,7 @@
 }
 
 // inEra checks an answer's era and fills it in. A peer of an earlier build sends none: its
-// answer counts as of the known era, unless the store was restored from a copy since this
+// answer counts as of the known era, unless the store was restored from a backup since this
 // node started, which the peer may not know.
 func (r Remote) inEra(answer objectsAnswer) (objectsAnswer, error) {
 	switch newest := r.eras.Newest(); {
--- a/fleet/relay/peer/source_test.go
+++ b/fleet/relay/peer/source_test.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// The nodes with the widest links watch for others.
-func TestWideLinksWatchForOthers(t *testing.T) {
+// The nodes with the fastest links watch for others.
+func TestFastestLinksWatchForOthers(t *testing.T) {
 	all := members(73)
 	for i := range all {
 		all[i].LinkMbps = 10
--- a/fleet/relay/peer/transfer.go
+++ b/fleet/relay/peer/transfer.go
@@ -48,10 +48,10 @@
 
 // How transfers are requested.
 const (
-	grantTimeout  = 30 * time.Millisecond  // for one try at a peer, beyond the round trip
-	grantTries    = 2                      // tries at a peer with the same id while a call waits
-	maxRepeats    = 6                      // further tries, so that tokens already deducted are not lost with a datagram
-	retryInterval = 150 * time.Millisecond // between these further tries
+	grantTimeout  = 30 * time.Millisecond  // for one attempt at a peer, beyond the round trip
+	grantAttempts = 2                      // attempts at a peer with the same id while a call waits
+	maxRepeats    = 6                      // further attempts, so that tokens already deducted are not lost with a datagram
+	retryInterval = 150 * time.Millisecond // between these further attempts
 	maxGrantPeers = 6                      // peers asked one after another
 	rankingAge    = 100 * time.Millisecond // how long a ranking of peers is used
 	unmetAge      = 40 * time.Millisecond  // how long an amount that was not found is not requested again
@@ -370,7 +370,7 @@
 // requestFrom asks one peer, and returns the peers with more tokens that it names.
 func (g *Gossip) requestFrom(ctx context.Context, peer string, req transferRequest) []string {
 	done := g.transfers.open(req, peer, clock.Now())
-	for range grantTries {
+	for range grantAttempts {
 		g.send(g.withSender(message{Requests: []transferRequest{req}}), peer)
 		timer := time.NewTimer(grantTimeout + g.places.OfClass(g.transfers.classOf(peer), clock.Now()).RoundTrip)
 		select {
--- a/fleet/relay/peer/writers.go
+++ b/fleet/relay/peer/writers.go
@@ -22,7 +22,7 @@
 )
 
 // Writers returns the members that write the ledger and watch the store for others: those
-// with the widest links, since many nodes ask them. In a large fleet, fit lists the eligible
+// with the fastest links, since many nodes ask them. In a large fleet, fit lists the eligible
 // members in the order in which they are chosen.
 func Writers(members []Member, fit func() []Member) map[string]bool {
 	writers := make(map[string]bool, len(members))
@@ -42,7 +42,7 @@
 	return writers
 }
 
-// ranked sorts members into the order in which they are chosen: by link speed, widest first,
+// ranked sorts members into the order in which they are chosen: by link speed, fastest first,
 // and then by a hash of the name.
 func ranked(members []Member) []Member {
 	sorted := slices.Clone(members)
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -112,8 +112,8 @@
 }
 
 // Receive implements peer.Quarantine.
-func (q *quarantineManager) Receive(from string, w quarantine.Report, now time.Time) {
-	for _, h := range q.Tracker.Receive(w, now) {
+func (q *quarantineManager) Receive(from string, r quarantine.Report, now time.Time) {
+	for _, h := range q.Tracker.Receive(r, now) {
 		q.onChange(h, from)
 	}
 }
@@ -157,12 +157,12 @@
 	q.persistInSlot(h, q.slot(h.Fingerprint.String()), func(now quarantine.Held) bool { return now.Stored })
 }
 
-// restorers is how many nodes write back what a copy of the store lacks of one request, one after
+// restorers is how many nodes write one request back to a restored store that lacks it, one after
 // the other: the second covers for a first that is partitioned.
 const restorers = 2
 
 // writeBack writes the quarantined and released requests again that the store lost when it was
-// restored from a copy.
+// restored from a backup.
 func (q *quarantineManager) writeBack() {
 	for _, h := range q.All() {
 		slot := q.slot(h.Fingerprint.String())
@@ -219,7 +219,7 @@
 	if !errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	if w, err := decodeHeld(there); err == nil && (w.Round > h.Round || w.Round == h.Round && w.Probes >= h.Probes) {
+	if stored, err := decodeHeld(there); err == nil && (stored.Round > h.Round || stored.Round == h.Round && stored.Probes >= h.Probes) {
 		return nil // already written by another node
 	}
 	o.Revision = there.Revision
@@ -279,7 +279,7 @@
 			continue
 		}
 		k.AgeMs, k.Stored = 0, true
-		if h, news := q.Learn(k, clock.Now()); news {
+		if h, changed := q.Learn(k, clock.Now()); changed {
 			q.onChange(h, "store")
 		}
 	}
--- a/fleet/relay/quarantine_probe.go
+++ b/fleet/relay/quarantine_probe.go
@@ -66,7 +66,7 @@
 		return h, false, err
 	}
 	if now, known := q.Lookup(h.Fingerprint); known && now.Round == h.Round {
-		h.Probes = max(h.Probes, now.Probes) // the store may have been restored from an earlier copy
+		h.Probes = max(h.Probes, now.Probes) // the store may have been restored from an earlier backup
 	}
 	if there.Round == h.Round {
 		h.Probes = max(h.Probes, there.Probes)
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -75,18 +75,18 @@
 func TestNodesProbeInTheirSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
-			turn  int
+			slot  int
 			after time.Duration
 			want  bool
 		}{{1, probeSlot - time.Second, false}, {1, probeSlot, true}, {2, time.Minute / 2, false}} {
 			q := quarantineNode(&quarantineStore{objects: map[string]store.Object{}}) // none was claimed by others
-			q.slot = func(string) int { return c.turn }
+			q.slot = func(string) int { return c.slot }
 			h := q.learnHeld(t, 1)
 			require.NoError(t, q.write(h))
 			q.scheduleProbe(h)
 			time.Sleep(quarantine.DefaultRule().Probe + c.after)
 			synctest.Wait()
-			assert.Equal(t, c.want, q.probes(), "turn %d after %s", c.turn, c.after)
+			assert.Equal(t, c.want, q.probes(), "slot %d after %s", c.slot, c.after)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 }
 
 // Guards against probes that are sent once more because a restored store lost their claims.
-func TestProbesStayCountedWhereTheStoreIsAnOlderCopy(t *testing.T) {
+func TestProbesStayCountedAfterARestore(t *testing.T) {
 	cases := []struct {
 		name string
 		then func(t *testing.T, s *quarantineStore, q *quarantineManager) *quarantineManager // the node that probes next
--- a/fleet/relay/quarantine_test.go
+++ b/fleet/relay/quarantine_test.go
@@ -180,9 +180,9 @@
 	return l.Addr().String()
 }
 
-// Guards against deadly requests that run again after the loss of all nodes, if a copy of the
-// store lacks them.
-func TestQuarantinedRequestsAreWrittenBackToACopyOfTheStore(t *testing.T) {
+// Guards against deadly requests that run again after the loss of all nodes, if a backup of
+// the store lacks them.
+func TestQuarantinedRequestsAreWrittenBackAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
 		q := quarantineNode(s)
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -47,7 +47,7 @@
 // Adapter connects a node to a platform.
 type Adapter interface {
 	Store() store.Store
-	// Eras reports when the store was restored from a copy.
+	// Eras reports when the store was restored from a backup.
 	Eras() *store.Eras
 	Wire() call.Wire
 	// PolicyAt names the object that holds the policy.
--- a/fleet/relay/relay_test.go
+++ b/fleet/relay/relay_test.go
@@ -32,7 +32,7 @@
 	"github.com/lynxshed/lynxshed/fleet/telemetry"
 )
 
-// revisionAdapter tells objects apart by their revision alone.
+// revisionAdapter distinguishes objects by their revision alone.
 type revisionAdapter struct{ draining map[string]bool }
 
 func (revisionAdapter) Store() store.Store            { return nil }
--- a/fleet/relay/restored_engines.go
+++ b/fleet/relay/restored_engines.go
@@ -8,14 +8,14 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/engine"
 )
 
-// A store that was restored from a copy holds entries of endpoints that are older than what nodes
+// A store that was restored from a backup holds entries of endpoints that are older than what nodes
 // know. An endpoint that announced that it leaves goes on leaving. One whose entry was gone is not
-// used before the entry had time to lapse again. One that came since the copy is used until it had
-// time to write its entry again.
+// used before the entry had time to lapse again. One that registered since the backup was made stays
+// in use until it had time to write its entry again.
 const (
 	relapseWindow    = 4 * time.Second         // three heartbeats and a round trip
 	rewriteWindow    = 2500 * time.Millisecond // entries return some two seconds after the store does
-	endedRetention   = time.Minute             // a copy is some seconds old
+	endedRetention   = time.Minute             // a backup is some seconds old
 	leavingRetention = 10 * time.Minute        // an endpoint that leaves may serve on for minutes
 )
 
@@ -24,8 +24,8 @@
 type eraRecords struct {
 	leaving  map[string]incarnationInEra // that announced that they leave
 	gone     map[string]incarnationInEra // whose entries are gone
-	unused   map[string]bool             // kept out of use, since their entries returned with a copy
-	unlisted map[string]bool             // that a copy does not name, and that are in use
+	unused   map[string]bool             // kept out of use, since their entries returned with a backup
+	unlisted map[string]bool             // that a backup does not name, and that are in use
 }
 
 type incarnationInEra struct {
@@ -38,7 +38,7 @@
 	return eraRecords{leaving: map[string]incarnationInEra{}, gone: map[string]incarnationInEra{}, unused: map[string]bool{}, unlisted: map[string]bool{}}
 }
 
-// ended records that an entry went, and drops the records that no copy can name any more.
+// ended records that an entry went, and drops the records that no backup can name any more.
 func (l eraRecords) ended(e engine.Engine, now time.Time) {
 	delete(l.unused, e.ID)
 	delete(l.unlisted, e.ID)
@@ -58,7 +58,7 @@
 }
 
 // reconciled returns an entry corrected by what is known of its incarnation from an earlier era.
-func (t *engineTable) reconciled(e engine.Engine, known, fromCopy bool) engine.Engine {
+func (t *engineTable) reconciled(e engine.Engine, known, fromBackup bool) engine.Engine {
 	delete(t.eras.unused, e.ID)
 	if e.State == engine.Draining {
 		if t.eras.leaving[e.ID].Incarnation != e.Incarnation() {
@@ -70,7 +70,7 @@
 	case t.eras.leaving[e.ID].predates(e):
 		t.logUnused(e, "it announced that it leaves")
 		e.State = engine.Draining
-	case !known && fromCopy && t.eras.gone[e.ID].predates(e):
+	case !known && fromBackup && t.eras.gone[e.ID].predates(e):
 		t.logUnused(e, "its entry was gone")
 		e.State = engine.Draining
 		t.eras.unused[e.ID] = true
@@ -80,10 +80,10 @@
 }
 
 func (t *engineTable) logUnused(e engine.Engine, why string) {
-	t.log.WithFields(engineFields(e)).WithField("revision", e.Seen.Number()).WithField("era", e.Seen.Era()).WithField("why", why).Info("endpoint not used, though a copy of the store lists it as ready")
+	t.log.WithFields(engineFields(e)).WithField("revision", e.Seen.Number()).WithField("era", e.Seen.Era()).WithField("why", why).Info("endpoint not used, though the restored store lists it as ready")
 }
 
-// useAgain uses an endpoint whose entry returned with a copy and did not lapse.
+// useAgain uses an endpoint whose entry returned with a backup and did not lapse.
 func (t *engineTable) useAgain(incarnation engine.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,11 +94,11 @@
 	delete(t.eras.unused, incarnation.ID)
 	e.State = engine.Ready
 	t.byName[incarnation.ID] = e
-	t.log.WithFields(engineFields(e)).Info("endpoint whose entry returned with a copy of the store is alive: used again")
+	t.log.WithFields(engineFields(e)).Info("endpoint whose entry returned with a backup of the store is alive: used again")
 	t.publish()
 }
 
-// keepUnlisted keeps an endpoint in use that a copy does not name, until it had time to write its
+// keepUnlisted keeps an endpoint in use that a backup does not name, until it had time to write its
 // entry again.
 func (t *engineTable) keepUnlisted(name string) {
 	if t.withNotice(t.byName[name]).State != engine.Ready {
@@ -108,5 +108,5 @@
 	t.eras.unlisted[name] = true
 	t.lapsed[name] = clock.Now().Add(rewriteWindow)
 	time.AfterFunc(rewriteWindow, t.expire)
-	t.log.WithField("endpoint", name).WithField("revision", t.revision.Number()).WithField("era", t.revision.Era()).WithField("keptMs", rewriteWindow.Milliseconds()).Info("endpoint kept, though a copy of the store does not name it")
+	t.log.WithField("endpoint", name).WithField("revision", t.revision.Number()).WithField("era", t.revision.Era()).WithField("keptMs", rewriteWindow.Milliseconds()).Info("endpoint kept, though the restored store does not name it")
 }
--- a/fleet/relay/restored_engines_test.go
+++ b/fleet/relay/restored_engines_test.go
@@ -18,9 +18,9 @@
 	return lo.Map(ready, func(e engine.Engine, _ int) string { return e.ID })
 }
 
-// Guards against calls to endpoints that left, and against none to those that stay, after a copy
-// of the store lists them as they were.
-func TestEndpointsListedByACopyOfTheStore(t *testing.T) {
+// Guards against calls to endpoints that left, and against none to those that stay, after a
+// restored store lists them as they were.
+func TestEndpointsListedByARestoredStore(t *testing.T) {
 	drains := func(e *engine.Engine) { e.State = engine.Draining }
 	at := func(number int64) store.Revision { return store.At(1, number) }
 	again := func(number int64) store.Revision { return store.At(2, number) }
--- a/fleet/relay/restored_orders_test.go
+++ b/fleet/relay/restored_orders_test.go
@@ -14,8 +14,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// Guards against calls to an evacuated zone if a copy of the store lacks the evacuation.
-func TestAnEvacuationOutlastsACopyOfTheStore(t *testing.T) {
+// Guards against calls to an evacuated zone if a backup of the store lacks the evacuation.
+func TestAnEvacuationOutlastsARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := zonedNode("a", "b")
 		n.engineTable.apply(store.Snapshot{Revision: store.At(1, 5), Objects: named("a1", "b1")})
@@ -24,7 +24,7 @@
 		require.Equal(t, []string{"b1"}, n.ready())
 		asked := n.evacuationsRefresh.Requested()
 		n.applyEvacuations(store.Snapshot{Revision: store.At(2, 10)})
-		assert.Equal(t, []string{"b1"}, n.ready(), "the copy lacks it")
+		assert.Equal(t, []string{"b1"}, n.ready(), "the backup lacks it")
 		select {
 		case <-asked:
 		case <-time.After(5 * time.Second):
@@ -40,8 +40,8 @@
 }
 
 // Guards against orders that fall back behind the status the fleet had agreed on, after the store
-// was restored from a copy.
-func TestAnOrderOutlastsACopyOfTheStore(t *testing.T) {
+// was restored from a backup.
+func TestAnOrderOutlastsARestore(t *testing.T) {
 	at := func(number int64) store.Revision { return store.At(1, number) }
 	again := func(number int64) store.Revision { return store.At(2, number) }
 	known := order("s", "v2", 8, at(20), orderStatus(rollout.InProgress, 8, 3))
@@ -62,7 +62,7 @@
 		{"and is written again", known, []store.Change{listed(again(7)), changed(again(11), order("s", "v2", 11, again(11), rollout.Status{}))}, orderStatus(rollout.InProgress, 11, 3), true, true},
 		{"and is not written again", known, []store.Change{listed(again(7)), listed(again(30))}, rollout.Status{}, false, false},
 		{"another order is written", known, []store.Change{listed(again(7)), changed(again(11), order("s", "v3", 11, again(11), rollout.Status{}))}, rollout.Status{}, true, false},
-		{"the copy holds more than the node knew", known, []store.Change{listed(again(22), order("s", "v2", 8, again(22), orderStatus(rollout.Reverted, 8, 4)))}, orderStatus(rollout.Reverted, 8, 4), true, false},
+		{"the backup holds more than the node knew", known, []store.Change{listed(again(22), order("s", "v2", 8, again(22), orderStatus(rollout.Reverted, 8, 4)))}, orderStatus(rollout.Reverted, 8, 4), true, false},
 		{"another node wrote it back", known, []store.Change{listed(again(12), order("s", "v2", 8, again(9), orderStatus(rollout.InProgress, 8, 1))), changed(again(13), order("s", "v2", 8, again(13), orderStatus(rollout.InProgress, 8, 3)))}, orderStatus(rollout.InProgress, 8, 3), true, false},
 		{"the operator orders it once more in the same era", reverted, []store.Change{changed(at(30), order("s", "v2", 30, at(30), rollout.Status{}))}, rollout.Status{}, true, false},
 	}
@@ -82,7 +82,7 @@
 }
 
 // Guards against a status that stays lost: nodes that start would begin the order again.
-func TestAStatusThatACopyLacksIsWrittenBack(t *testing.T) {
+func TestAStatusThatABackupLacksIsWrittenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copied := order("s", "v2", 8, store.At(2, 9), orderStatus(rollout.InProgress, 8, 1))
 		s := &statusStore{object: copied}
--- a/fleet/relay/rollouts.go
+++ b/fleet/relay/rollouts.go
@@ -22,12 +22,12 @@
 		return
 	}
 	kind := n.adapter.RolloutKind()
-	w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, SmallChanges: true, Relist: &n.ordersRefresh}
+	options := store.FollowOptions{Kind: kind, Rest: store.FixedRest(0), History: n.settings.History(), Health: n.health, Log: n.log, SmallChanges: true, Relist: &n.ordersRefresh}
 	n.store.DelayStore(kind, n.ordersDelay)
 	go func() {
 		n.awaitPeers(ctx)
 		n.engineTable.awaitListed(ctx)
-		store.Follow(ctx, n.store, w, n.cached(kind, n.applyRollouts))
+		store.Follow(ctx, n.store, options, n.cached(kind, n.applyRollouts))
 	}()
 	go n.trials.run(ctx)
 	go n.writeOrdersBack(ctx, n.gossip.SlotFor)
@@ -61,13 +61,13 @@
 			listed[o.Name] = true
 			next = n.withOrder(next, before, o, now, true)
 		}
-		fromCopy := before.Revision().IsOfEraBefore(c.Revision)
+		fromBackup := before.Revision().IsOfEraBefore(c.Revision)
 		for _, name := range before.Names() {
-			if !listed[name] && !listed[""] && !fromCopy { // an entry without a readable name may be any of them
+			if !listed[name] && !listed[""] && !fromBackup { // an entry without a readable name may be any of them
 				next = next.Without(name)
 			}
 		}
-		if fromCopy { // operators write what the copy lacks again
+		if fromBackup { // operators write again what the backup lacks
 			time.AfterFunc(rewriteWindow, n.ordersRefresh.Request)
 		}
 		next = next.At(c.Revision)
--- a/fleet/relay/rollouts_test.go
+++ b/fleet/relay/rollouts_test.go
@@ -22,8 +22,8 @@
 type versionedAdapter struct{ revisionAdapter }
 
 func (versionedAdapter) Engine(o store.Object, _ time.Time) (engine.Engine, error) {
-	words := strings.Split(o.Name, "/")
-	return engine.Engine{ID: o.Name, Service: words[0], Version: words[1], Zone: "z", Seen: o.Revision, Slots: 8}, nil
+	parts := strings.Split(o.Name, "/")
+	return engine.Engine{ID: o.Name, Service: parts[0], Version: parts[1], Zone: "z", Seen: o.Revision, Slots: 8}, nil
 }
 
 func (versionedAdapter) Rollout(o store.Object, now time.Time) (rollout.Rollout, error) {
@@ -270,7 +270,7 @@
 
 // Guards against one request for the orders per change of an entry: they are requested at
 // intervals, and no longer once known.
-func TestOrdersAreAskedForAgainNowAndThen(t *testing.T) {
+func TestOrdersAreRequestedAtIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := versionedNode()
 		n.applyRollouts(listed(10))
--- a/fleet/relay/store/ask.go
+++ b/fleet/relay/store/ask.go
@@ -47,7 +47,7 @@
 		s.recordAnswer(a.from, kind)
 		return true
 	case errors.Is(ctx.Err(), context.Canceled):
-		return true // the caller canceled, which says nothing about the source
+		return true // the caller canceled, which is no evidence against the source
 	}
 	s.recordFailure(a.from, kind, a.err)
 	return ctx.Err() != nil
--- a/fleet/relay/store/patient_test.go
+++ b/fleet/relay/store/delayed_test.go
@@ -14,9 +14,9 @@
 )
 
 // For a kind whose changes can wait, the store is asked only some time after the sources
-// became silent, which says nothing about the store. It is asked at once before any answer,
+// became silent, which is no evidence of an outage. It is asked at once before any answer,
 // without sources, and after the delay.
-func TestPatientKindDelaysAskingTheStore(t *testing.T) {
+func TestKindThatCanWaitDelaysAskingTheStore(t *testing.T) {
 	cases := []struct {
 		name     string
 		answered bool // by a source, before it became silent
--- a/fleet/relay/store/eras.go
+++ b/fleet/relay/store/eras.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // Eras tracks the newest era of the store that a node knows of. The store begins a new
-// era each time it is restored from a copy: writes acknowledged after the copy was made
+// era each time it is restored from a backup: writes acknowledged after it was made
 // are lost, and their revision numbers are assigned again. It is safe for concurrent use.
 type Eras struct {
 	mu     sync.Mutex
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -22,9 +22,9 @@
 	backoffMin   = 150 * time.Millisecond
 	// backoffMax is short because a store that refuses is only pinged: the nodes that watch
 	// it must be connected again before the nodes that wait for them ask it themselves.
-	backoffMax = 500 * time.Millisecond
-	maxTries   = 2               // consecutive failures after which a follower leaves retrying to the leader
-	leaderWait = 3 * time.Second // for the leader, before a follower retries by itself
+	backoffMax  = 500 * time.Millisecond
+	maxAttempts = 2               // consecutive failures after which a follower leaves retrying to the leader
+	leaderWait  = 3 * time.Second // for the leader, before a follower retries by itself
 	// maxExcused is the number of failures without an answer in between that are attributed
 	// to stalls of the process: the store may be lost at the same time.
 	maxExcused     = 2
@@ -214,7 +214,7 @@
 	}
 	f.at = at
 	f.apply(Update{Events: events, Revision: at})
-	// An answer that lay unread while the process stalled holds only the first of the changes
+	// An answer that waited in its socket while the process stalled holds only the first of the changes
 	// since; the later ones have waited long enough.
 	if len(events) > 0 && !f.Health.Stalled(sent) {
 		clock.Pause(parent, f.Rest())
@@ -263,7 +263,7 @@
 		return
 	}
 	f.failures++
-	if !f.Leads && f.failures > maxTries && f.Health.wait(ctx, leaderWait) {
+	if !f.Leads && f.failures > maxAttempts && f.Health.wait(ctx, leaderWait) {
 		clock.Pause(ctx, rand.N(backoffMin))
 		return
 	}
@@ -271,7 +271,7 @@
 	f.backoff = min(2*f.backoff, backoffMax)
 }
 
-// pause waits before the next try, or until watches are restarted.
+// pause waits before the next attempt, or until watches are restarted.
 func (f *follower) pause(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
@@ -279,7 +279,7 @@
 }
 
 // recordLost records that the follower got no answer. An answer older than one already
-// delivered comes from a source that is behind, and says nothing about the store. If the
+// delivered comes from a source that is behind, and is no evidence of an outage. If the
 // node is isolated (its link is full, it is partitioned, or only its sources lost the store),
 // nothing suggests that entries expired because of an outage: what its sources list when
 // they answer again is what the store lists.
--- a/fleet/relay/store/follow_test.go
+++ b/fleet/relay/store/follow_test.go
@@ -57,10 +57,10 @@
 func TestFollow(t *testing.T) {
 	lost := errors.New("lost")
 	cases := []struct {
-		name  string
-		steps []answer
-		calls []string
-		seen  []string
+		name      string
+		steps     []answer
+		calls     []string
+		delivered []string
 	}{
 		{"list, then watch", []answer{{at: 5}, {at: 6}, {at: 7}}, []string{"list", "watch", "watch"}, []string{"snapshot 5", "update 6", "update 7"}},
 		{"history is compacted", []answer{{at: 5}, {err: store.ErrCompacted}, {at: 9}}, []string{"list", "watch", "list"}, []string{"snapshot 5", "snapshot 9"}},
@@ -76,10 +76,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			s := &scripted{steps: c.steps, done: cancel}
-			var seen []string
-			store.Follow(ctx, s, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond)}, func(change store.Change) { seen = append(seen, describe(change)) })
+			var delivered []string
+			store.Follow(ctx, s, store.FollowOptions{Kind: "kind", Rest: store.FixedRest(time.Millisecond)}, func(change store.Change) { delivered = append(delivered, describe(change)) })
 			assert.Equal(t, c.calls, s.calls)
-			assert.Equal(t, c.seen, seen)
+			assert.Equal(t, c.delivered, delivered)
 		})
 	}
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// An answer that lay unread while the process stalled is followed by a watch at once:
+// An answer that waited in its socket while the process stalled is followed by a watch at once:
 // another rest would delay the changes since for longer than is promised.
 func TestNoRestAfterAStall(t *testing.T) {
 	const rest, stall = 600 * time.Millisecond, 3 * time.Second
@@ -138,7 +138,7 @@
 	}
 }
 
-// A call that timed out while this process stalled says nothing about the store. If it
+// A call that timed out while this process stalled is no evidence of an outage. If it
 // counted as an outage, an endpoint removed meanwhile would stay in use.
 func TestStallIsNotAnOutage(t *testing.T) {
 	lost := errors.New("lost")
--- a/fleet/relay/store/health.go
+++ b/fleet/relay/store/health.go
@@ -88,7 +88,7 @@
 	return h.reconnects
 }
 
-// Restored records that the store was restored from a copy: entries that must be written
+// Restored records that the store was restored from a backup: entries that must be written
 // again may be missing, and pending watches follow a lost history.
 func (h *Health) Restored() {
 	h.mu.Lock()
@@ -124,8 +124,8 @@
 // leaderPart is the name of the leading follower among the parts of a node.
 const leaderPart = "leader"
 
-// leaderLost records that the leader got no answer. If the node is isolated, that says
-// nothing about the store.
+// leaderLost records that the leader got no answer. If the node is isolated, that is
+// no evidence of an outage.
 func (h *Health) leaderLost(isolated bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/fleet/relay/store/heartbeat.go
+++ b/fleet/relay/store/heartbeat.go
@@ -11,7 +11,7 @@
 
 // Heartbeat pings the store on a node that watches it for others, so that an outage is
 // detected quickly. A watch sent while the store is silent reports nothing until it times
-// out; meanwhile this node would tell the nodes that ask it that nothing has changed,
+// out; meanwhile this node would answer the nodes that ask it that nothing has changed,
 // though they may reach the store themselves.
 type Heartbeat struct {
 	Store  Store
@@ -55,7 +55,7 @@
 	return lost
 }
 
-// ping tries twice, since one ping may be lost on a lossy link. The first try has the same
+// ping makes two attempts, since one ping may be lost on a lossy link. The first attempt has the same
 // timeout as the pings of the nodes that ask this one: a store that is merely slow is not
 // lost, and is better asked by few nodes.
 func (h Heartbeat) ping(ctx context.Context) error {
--- a/fleet/relay/store/heartbeat_test.go
+++ b/fleet/relay/store/heartbeat_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer synctest.Wait()
 	defer cancel()
-	behind := &silence{revision: 1, changed: make(chan struct{})} // the store as seen by the source
+	behind := &silence{revision: 1, changed: make(chan struct{})} // the store as the source observes it
 	reached := &silence{revision: 1, changed: make(chan struct{})}
 	source := source(ctx, behind, leaving)
 	node := store.NewSourced(reached, func() []store.Source { return []store.Source{{Name: "a", Reader: source}} })
--- a/fleet/relay/store/probed_test.go
+++ b/fleet/relay/store/probed_test.go
@@ -35,7 +35,7 @@
 	cases := []struct {
 		name         string
 		answer, ping error
-		calls, pings int // of five tries
+		calls, pings int // of five attempts
 	}{
 		{"it answers", nil, nil, 5, 0},
 		{"it refuses", store.ErrRefused, store.ErrRefused, 1, 4},
--- a/fleet/relay/store/relist_test.go
+++ b/fleet/relay/store/relist_test.go
@@ -32,27 +32,27 @@
 	}
 }
 
-// Ask has the kind listed at once. Otherwise a watch ends by itself and nothing is listed
+// Request has the kind listed at once. Otherwise a watch ends by itself and nothing is listed
 // again.
-func TestAgainListsAtOnce(t *testing.T) {
+func TestRelistRequestListsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &quietStore{}
 		var again store.Relist
 		again.Request() // no follower yet
-		var seen []string
-		go store.Follow(ctx, s, store.FollowOptions{Kind: "k", Rest: store.FixedRest(0), Relist: &again}, func(c store.Change) { seen = append(seen, describe(c)) })
+		var delivered []string
+		go store.Follow(ctx, s, store.FollowOptions{Kind: "k", Rest: store.FixedRest(0), Relist: &again}, func(c store.Change) { delivered = append(delivered, describe(c)) })
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		assert.Equal(t, []string{"snapshot 1", "update 1"}, seen)
+		assert.Equal(t, []string{"snapshot 1", "update 1"}, delivered)
 		again.Request()
 		again.Request()
 		synctest.Wait()
-		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2"}, seen)
+		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2"}, delivered)
 		time.Sleep(time.Second)
 		again.Request()
 		synctest.Wait()
-		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2", "snapshot 3"}, seen)
+		assert.Equal(t, []string{"snapshot 1", "update 1", "snapshot 2", "snapshot 3"}, delivered)
 		cancel()
 		synctest.Wait()
 	})
--- a/fleet/relay/store/revision.go
+++ b/fleet/relay/store/revision.go
@@ -29,7 +29,7 @@
 // Number returns the store's own number for the revision.
 func (r Revision) Number() int64 { return int64(r) & MaxNumber }
 
-// IsOfEraBefore reports whether the store was restored from a copy between r and now.
+// IsOfEraBefore reports whether the store was restored from a backup between r and now.
 // It is false if r is 0.
 func (r Revision) IsOfEraBefore(now Revision) bool { return r > 0 && r.Era() < now.Era() }
 
--- a/fleet/relay/store/silence_test.go
+++ b/fleet/relay/store/silence_test.go
@@ -90,7 +90,7 @@
 	s := &silence{revision: 1, changed: make(chan struct{})}
 	health := store.NewHealth()
 	var mu sync.Mutex
-	seen := map[string]store.Revision{}
+	delivered := map[string]store.Revision{}
 	follow := func(kind string, leader bool) {
 		w := store.FollowOptions{Kind: kind, Rest: store.FixedRest(time.Millisecond), History: 20 * time.Second, Health: health, Leads: leader}
 		if leader && leads {
@@ -101,9 +101,9 @@
 			defer mu.Unlock()
 			switch change := change.(type) {
 			case store.Snapshot:
-				seen[kind] = change.Revision
+				delivered[kind] = change.Revision
 			case store.Update:
-				seen[kind] = change.Revision
+				delivered[kind] = change.Revision
 			case store.Lost:
 			}
 		})
@@ -119,5 +119,5 @@
 	time.Sleep(2 * time.Second)
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Equal(t, map[string]store.Revision{"leader": 3, "led": 3}, seen)
+	assert.Equal(t, map[string]store.Revision{"leader": 3, "led": 3}, delivered)
 }
--- a/fleet/relay/store/sourced.go
+++ b/fleet/relay/store/sourced.go
@@ -99,7 +99,7 @@
 }
 
 // WithEras sets the known eras: sources that answer from an earlier era, since they don't
-// know yet that the store was restored from a copy, count as having lost the store. It must
+// know yet that the store was restored from a backup, count as having lost the store. It must
 // be called before use.
 func (s *Sourced) WithEras(e *Eras) *Sourced {
 	s.eras = e
@@ -150,7 +150,7 @@
 	return available
 }
 
-// checkRevision returns ErrUnfit for a source's list that is older than one already seen:
+// checkRevision returns ErrUnfit for a source's list that is older than one already received:
 // such a source counts as having lost the store.
 func (s *Sourced) checkRevision(kind string, at Revision) error {
 	s.mu.Lock()
@@ -269,8 +269,8 @@
 // that start together don't act at the same time.
 func Jittered(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// recordStoreCall records how a call to the store itself ended. A canceled call says nothing
-// about the store: watches are restarted once the leader reaches it again.
+// recordStoreCall records how a call to the store itself ended. A canceled call is no evidence
+// of an outage: watches are restarted once the leader reaches it again.
 func (s *Sourced) recordStoreCall(ctx context.Context, kind string, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
--- a/fleet/relay/store/sourced_test.go
+++ b/fleet/relay/store/sourced_test.go
@@ -281,7 +281,7 @@
 }
 
 // If the sources of the zone lost the store, a source of another zone that has it answers
-// the same call and the following ones. A source whose list is older than one already seen
+// the same call and the following ones. A source whose list is older than one already received
 // is skipped.
 func TestSourceThatHasTheStoreIsFoundAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -276,9 +276,9 @@
 }
 
 // observation is the message to peers about an order.
-func (o *trial) observation(e rollout.Evidence, w report, now time.Time) peer.RolloutEvidence {
+func (o *trial) observation(e rollout.Evidence, r report, now time.Time) peer.RolloutEvidence {
 	return peer.RolloutEvidence{
-		Target: o.rollout.Target, Evidence: e, Old: w.old, LastsMs: w.longest.Milliseconds(),
+		Target: o.rollout.Target, Evidence: e, Old: r.old, LastsMs: r.longest.Milliseconds(),
 		At: o.rollout.Revision.Number(), Era: o.rollout.Revision.Era(), UsedMs: elapsed(o.rollout, now).Milliseconds(), AtLeast: o.rollout.AgeUnknown,
 	}
 }
@@ -296,9 +296,9 @@
 		o := t.open[service]
 		o.zoneEvidence.Record(t.incarnation, o.recorder.Evidence())
 		sum := o.sum(t.ownReport(o, now), now, func(from string) bool { return from[0] == ofNode })
-		seen := o.observation(o.zoneEvidence.Sum(), sum, now)
-		seen.Zone = t.settings.Zone
-		return seen
+		observed := o.observation(o.zoneEvidence.Sum(), sum, now)
+		observed.Zone = t.settings.Zone
+		return observed
 	})
 }
 
@@ -320,10 +320,10 @@
 
 // sum adds up the reports of the selected senders and that of this node.
 func (o *trial) sum(own report, now time.Time, of func(from string) bool) report {
-	for from, w := range o.reports {
-		if now.Sub(w.at) < reportTTL && of(from) {
-			own.old += w.old
-			own.longest = max(own.longest, w.longest)
+	for from, r := range o.reports {
+		if now.Sub(r.at) < reportTTL && of(from) {
+			own.old += r.old
+			own.longest = max(own.longest, r.longest)
 		}
 	}
 	return own
@@ -354,33 +354,33 @@
 }
 
 // Receive implements peer.RolloutExchange.
-func (t *trials) Receive(from peer.Sender, w peer.RolloutReport, now time.Time) {
+func (t *trials) Receive(from peer.Sender, r peer.RolloutReport, now time.Time) {
 	t.mu.Lock()
-	for _, seen := range w.Evidence {
-		t.receiveObservation(from, seen, now)
+	for _, observed := range r.Evidence {
+		t.receiveObservation(from, observed, now)
 	}
 	t.mu.Unlock()
-	for _, bad := range w.Bad {
+	for _, bad := range r.Bad {
 		t.markBad(bad, from.Name)
 	}
 }
 
-func (t *trials) receiveObservation(from peer.Sender, seen peer.RolloutEvidence, now time.Time) {
-	o, ok := t.open[seen.Evidence.Service]
-	if !ok || o.rollout.Made != seen.Evidence.Made || o.rollout.Target != seen.Target {
+func (t *trials) receiveObservation(from peer.Sender, observed peer.RolloutEvidence, now time.Time) {
+	o, ok := t.open[observed.Evidence.Service]
+	if !ok || o.rollout.Made != observed.Evidence.Made || o.rollout.Target != observed.Target {
 		return
 	}
-	o.adoptElapsed(seen, now)
-	received := report{old: max(seen.Old, 0), longest: time.Duration(max(seen.LastsMs, 0)) * time.Millisecond, at: now}
-	switch seen.Zone {
+	o.adoptElapsed(observed, now)
+	received := report{old: max(observed.Old, 0), longest: time.Duration(max(observed.LastsMs, 0)) * time.Millisecond, at: now}
+	switch observed.Zone {
 	case "":
-		o.zoneEvidence.Record(from.Incarnation, seen.Evidence)
+		o.zoneEvidence.Record(from.Incarnation, observed.Evidence)
 		o.reports[string(ofNode)+from.Name] = received
 	case t.settings.Zone:
-		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
+		o.fleetEvidence.Record(observed.Zone, observed.Evidence)
 	default:
-		o.fleetEvidence.Record(seen.Zone, seen.Evidence)
-		o.reports[string(ofZone)+seen.Zone] = received
+		o.fleetEvidence.Record(observed.Zone, observed.Evidence)
+		o.reports[string(ofZone)+observed.Zone] = received
 	}
 }
 
@@ -393,24 +393,24 @@
 	return r.Status.Used + now.Sub(r.LearnedAt)
 }
 
-// adoptElapsed takes over from another node how much of an order has elapsed, if this node found
+// adoptElapsed adopts from another node how much of an order has elapsed, if this node found
 // the order already under way. A node that has just started assumes the longest elapsed time
 // possible, and a node that knows it corrects that. A node that found the status earlier knows a
 // lower bound: without it, nodes that restart one after the other, faster than elapsed time is
 // written, would keep an order from ever progressing.
-func (o *trial) adoptElapsed(seen peer.RolloutEvidence, now time.Time) {
-	if !o.rollout.AgeUnknown || seen.UsedMs <= 0 || store.At(seen.Era, seen.At) != o.rollout.Revision {
+func (o *trial) adoptElapsed(observed peer.RolloutEvidence, now time.Time) {
+	if !o.rollout.AgeUnknown || observed.UsedMs <= 0 || store.At(observed.Era, observed.At) != o.rollout.Revision {
 		return
 	}
-	learned := now.Add(o.rollout.Status.Used - time.Duration(seen.UsedMs)*time.Millisecond)
-	if seen.AtLeast && !learned.Before(o.rollout.LearnedAt.Add(-minElapsedGain)) {
+	learned := now.Add(o.rollout.Status.Used - time.Duration(observed.UsedMs)*time.Millisecond)
+	if observed.AtLeast && !learned.Before(o.rollout.LearnedAt.Add(-minElapsedGain)) {
 		return
 	}
-	o.rollout.LearnedAt, o.rollout.AgeUnknown = learned, seen.AtLeast
+	o.rollout.LearnedAt, o.rollout.AgeUnknown = learned, observed.AtLeast
 	o.judgedRevision = 0 // the decider restarts
 }
 
-// minElapsedGain is by how much a lower bound must exceed what this node assumes to be taken over.
+// minElapsedGain is by how much a lower bound must exceed what this node assumes to be adopted.
 const minElapsedGain = 500 * time.Millisecond
 
 // markBad records that the target of an order is bad: it gets no calls from now on.
--- a/fleet/relay/trials_found_test.go
+++ b/fleet/relay/trials_found_test.go
@@ -16,7 +16,7 @@
 )
 
 // Guards against decisions by old evidence: a node that finds a status under way first collects
-// reports of others, and says that it does not know the age of the status until it observes a
+// reports of others, and reports that it does not know the age of the status until it observes a
 // write.
 func TestANodeThatFindsAStatusCollectsReportsFirst(t *testing.T) {
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
@@ -105,11 +105,11 @@
 		j.trials.tick(ctx, clock.Now())
 		synctest.Wait()
 		assert.Equal(t, calls, j.store.calls, "it collects reports first")
-		seen := rollout.RouteEvidence{Route: "r"}
+		observed := rollout.RouteEvidence{Route: "r"}
 		for c := range 8 {
-			seen.Old[c], seen.Target[c] = rollout.Count{Answers: 300}, rollout.Count{Answers: 30, Bad: 20}
+			observed.Old[c], observed.Target[c] = rollout.Count{Answers: 300}, rollout.Count{Answers: 30, Bad: 20}
 		}
-		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{seen}}, At: r.Revision.Number()}
+		sent := peer.RolloutEvidence{Target: "v2", Evidence: rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{observed}}, At: r.Revision.Number()}
 		j.trials.Receive(peer.Sender{Name: "b", Incarnation: "1"}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{sent}}, clock.Now())
 		for range 5 {
 			j.trials.tick(ctx, clock.Now())
--- a/fleet/relay/trials_judge.go
+++ b/fleet/relay/trials_judge.go
@@ -255,7 +255,7 @@
 	})
 }
 
-// writeDone takes over the object as the store holds it after a write.
+// writeDone adopts the object as the store holds it after a write.
 func (t *trials) writeDone(o *trial, r rollout.Rollout, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -289,16 +289,16 @@
 // writing delegate reverts it.
 func TestAVersionThatAPeerFoundBad(t *testing.T) {
 	w := rollout.AnnounceBad{Service: "s", Target: "v2", Made: 5, Why: "fails"}
-	heard := func(n *Node, w rollout.AnnounceBad) {
+	receive := func(n *Node, w rollout.AnnounceBad) {
 		n.trials.Receive(peer.Sender{Name: "o", Incarnation: "o/1"}, peer.RolloutReport{Bad: []rollout.AnnounceBad{w}}, time.Now())
 	}
 	withJudgingNode(t, func(ctx context.Context, j *judgingNode) {
 		j.play(ctx, time.Second)
-		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v3", Made: 5})
-		heard(j.Node, rollout.AnnounceBad{Service: "s", Target: "v2", Made: 4})
+		receive(j.Node, rollout.AnnounceBad{Service: "s", Target: "v3", Made: 5})
+		receive(j.Node, rollout.AnnounceBad{Service: "s", Target: "v2", Made: 4})
 		assert.False(t, j.trials.open["s"].bad, "that is another order")
-		heard(j.Node, w)
-		heard(j.Node, w)
+		receive(j.Node, w)
+		receive(j.Node, w)
 		assert.True(t, j.trials.open["s"].bad)
 		assert.Equal(t, []rollout.AnnounceBad{w}, j.trials.Bad())
 		j.play(ctx, time.Second)
@@ -306,7 +306,7 @@
 	})
 	n := versionedNode()
 	n.applyRollouts(listed(1))
-	heard(n, w)
+	receive(n, w)
 	n.applyRollouts(changed(5, order("s", "v2", 5, 5, rollout.Status{})))
 	assert.True(t, n.trials.open["s"].bad)
 }
@@ -317,7 +317,7 @@
 	n := versionedNode()
 	n.settings.Zone = "near"
 	n.applyRollouts(listed(9, order("s", "v2", 5, 5, rollout.Status{})))
-	seen := func(zone string, answers, old int) peer.RolloutEvidence {
+	observed := func(zone string, answers, old int) peer.RolloutEvidence {
 		e := rollout.Evidence{Service: "s", Made: 5, Routes: []rollout.RouteEvidence{{Route: "r", Old: rollout.Counts{{Answers: answers}}}}}
 		return peer.RolloutEvidence{Zone: zone, Target: "v2", Evidence: e, Old: old, LastsMs: int64(answers)}
 	}
@@ -325,15 +325,15 @@
 	send := func(name, incarnation string, s peer.RolloutEvidence) {
 		n.trials.Receive(peer.Sender{Name: name, Incarnation: incarnation}, peer.RolloutReport{Evidence: []peer.RolloutEvidence{s}}, now)
 	}
-	send("a", "a/1", seen("", 5, 2))
-	send("a", "a/1", seen("", 5, 2))
-	send("a", "a/1", seen("", 3, 1)) // out of date
-	send("a", "a/2", seen("", 10, 3))
-	send("b", "b/1", seen("", 100, 4))
-	send("c", "c/1", seen("far", 1000, 10))
-	send("d", "d/1", seen("far", 990, 11))
-	send("e", "e/1", seen("near", 50, 7)) // the other delegate of the zone knows less
-	other := seen("", 7, 7)
+	send("a", "a/1", observed("", 5, 2))
+	send("a", "a/1", observed("", 5, 2))
+	send("a", "a/1", observed("", 3, 1)) // out of date
+	send("a", "a/2", observed("", 10, 3))
+	send("b", "b/1", observed("", 100, 4))
+	send("c", "c/1", observed("far", 1000, 10))
+	send("d", "d/1", observed("far", 990, 11))
+	send("e", "e/1", observed("near", 50, 7)) // the other delegate of the zone knows less
+	other := observed("", 7, 7)
 	other.Target = "v3"
 	send("f", "f/1", other)
 	own := n.trials.Zone(now)
