--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -13,8 +13,9 @@
 )
 
 // Entries lapse together when the store is unavailable for longer than they last without a
-// heartbeat. An entry that goes while most of its service stay belongs to an endpoint that has
-// left, also while the store is suspected: it gets no new work at once, so that no node is late.
+// heartbeat. An entry that goes while most entries of its service stay belongs to an endpoint
+// that has left, also while the store is suspected: it is dropped at once, so that the time limit
+// for leaving endpoints holds.
 
 // lapseShare is the share of the time limit for leaving endpoints for which an entry that went
 // while the store was suspected stays in use. Entries lapse while the store is unavailable, though
--- a/fleet/relay/follow.go
+++ b/fleet/relay/follow.go
@@ -11,8 +11,8 @@
 	"github.com/lynxshed/lynxshed/fleet/relay/store"
 )
 
-// How long a follower pauses after events of the store, as a share of the time within which a change
-// must be in force: a burst of changes then costs few calls. A change that arrives during the pause
+// How long a follower pauses after events of the store, as a share of the time within which a
+// change must be in force: a burst of changes then costs few calls. A change that arrives during the pause
 // waits for its end and for an answer of the store. An entry that goes while the store is
 // suspected is kept for lapseShare of that time from then on.
 const (
@@ -136,8 +136,8 @@
 // that lists them earlier knows too few to determine who watches the store.
 const bootstrapTime = 1500 * time.Millisecond
 
-// awaitPeers waits until the node knows the others, so that it asks them for everything else in place
-// of the store.
+// awaitPeers waits until the node knows the others, so that it asks them for everything else in
+// place of the store.
 func (n *Node) awaitPeers(ctx context.Context) {
 	if !n.settings.Enabled(delegatesMechanism) {
 		return
--- a/fleet/relay/peer/delegates.go
+++ b/fleet/relay/peer/delegates.go
@@ -31,7 +31,7 @@
 	return &delegates{self: self, near: func(string) bool { return true }, since: map[string]time.Time{}, suspected: map[string]bool{}}
 }
 
-// peerState holds when a node last sent a message, and what it reported about itself.
+// peerState holds when a message of a node last arrived, and what it reported about itself.
 type peerState struct {
 	at          time.Time
 	storeLost   bool // it does not reach the store
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -139,8 +139,8 @@
 }
 
 // FirstDelegate reports whether this node comes first, in the order that all nodes share,
-// among the delegates that still send to this node and reach the store. A delegate that does not know the
-// age of a status comes after those that observed it being written, and so know its age.
+// among the delegates that still send to this node and reach the store. A delegate that does
+// not know the age of a status comes after those that observed its write, and so know its age.
 func (g *Gossip) FirstDelegate() bool {
 	g.chooseMu.Lock()
 	chosen, order := g.chosen, g.delegates.order
@@ -153,7 +153,8 @@
 	return ok && first.Name == g.registry.self.Name
 }
 
-// mayWrite reports whether a delegate still sends to this node and, by its own report, reaches the store.
+// mayWrite reports whether a delegate still sends to this node and, by its own report, reaches
+// the store.
 func (g *Gossip) mayWrite(m Member) bool {
 	if m.Name == g.registry.self.Name {
 		return !g.storeLost() && !g.rollouts.Out(clock.Now())
--- a/fleet/relay/peer/watchers.go
+++ b/fleet/relay/peer/watchers.go
@@ -16,20 +16,20 @@
 		return writers
 	}
 	watchers := map[string]bool{}
-	of := map[string][]Member{}
-	take := func(fit func(m Member, chosen []Member) bool) {
+	byRegion := map[string][]Member{}
+	add := func(fit func(m Member, chosen []Member) bool) {
 		for _, m := range order {
 			region := places.Region(m.Zone)
-			if writers[m.Name] && !watchers[m.Name] && len(of[region]) < regionWatchers && fit(m, of[region]) {
+			if writers[m.Name] && !watchers[m.Name] && len(byRegion[region]) < regionWatchers && fit(m, byRegion[region]) {
 				watchers[m.Name] = true
-				of[region] = append(of[region], m)
+				byRegion[region] = append(byRegion[region], m)
 			}
 		}
 	}
-	take(func(m Member, chosen []Member) bool { return !lost(m) && !inZone(chosen, m.Zone) })
-	take(func(m Member, _ []Member) bool { return !lost(m) })
-	take(func(m Member, chosen []Member) bool { return !inZone(chosen, m.Zone) })
-	take(func(Member, []Member) bool { return true })
+	add(func(m Member, chosen []Member) bool { return !lost(m) && !inZone(chosen, m.Zone) })
+	add(func(m Member, _ []Member) bool { return !lost(m) })
+	add(func(m Member, chosen []Member) bool { return !inZone(chosen, m.Zone) })
+	add(func(Member, []Member) bool { return true })
 	return watchers
 }
 
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -95,8 +95,8 @@
 
 // Follow lists a kind and then watches it until ctx ends. It never delivers a revision
 // older than one it delivered before: an older list is dropped.
-func Follow(ctx context.Context, s Store, w FollowOptions, apply func(Change)) {
-	f := follower{FollowOptions: w, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: w.Log}}
+func Follow(ctx context.Context, s Store, options FollowOptions, apply func(Change)) {
+	f := follower{FollowOptions: options, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: options.Log}}
 	if f.Health == nil {
 		f.Health = NewHealth()
 	}
@@ -193,13 +193,13 @@
 
 func (f *follower) watch(parent context.Context) error {
 	wait, sent := f.wait(), clock.Now()
-	renew, again := f.Health.renewed(), f.Relist.Requested()
+	renew, relist := f.Health.renewed(), f.Relist.Requested()
 	ctx, cancel := context.WithTimeout(parent, wait+watchSlack)
 	defer cancel()
-	go cancelOn(ctx, cancel, renew, again)
+	go cancelOn(ctx, cancel, renew, relist)
 	events, at, err := f.store.Watch(ctx, f.Kind, f.at, wait)
-	if err != nil && (isClosed(renew) || isClosed(again)) && parent.Err() == nil {
-		f.listed = f.SmallChanges && !isClosed(again)
+	if err != nil && (isClosed(renew) || isClosed(relist)) && parent.Err() == nil {
+		f.listed = f.SmallChanges && !isClosed(relist)
 		return nil
 	}
 	if err != nil {
@@ -214,8 +214,8 @@
 	}
 	f.at = at
 	f.apply(Update{Events: events, Revision: at})
-	// An answer that waited in its socket while the process stalled holds only the first of the changes
-	// since; the later ones have waited long enough.
+	// An answer that waited in its socket while the process stalled holds only the first of
+	// the changes since; the later ones have waited long enough.
 	if len(events) > 0 && !f.Health.Stalled(sent) {
 		clock.Pause(parent, f.Rest())
 	}
@@ -229,11 +229,11 @@
 }
 
 // cancelOn cancels a call early if it must be restarted.
-func cancelOn(ctx context.Context, cancel context.CancelFunc, renew, again <-chan struct{}) {
+func cancelOn(ctx context.Context, cancel context.CancelFunc, renew, relist <-chan struct{}) {
 	select {
 	case <-renew:
 		cancel()
-	case <-again:
+	case <-relist:
 		cancel()
 	case <-ctx.Done():
 	}
--- a/fleet/relay/store/sourced.go
+++ b/fleet/relay/store/sourced.go
@@ -270,7 +270,7 @@
 func Jittered(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 // recordStoreCall records how a call to the store itself ended. A canceled call is no evidence
-// of an outage: watches are restarted once the leader reaches it again.
+// of an outage: watches are restarted once the leader reaches the store again.
 func (s *Sourced) recordStoreCall(ctx context.Context, kind string, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
