--- a/fleet/relay/engines.go
+++ b/fleet/relay/engines.go
@@ -149,7 +149,7 @@
 		t.drop(name)
 		return
 	}
-	wait := fraction(lapseShare, t.settings.EndpointDrain())
+	wait := fraction(lapseShare, t.settings.LeavingLimit())
 	t.lapsed[name] = clock.Now().Add(wait)
 	time.AfterFunc(wait, t.expire)
 	t.log.WithField("endpoint", name).WithField("revision", t.revision.Number()).WithField("keptMs", wait.Milliseconds()).Info("entry of an endpoint went while the store was suspected: endpoint kept")
--- a/fleet/relay/follow.go
+++ b/fleet/relay/follow.go
@@ -40,7 +40,7 @@
 		n.awaitPeers(ctx)
 		store.Follow(ctx, n.store, policies, n.cached(kind, func(c store.Change) { n.applyPolicy(name, c) }))
 	}()
-	engines := store.FollowOptions{Kind: n.adapter.EngineKind(), Rest: n.rest(n.adapter.EngineKind(), fraction(engineRestShare, n.settings.EndpointDrain())), History: n.settings.History(), Health: n.health, Log: n.log}
+	engines := store.FollowOptions{Kind: n.adapter.EngineKind(), Rest: n.rest(n.adapter.EngineKind(), fraction(engineRestShare, n.settings.LeavingLimit())), History: n.settings.History(), Health: n.health, Log: n.log}
 	go func() {
 		n.awaitPeers(ctx)
 		store.Follow(ctx, n.store, engines, n.cached(n.adapter.EngineKind(), n.engineTable.apply))
@@ -112,7 +112,7 @@
 // heartbeat pings the store while other nodes ask this one in its place.
 func (n *Node) heartbeat() store.Heartbeat {
 	return store.Heartbeat{
-		Store: n.store, Every: fraction(heartbeatShare, n.settings.EndpointDrain()), Health: n.health, Log: n.log,
+		Store: n.store, Every: fraction(heartbeatShare, n.settings.LeavingLimit()), Health: n.health, Log: n.log,
 		Serves: func() bool { return n.settings.Enabled(delegatesMechanism) && n.gossip.Serves() },
 		Lost: func(err error) {
 			for kind, cache := range n.caches {
--- a/fleet/relay/notices.go
+++ b/fleet/relay/notices.go
@@ -28,7 +28,7 @@
 	if !n.settings.Enabled(noticesMechanism) {
 		return
 	}
-	n.notices = notice.NewTracker(n.settings.Node, notice.Rule{Serves: fraction(servesShare, n.settings.EndpointDrain())}, n.onNotice)
+	n.notices = notice.NewTracker(n.settings.Node, notice.Rule{Serves: fraction(servesShare, n.settings.LeavingLimit())}, n.onNotice)
 	n.picker.WithNotices(n.notices)
 	g.WithNotices(n.notices)
 }
--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -18,10 +18,10 @@
 
 // RolloutReport is a node's report on the open orders.
 type RolloutReport struct {
-	Evidence   []RolloutEvidence     `json:"seen,omitempty"`
-	Bad        []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
-	Out        bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
-	AgeUnknown bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
+	Evidence    []RolloutEvidence     `json:"seen,omitempty"`
+	Bad         []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
+	WriteFailed bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
+	AgeUnknown  bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
 }
 
 // RolloutEvidence is the evidence on one order.
@@ -43,7 +43,7 @@
 	Own(now time.Time) []RolloutEvidence  // evidence for the delegates of the zone
 	Zone(now time.Time) []RolloutEvidence // evidence for the delegates of other zones
 	Bad() []rollout.AnnounceBad           // targets found bad
-	Out(now time.Time) bool               // reports whether the node recently failed to write a status
+	WriteFailed(now time.Time) bool       // reports whether the node recently failed to write a status
 	AgeUnknown() bool                     // reports whether the age of the status of an open order is unknown
 	Receive(from Sender, r RolloutReport, now time.Time)
 }
@@ -68,7 +68,7 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	report := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), AgeUnknown: g.rollouts.AgeUnknown()}
+	report := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), WriteFailed: g.rollouts.WriteFailed(now), AgeUnknown: g.rollouts.AgeUnknown()}
 	g.send(g.withSender(message{Rollouts: &report}), near...)
 	if delegates[self.Name] && len(far) > 0 {
 		report.Evidence = g.rollouts.Zone(now)
@@ -130,7 +130,7 @@
 	if g.rollouts != nil {
 		g.mu.Lock()
 		if p, ok := g.peers[m.Node]; ok && m.Number == 0 {
-			p.writeFailed, p.ageUnknown = m.Rollouts.Out, m.Rollouts.AgeUnknown
+			p.writeFailed, p.ageUnknown = m.Rollouts.WriteFailed, m.Rollouts.AgeUnknown
 			g.peers[m.Node] = p
 		}
 		g.mu.Unlock()
@@ -157,7 +157,7 @@
 // the store.
 func (g *Gossip) mayWrite(m Member) bool {
 	if m.Name == g.registry.self.Name {
-		return !g.storeLost() && !g.rollouts.Out(clock.Now())
+		return !g.storeLost() && !g.rollouts.WriteFailed(clock.Now())
 	}
 	s := g.stateOf(m.Name)
 	return !s.storeLost && !s.writeFailed && !s.at.IsZero() && clock.Since(s.at) < firstSilenceTimeout
--- a/fleet/relay/peer/rollouts_test.go
+++ b/fleet/relay/peer/rollouts_test.go
@@ -17,10 +17,10 @@
 
 // fakeExchange is a RolloutExchange that provides fixed reports and records received ones.
 type fakeExchange struct {
-	evidence []RolloutEvidence
-	bad      []rollout.AnnounceBad
-	out      bool
-	late     bool
+	evidence    []RolloutEvidence
+	bad         []rollout.AnnounceBad
+	writeFailed bool
+	late        bool
 
 	mu       sync.Mutex
 	received []RolloutReport
@@ -33,7 +33,7 @@
 }
 
 func (k *fakeExchange) Bad() []rollout.AnnounceBad { return k.bad }
-func (k *fakeExchange) Out(time.Time) bool         { return k.out }
+func (k *fakeExchange) WriteFailed(time.Time) bool { return k.writeFailed }
 func (k *fakeExchange) AgeUnknown() bool           { return k.late }
 
 func (k *fakeExchange) Receive(_ Sender, w RolloutReport, _ time.Time) {
@@ -104,7 +104,7 @@
 		g := gossipOf("c", order)
 		g.delegates = &delegates{order: order}
 		g.chosen = lo.SliceToMap(c.chosen, func(name string) (string, bool) { return name, true })
-		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeExchange{out: c.failed, late: c.late}
+		g.peers, g.storeLost, g.rollouts = c.peers, func() bool { return c.lost }, &fakeExchange{writeFailed: c.failed, late: c.late}
 		assert.Equal(t, c.want, g.FirstDelegate(), c.name)
 	}
 }
@@ -161,14 +161,14 @@
 		}
 		evidence.Evidence.Routes = append(evidence.Evidence.Routes, r)
 	}
-	k := &fakeExchange{evidence: []RolloutEvidence{evidence}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, out: true}
+	k := &fakeExchange{evidence: []RolloutEvidence{evidence}, bad: []rollout.AnnounceBad{{Service: "s", Target: "v0", Made: 1, Why: "w"}}, writeFailed: true}
 	g, other := gossipWithPeer(t, k)
 	g.sendRollouts(map[string]bool{"b": true})
 	m, size, ok := nextMessage(t, other)
 	require.True(t, ok)
 	assert.Less(t, size, 2<<10)
 	g.receive(m, "")
-	assert.Equal(t, []RolloutReport{{Evidence: k.evidence, Bad: k.bad, Out: true}}, k.received)
+	assert.Equal(t, []RolloutReport{{Evidence: k.evidence, Bad: k.bad, WriteFailed: true}}, k.received)
 	g.sendRollouts(map[string]bool{"a": true})
 	_, _, ok = nextMessage(t, other)
 	assert.False(t, ok, "no other delegate")
--- a/fleet/relay/settings.go
+++ b/fleet/relay/settings.go
@@ -237,8 +237,8 @@
 // Apply returns how soon an accepted policy must be in force.
 func (s Settings) Apply() time.Duration { return seconds(s.ApplyMs / 1000) }
 
-// EndpointDrain returns how soon a leaving endpoint must get no new work.
-func (s Settings) EndpointDrain() time.Duration { return seconds(s.LeavingMs / 1000) }
+// LeavingLimit returns how soon a leaving endpoint must get no new work.
+func (s Settings) LeavingLimit() time.Duration { return seconds(s.LeavingMs / 1000) }
 
 // EvacuationsEnabled reports whether operators may evacuate zones.
 func (s Settings) EvacuationsEnabled() bool { return s.EvacuateMs > 0 }
--- a/fleet/relay/trials.go
+++ b/fleet/relay/trials.go
@@ -339,8 +339,8 @@
 	})
 }
 
-// Out implements peer.RolloutExchange.
-func (t *trials) Out(now time.Time) bool {
+// WriteFailed implements peer.RolloutExchange.
+func (t *trials) WriteFailed(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.storeFailedUntil)
--- a/fleet/relay/trials_test.go
+++ b/fleet/relay/trials_test.go
@@ -235,7 +235,7 @@
 					j.store.gets = func() error { reads++; return c.gets(reads) }
 				}
 				j.play(ctx, judgeInterval)
-				assert.Equal(t, c.out, j.trials.Out(time.Now()))
+				assert.Equal(t, c.out, j.trials.WriteFailed(time.Now()))
 				j.play(ctx, 3*time.Second)
 				assert.Equal(t, rollout.InProgress, j.state())
 				assert.LessOrEqual(t, j.store.calls, c.calls)
