--- a/fleet/relay/duration_window.go
+++ b/fleet/relay/duration_window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// windowLength is the length of one window, a fraction of the time that a move takes. The maximum
+// windowLength is the length of one window, short compared with the time of a move. The maximum
 // covers the current window and the one before.
 const windowLength = 2 * time.Second
 
