--- a/fleet/relay/peer/rollouts.go
+++ b/fleet/relay/peer/rollouts.go
@@ -18,10 +18,10 @@
 
 // RolloutReport is a node's report on the open orders.
 type RolloutReport struct {
-	Evidence   []RolloutEvidence     `json:"seen,omitempty"`
-	Bad        []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
-	Out        bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
-	AgeUnknown bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
+	Evidence    []RolloutEvidence     `json:"seen,omitempty"`
+	Bad         []rollout.AnnounceBad `json:"bad,omitempty"`  // targets that some node found bad
+	WriteFailed bool                  `json:"out,omitempty"`  // the sender recently failed to write a status
+	AgeUnknown  bool                  `json:"late,omitempty"` // the sender found a status whose age it does not know
 }
 
 // RolloutEvidence is the evidence on one order.
@@ -43,9 +43,9 @@
 	Own(now time.Time) []RolloutEvidence  // evidence for the delegates of the zone
 	Zone(now time.Time) []RolloutEvidence // evidence for the delegates of other zones
 	Bad() []rollout.AnnounceBad           // targets found bad
-	Out(now time.Time) bool               // reports whether the node recently failed to write a status
+	WriteFailed(now time.Time) bool       // reports whether the node recently failed to write a status
 	AgeUnknown() bool                     // reports whether the age of the status of an open order is unknown
-	Receive(from Sender, w RolloutReport, now time.Time)
+	Receive(from Sender, r RolloutReport, now time.Time)
 }
 
 // Sender is one incarnation of a node that sends a report.
@@ -68,11 +68,11 @@
 		return
 	}
 	near, far := g.delegateAddresses(delegates)
-	w := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), Out: g.rollouts.Out(now), AgeUnknown: g.rollouts.AgeUnknown()}
-	g.send(g.withSender(message{Rollouts: &w}), near...)
+	report := RolloutReport{Evidence: own, Bad: g.rollouts.Bad(), WriteFailed: g.rollouts.WriteFailed(now), AgeUnknown: g.rollouts.AgeUnknown()}
+	g.send(g.withSender(message{Rollouts: &report}), near...)
 	if delegates[self.Name] && len(far) > 0 {
-		w.Evidence = g.rollouts.Zone(now)
-		g.send(g.withSender(message{Rollouts: &w}), far...)
+		report.Evidence = g.rollouts.Zone(now)
+		g.send(g.withSender(message{Rollouts: &report}), far...)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if g.rollouts != nil {
 		g.mu.Lock()
 		if p, ok := g.peers[m.Node]; ok && m.Number == 0 {
-			p.writeFailed, p.ageUnknown = m.Rollouts.Out, m.Rollouts.AgeUnknown
+			p.writeFailed, p.ageUnknown = m.Rollouts.WriteFailed, m.Rollouts.AgeUnknown
 			g.peers[m.Node] = p
 		}
 		g.mu.Unlock()
@@ -139,8 +139,8 @@
 }
 
 // FirstDelegate reports whether this node comes first, in the order that all nodes share,
-// among the delegates that are received from and reach the store. A delegate that does not know the
-// age of a status comes after those that observed it being written, and so know its age.
+// among the delegates that still send to this node and reach the store. A delegate that does
+// not know the age of a status comes after those that observed its write, and so know its age.
 func (g *Gossip) FirstDelegate() bool {
 	g.chooseMu.Lock()
 	chosen, order := g.chosen, g.delegates.order
@@ -153,10 +153,11 @@
 	return ok && first.Name == g.registry.self.Name
 }
 
-// mayWrite reports whether a delegate is received from and, by its own report, reaches the store.
+// mayWrite reports whether a delegate still sends to this node and, by its own report, reaches
+// the store.
 func (g *Gossip) mayWrite(m Member) bool {
 	if m.Name == g.registry.self.Name {
-		return !g.storeLost() && !g.rollouts.Out(clock.Now())
+		return !g.storeLost() && !g.rollouts.WriteFailed(clock.Now())
 	}
 	s := g.stateOf(m.Name)
 	return !s.storeLost && !s.writeFailed && !s.at.IsZero() && clock.Since(s.at) < firstSilenceTimeout
--- a/fleet/relay/store/follow.go
+++ b/fleet/relay/store/follow.go
@@ -22,9 +22,9 @@
 	backoffMin   = 150 * time.Millisecond
 	// backoffMax is short because a store that refuses is only pinged: the nodes that watch
 	// it must be connected again before the nodes that wait for them ask it themselves.
-	backoffMax = 500 * time.Millisecond
-	maxTries   = 2               // consecutive failures after which a follower leaves retrying to the leader
-	leaderWait = 3 * time.Second // for the leader, before a follower retries by itself
+	backoffMax  = 500 * time.Millisecond
+	maxAttempts = 2               // consecutive failures after which a follower leaves retrying to the leader
+	leaderWait  = 3 * time.Second // for the leader, before a follower retries by itself
 	// maxExcused is the number of failures without an answer in between that are attributed
 	// to stalls of the process: the store may be lost at the same time.
 	maxExcused     = 2
@@ -95,8 +95,8 @@
 
 // Follow lists a kind and then watches it until ctx ends. It never delivers a revision
 // older than one it delivered before: an older list is dropped.
-func Follow(ctx context.Context, s Store, w FollowOptions, apply func(Change)) {
-	f := follower{FollowOptions: w, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: w.Log}}
+func Follow(ctx context.Context, s Store, options FollowOptions, apply func(Change)) {
+	f := follower{FollowOptions: options, store: s, apply: apply, backoff: backoffMin, dropped: Dropped{Log: options.Log}}
 	if f.Health == nil {
 		f.Health = NewHealth()
 	}
@@ -193,13 +193,13 @@
 
 func (f *follower) watch(parent context.Context) error {
 	wait, sent := f.wait(), clock.Now()
-	renew, again := f.Health.renewed(), f.Relist.Requested()
+	renew, relist := f.Health.renewed(), f.Relist.Requested()
 	ctx, cancel := context.WithTimeout(parent, wait+watchSlack)
 	defer cancel()
-	go cancelOn(ctx, cancel, renew, again)
+	go cancelOn(ctx, cancel, renew, relist)
 	events, at, err := f.store.Watch(ctx, f.Kind, f.at, wait)
-	if err != nil && (isClosed(renew) || isClosed(again)) && parent.Err() == nil {
-		f.listed = f.SmallChanges && !isClosed(again)
+	if err != nil && (isClosed(renew) || isClosed(relist)) && parent.Err() == nil {
+		f.listed = f.SmallChanges && !isClosed(relist)
 		return nil
 	}
 	if err != nil {
@@ -214,8 +214,8 @@
 	}
 	f.at = at
 	f.apply(Update{Events: events, Revision: at})
-	// An answer that lay unread while the process stalled holds only the first of the changes
-	// since; the later ones have waited long enough.
+	// An answer that waited in its socket while the process stalled holds only the first of
+	// the changes since; the later ones have waited long enough.
 	if len(events) > 0 && !f.Health.Stalled(sent) {
 		clock.Pause(parent, f.Rest())
 	}
@@ -229,11 +229,11 @@
 }
 
 // cancelOn cancels a call early if it must be restarted.
-func cancelOn(ctx context.Context, cancel context.CancelFunc, renew, again <-chan struct{}) {
+func cancelOn(ctx context.Context, cancel context.CancelFunc, renew, relist <-chan struct{}) {
 	select {
 	case <-renew:
 		cancel()
-	case <-again:
+	case <-relist:
 		cancel()
 	case <-ctx.Done():
 	}
@@ -263,7 +263,7 @@
 		return
 	}
 	f.failures++
-	if !f.Leads && f.failures > maxTries && f.Health.wait(ctx, leaderWait) {
+	if !f.Leads && f.failures > maxAttempts && f.Health.wait(ctx, leaderWait) {
 		clock.Pause(ctx, rand.N(backoffMin))
 		return
 	}
@@ -271,7 +271,7 @@
 	f.backoff = min(2*f.backoff, backoffMax)
 }
 
-// pause waits before the next try, or until watches are restarted.
+// pause waits before the next attempt, or until watches are restarted.
 func (f *follower) pause(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
@@ -279,7 +279,7 @@
 }
 
 // recordLost records that the follower got no answer. An answer older than one already
-// delivered comes from a source that is behind, and says nothing about the store. If the
+// delivered comes from a source that is behind, and is no evidence of an outage. If the
 // node is isolated (its link is full, it is partitioned, or only its sources lost the store),
 // nothing suggests that entries expired because of an outage: what its sources list when
 // they answer again is what the store lists.
