--- a/ctl/client/relay.go
+++ b/ctl/client/relay.go
@@ -25,12 +25,12 @@
 }
 
 // Quarantine lists the quarantined requests known to the first node that responds.
-func (c *RelayClient) Quarantine(ctx context.Context) ([]quarantine.QuarantineReport, error) {
+func (c *RelayClient) Quarantine(ctx context.Context) ([]quarantine.HeldReport, error) {
 	data, err := c.send(ctx, http.MethodGet, relay.QuarantinePath)
 	if err != nil {
 		return nil, err
 	}
-	var quarantined []quarantine.QuarantineReport
+	var quarantined []quarantine.HeldReport
 	return quarantined, errors.Wrap(json.Unmarshal(data, &quarantined), "requests that are held back")
 }
 
--- a/ctl/command/notices.go
+++ b/ctl/command/notices.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	lines := lo.Map(all, func(l notice.Listed, _ int) []string {
-		return []string{l.Endpoint, l.Service, l.Zone, l.Says, roundedSeconds(l.SinceMs), lo.Ternary(l.LeftMs > 0, roundedSeconds(l.LeftMs), "its life"), l.From}
+		return []string{l.Endpoint, l.Service, l.Zone, l.Notice, roundedSeconds(l.SinceMs), lo.Ternary(l.LeftMs > 0, roundedSeconds(l.LeftMs), "its life"), l.From}
 	})
 	return a.print(all, []string{"ENDPOINT", "SERVICE", "ZONE", "SAYS", "SINCE", "LEFT", "FROM"}, lines)
 }
--- a/ctl/command/quarantine.go
+++ b/ctl/command/quarantine.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	lines := lo.Map(quarantined, func(h quarantine.QuarantineReport, _ int) []string {
+	lines := lo.Map(quarantined, func(h quarantine.HeldReport, _ int) []string {
 		since, left := roundedSeconds(h.AgeMs), roundedSeconds(h.ForMs-h.AgeMs)
 		return []string{h.Fingerprint.String(), h.Customer, h.Route, strconv.Itoa(h.Round), since, left, strings.Join(h.Ends, " ")}
 	})
--- a/fleet/relay/bound/bound_test.go
+++ b/fleet/relay/bound/bound_test.go
@@ -40,7 +40,7 @@
 			sum += bound.NewFleet(name, names).Share(xxhash.Sum64String("e"), c.rule.Target(c.perSecond))
 		}
 		assert.Equal(t, c.target, sum, "%+v", c)
-		assert.Equal(t, c.bound, c.rule.Most(c.perSecond), "%+v", c)
+		assert.Equal(t, c.bound, c.rule.MaxCalls(c.perSecond), "%+v", c)
 	}
 }
 
@@ -181,7 +181,7 @@
 		for i := range modelSteps() / 4 {
 			w.step(e, perSecond, i)
 			most = max(most, w.inLastSecond())
-			require.LessOrEqual(t, most, w.rule.Most(perSecond), "%d nodes, step %d", nodes, i)
+			require.LessOrEqual(t, most, w.rule.MaxCalls(perSecond), "%d nodes, step %d", nodes, i)
 		}
 		assert.Positive(t, most, "%d nodes: the endpoint is used", nodes)
 	}
@@ -205,8 +205,8 @@
 		return taken
 	}
 	assert.Equal(t, 7, take(all[0], 0))
-	g.Begin("e", start.Add(300*time.Millisecond), start.Add(350*time.Millisecond))
-	g.Begin("f", start.Add(-2*time.Second), start.Add(350*time.Millisecond))
+	g.Restarted("e", start.Add(300*time.Millisecond), start.Add(350*time.Millisecond))
+	g.Restarted("f", start.Add(-2*time.Second), start.Add(350*time.Millisecond))
 	steps := []struct {
 		at        time.Duration
 		e, others int
--- a/fleet/relay/bound/gate.go
+++ b/fleet/relay/bound/gate.go
@@ -37,8 +37,8 @@
 	return &Gate{self: self, partitioned: func() bool { return false }, sent: map[string][]time.Time{}, restarted: map[string]time.Time{}}
 }
 
-// WithCutOff makes the node use the smaller share while it might miss a new list.
-func (g *Gate) WithCutOff(partitioned func() bool) *Gate {
+// WithPartitioned makes the node use the smaller share while partitioned reports that it might miss a new list.
+func (g *Gate) WithPartitioned(partitioned func() bool) *Gate {
 	g.partitioned = partitioned
 	return g
 }
@@ -81,10 +81,10 @@
 	return len(g.names)
 }
 
-// Begin records that an endpoint has restarted under its id, and when this node last sent a call
+// Restarted records that an endpoint has restarted under its id, and when this node last sent a call
 // to the earlier incarnation. Such calls may reach the new one outside its bound, so this node
 // sends it none until they can no longer arrive.
-func (g *Gate) Begin(id string, sent, now time.Time) {
+func (g *Gate) Restarted(id string, sent, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for known, until := range g.restarted {
--- a/fleet/relay/choice/distance_test.go
+++ b/fleet/relay/choice/distance_test.go
@@ -199,7 +199,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			places := distance.From("a1", map[string]string{"a1": "a", "b1": "b"}, distance.DefaultCosts())
-			places.Measured("b1", c.trip, now)
+			places.RecordRoundTrip("b1", c.trip, now)
 			p := NewPicker("a1", DefaultTuning()).WithPlaces(places)
 			all := testEngines(2)
 			all[0].Zone, all[1].Zone = "b1", "a1"
--- a/fleet/relay/choice/notices.go
+++ b/fleet/relay/choice/notices.go
@@ -63,10 +63,10 @@
 	return resting
 }
 
-// Took records that the endpoint accepted a call that was sent at the given time.
-func (t *Placement) Took(sent time.Time) {
+// Accepted records that the endpoint accepted a call that was sent at the given time.
+func (t *Placement) Accepted(sent time.Time) {
 	if t.picker.notices != nil {
-		t.picker.notices.Took(t.Engine.Incarnation(), sent)
+		t.picker.notices.Accepted(t.Engine.Incarnation(), sent)
 	}
 }
 
--- a/fleet/relay/choice/rest_test.go
+++ b/fleet/relay/choice/rest_test.go
@@ -99,7 +99,7 @@
 	sent, at := w.now, w.now.Add(takes)
 	w.ends[at] = append(w.ends[at], func() {
 		w.running[id]--
-		t.Took(sent)
+		t.Accepted(sent)
 		t.First(takes, w.now)
 		t.Close(Good, w.now)
 	})
--- a/fleet/relay/cold/cold.go
+++ b/fleet/relay/cold/cold.go
@@ -24,16 +24,16 @@
 // maxViews is how many lists of nodes may be in use at once.
 const maxViews = 2
 
-// Most returns how many calls all nodes together may send within any second to an endpoint with
+// MaxCalls returns how many calls all nodes together may send within any second to an endpoint with
 // the given rate.
-func (r Rule) Most(perSecond float64) int {
+func (r Rule) MaxCalls(perSecond float64) int {
 	return int(math.Floor(perSecond*r.Overrun + r.Tolerance))
 }
 
 // Target returns the number of calls in one second that the shares of all nodes add up to: the
 // endpoint's rate, but at most the bound divided by the lists of nodes in use, and at least one.
 func (r Rule) Target(perSecond float64) int {
-	return max(min(int(math.Floor(perSecond)), r.Most(perSecond)/maxViews), 1)
+	return max(min(int(math.Floor(perSecond)), r.MaxCalls(perSecond)/maxViews), 1)
 }
 
 // Bound returns the bound that the nodes keep at a cold endpoint with the given rate.
--- a/fleet/relay/distance/distance_test.go
+++ b/fleet/relay/distance/distance_test.go
@@ -49,15 +49,15 @@
 		if i%3 == 0 {
 			took = time.Second
 		}
-		p.Measured("b1", took, now)
+		p.RecordRoundTrip("b1", took, now)
 	}
-	p.Measured("b1", 0, now.Add(time.Second))
+	p.RecordRoundTrip("b1", 0, now.Add(time.Second))
 	known := p.To("b1", now.Add(2*time.Second))
 	assert.True(t, known.Measured)
 	assert.Equal(t, 24*time.Millisecond, known.RoundTrip)
 	assert.Equal(t, 2*time.Second, known.Age)
 	for range 31 {
-		p.Measured("b1", 80*time.Millisecond, now)
+		p.RecordRoundTrip("b1", 80*time.Millisecond, now)
 	}
 	assert.Equal(t, 80*time.Millisecond, p.To("b1", now).RoundTrip, "a round trip that became longer is adopted")
 }
@@ -82,7 +82,7 @@
 	for range 8 {
 		all.Go(func() {
 			for range 100 {
-				p.Measured("b1", time.Millisecond, time.Now())
+				p.RecordRoundTrip("b1", time.Millisecond, time.Now())
 				p.To("b1", time.Now())
 			}
 		})
--- a/fleet/relay/distance/places.go
+++ b/fleet/relay/distance/places.go
@@ -79,8 +79,8 @@
 	return d
 }
 
-// Measured records the round trip time to a zone.
-func (p Places) Measured(zone string, took time.Duration, now time.Time) {
+// RecordRoundTrip records the round trip time to a zone.
+func (p Places) RecordRoundTrip(zone string, took time.Duration, now time.Time) {
 	p.roundTrips.add(zone, took, now)
 }
 
--- a/fleet/relay/forward/send.go
+++ b/fleet/relay/forward/send.go
@@ -109,7 +109,7 @@
 		ConnectStart: func(string, string) { began = clock.Now() },
 		ConnectDone: func(_, _ string, err error) {
 			if now := clock.Now(); err == nil && j.stalls.usable(began) {
-				j.Places.Measured(zone, now.Sub(began), now)
+				j.Places.RecordRoundTrip(zone, now.Sub(began), now)
 			}
 		},
 	})
@@ -172,7 +172,7 @@
 		t.Limit(v.Limit, resp.StatusCode < http.StatusMultipleChoices, started, now)
 	}
 	if !v.NotExecuted && !v.Moved {
-		t.Took(started)
+		t.Accepted(started)
 	}
 	if v.NotExecuted || v.Moved {
 		discardSmall(resp)
--- a/fleet/relay/incarnations.go
+++ b/fleet/relay/incarnations.go
@@ -34,7 +34,7 @@
 	if change != birthEarlier {
 		e.RestartedAt = now
 	}
-	t.bounds.Begin(e.ID, dropped.Placed, now)
+	t.bounds.Restarted(e.ID, dropped.Placed, now)
 	idle := 0
 	if known {
 		idle = t.dropIdle(before.Address)
--- a/fleet/relay/limit/model_test.go
+++ b/fleet/relay/limit/model_test.go
@@ -47,7 +47,7 @@
 func (w *simulation) now() time.Time { return time.Unix(1e6, 0).Add(w.at) }
 
 func (w *simulation) start(name string) {
-	w.gates[name] = bound.NewGate(name).WithCutOff(func() bool { return w.partitioned[name] })
+	w.gates[name] = bound.NewGate(name).WithPartitioned(func() bool { return w.partitioned[name] })
 	w.gates[name].Nodes(w.names, w.now())
 }
 
@@ -126,7 +126,7 @@
 			for i := range modelSteps() / 24 {
 				w.step(e, b)
 				most = max(most, w.inWindow())
-				require.LessOrEqual(t, most, testRule.Most(perSecond), "%d nodes, %v a second, step %d", nodes, perSecond, i)
+				require.LessOrEqual(t, most, testRule.MaxCalls(perSecond), "%d nodes, %v a second, step %d", nodes, perSecond, i)
 			}
 			assert.Positive(t, most, "%d nodes, %v a second: the endpoint is used", nodes, perSecond)
 		}
--- a/fleet/relay/limit/rule.go
+++ b/fleet/relay/limit/rule.go
@@ -31,8 +31,8 @@
 	maxPerSecond = 1e6
 )
 
-// Most returns how many calls in a window all nodes together may send under a limit.
-func (r Rule) Most(perSecond float64) int {
+// MaxCalls returns how many calls in a window all nodes together may send under a limit.
+func (r Rule) MaxCalls(perSecond float64) int {
 	return int(math.Floor(r.Overrun*min(perSecond, maxPerSecond)*r.Window.Seconds() + r.Tolerance))
 }
 
@@ -46,7 +46,7 @@
 	if calls > perSecond*window {
 		window = min(calls/max(perSecond, 1/maxCallInterval.Seconds()), maxCallInterval.Seconds())
 	}
-	most := r.Most(perSecond)
+	most := r.MaxCalls(perSecond)
 	settled := min(int(calls), most)
 	return bound.Bound{
 		Window: time.Duration(window * float64(time.Second)),
--- a/fleet/relay/limit/rule_test.go
+++ b/fleet/relay/limit/rule_test.go
@@ -21,7 +21,7 @@
 	rates := []float64{0, 0.01, 0.1, 0.2, 0.25, 0.3, 0.5, 0.7, 1, 1.2, 1.5, 2, 3, 7.7, 40, 300, 1e6, 1e9, 1e300}
 	for _, perSecond := range rates {
 		b := testRule.Bound(perSecond)
-		most := testRule.Most(perSecond)
+		most := testRule.MaxCalls(perSecond)
 		assert.GreaterOrEqual(t, b.Calls, 1, "%v", perSecond)
 		assert.GreaterOrEqual(t, b.Unsure, 1, "%v", perSecond)
 		assert.LessOrEqual(t, b.Calls+b.Unsure, most, "%v", perSecond)
--- a/fleet/relay/notice/leaving.go
+++ b/fleet/relay/notice/leaving.go
@@ -46,13 +46,13 @@
 // final: no later answer revokes it, and the store may be older. Another node's report, which
 // may be wrong, counts only for a while.
 func (l *leaving) holds(now time.Time) bool {
-	return l.own || !l.observed.IsZero() && now.Sub(l.observed) < Believed
+	return l.own || !l.observed.IsZero() && now.Sub(l.observed) < ReportLifetime
 }
 
 func (l *leaving) list(one Listed, now time.Time) Listed {
-	one.Says, one.SinceMs = "leaving", now.Sub(l.since).Milliseconds()
+	one.Notice, one.SinceMs = "leaving", now.Sub(l.since).Milliseconds()
 	if !l.own {
-		one.From, one.LeftMs = l.by, (Believed - now.Sub(l.observed)).Milliseconds()
+		one.From, one.LeftMs = l.by, (ReportLifetime - now.Sub(l.observed)).Milliseconds()
 	}
 	return one
 }
--- a/fleet/relay/notice/notice.go
+++ b/fleet/relay/notice/notice.go
@@ -20,9 +20,9 @@
 }
 
 const (
-	// Believed is how long a node acts on another node's report, which may be wrong. A notice that
+	// ReportLifetime is how long a node acts on another node's report, which may be wrong. A notice that
 	// it received itself holds as long as the endpoint asked for, or for its incarnation.
-	Believed = 30 * time.Second
+	ReportLifetime = 30 * time.Second
 	// entryRetention is how long a notice is kept after the endpoint's entry is gone: entries lapse
 	// while the store is unavailable, and come back.
 	entryRetention = 10 * time.Minute
--- a/fleet/relay/notice/reports.go
+++ b/fleet/relay/notice/reports.go
@@ -78,7 +78,7 @@
 // report returns what is due to be sent of one incarnation.
 func (k *known) report(incarnation engine.Incarnation, forward bool, now time.Time, due func(*announce.Schedule) bool) Report {
 	w := Report{Endpoint: incarnation.ID, Born: incarnation.Born}
-	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < Believed {
+	if due(&k.leaving.due) && (k.leaving.own || forward) && now.Sub(k.leaving.observed) < ReportLifetime {
 		w.LeavingMs = lo.ToPtr(now.Sub(k.leaving.observed).Milliseconds())
 	}
 	until := k.rest.until
@@ -98,7 +98,7 @@
 // before others, and then long rests.
 func (r Report) priority() int64 {
 	if r.LeavingMs != nil {
-		return maxRest.Milliseconds() + Believed.Milliseconds() - *r.LeavingMs
+		return maxRest.Milliseconds() + ReportLifetime.Milliseconds() - *r.LeavingMs
 	}
 	return r.RestMs
 }
@@ -114,7 +114,7 @@
 
 // valid reports whether the report is plausible. Other nodes' reports are not trusted.
 func (r Report) valid() bool {
-	leaving := r.LeavingMs == nil || *r.LeavingMs >= 0 && *r.LeavingMs < Believed.Milliseconds()
+	leaving := r.LeavingMs == nil || *r.LeavingMs >= 0 && *r.LeavingMs < ReportLifetime.Milliseconds()
 	return r.hasContent() && leaving && r.RestMs >= 0 && r.RestMs <= maxRest.Milliseconds()
 }
 
@@ -129,7 +129,7 @@
 				began = append(began, Began{Engine: e, Notice: call.Leaving{}, From: from, Age: age})
 			}
 		}
-		if left := min(time.Duration(w.RestMs)*time.Millisecond, Believed); left > 0 && k.rest.received(from, now.Add(left), now) {
+		if left := min(time.Duration(w.RestMs)*time.Millisecond, ReportLifetime); left > 0 && k.rest.received(from, now.Add(left), now) {
 			began = append(began, Began{Engine: e, Notice: call.Rest{For: left}, From: from})
 		}
 	}
--- a/fleet/relay/notice/rest.go
+++ b/fleet/relay/notice/rest.go
@@ -100,7 +100,7 @@
 }
 
 func (r *rest) list(one Listed, now time.Time) Listed {
-	one.Says, one.SinceMs, one.LeftMs = "rest", now.Sub(r.since).Milliseconds(), r.end().Sub(now).Milliseconds()
+	one.Notice, one.SinceMs, one.LeftMs = "rest", now.Sub(r.since).Milliseconds(), r.end().Sub(now).Milliseconds()
 	if !now.Before(r.until) {
 		one.From = r.by
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// Took records that an endpoint accepted a call that was sent at the given time. If that was
+// Accepted records that an endpoint accepted a call that was sent at the given time. If that was
 // after a rest, the endpoint is used as before.
-func (t *Tracker) Took(incarnation engine.Incarnation, sent time.Time) {
+func (t *Tracker) Accepted(incarnation engine.Incarnation, sent time.Time) {
 	if t.count.Load() == 0 {
 		return
 	}
--- a/fleet/relay/notice/rest_test.go
+++ b/fleet/relay/notice/rest_test.go
@@ -43,8 +43,8 @@
 		{"without a probe", three, first, at(6_500), notice.Free},
 		{"the first call is pending", func(b *notice.Tracker) { three(b); b.Placed(first.Incarnation(), at(5_000)) }, first, at(5_500), notice.LastResort},
 		{"the first call was not answered in time", func(b *notice.Tracker) { three(b); b.Placed(first.Incarnation(), at(5_500)) }, first, at(6_600), notice.Free},
-		{"the first call was accepted", func(b *notice.Tracker) { three(b); b.Took(first.Incarnation(), at(5_000)) }, first, at(5_100), notice.Free},
-		{"a call sent before the rest was accepted", func(b *notice.Tracker) { three(b); b.Took(first.Incarnation(), at(-10)) }, first, at(20), notice.Closed},
+		{"the first call was accepted", func(b *notice.Tracker) { three(b); b.Accepted(first.Incarnation(), at(5_000)) }, first, at(5_100), notice.Free},
+		{"a call sent before the rest was accepted", func(b *notice.Tracker) { three(b); b.Accepted(first.Incarnation(), at(-10)) }, first, at(20), notice.Closed},
 		{"asked again, for less", func(b *notice.Tracker) { three(b); askForRest(b, time.Second, 10) }, first, at(2_000), notice.Closed},
 		{"asked again, for longer", func(b *notice.Tracker) { three(b); askForRest(b, 5*time.Second, 10) }, first, at(5_000), notice.Closed},
 		{"asked again by the first call after it", func(b *notice.Tracker) { three(b); askForRest(b, 3*time.Second, 5_000) }, first, at(7_900), notice.Closed},
@@ -84,7 +84,7 @@
 	assert.Empty(t, b.Updates(false, at(30)))
 	assert.Equal(t, []notice.Report{restReport(2_810)}, b.Reports(false, at(200)))
 	assert.Empty(t, b.Reports(false, at(2_000)))
-	b.Took(first.Incarnation(), at(3_500))
+	b.Accepted(first.Incarnation(), at(3_500))
 	assert.Equal(t, notice.Ended{Engine: first}, changes[1])
 	assert.Empty(t, b.List(at(3_600)))
 
--- a/fleet/relay/notice/tracker.go
+++ b/fleet/relay/notice/tracker.go
@@ -133,7 +133,7 @@
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Zone     string `json:"zone"`
-	Says     string `json:"says"`
+	Notice   string `json:"says"`
 	SinceMs  int64  `json:"sinceMs"` // since this node knows of it
 	LeftMs   int64  `json:"leftMs"`  // how long it still holds; 0: for the endpoint's incarnation
 	From     string `json:"from"`    // the node that reported it; "" is this one
@@ -157,7 +157,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b Listed) int {
-		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Says, b.Says))
+		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Notice, b.Notice))
 	})
 	return all
 }
--- a/fleet/relay/notices.go
+++ b/fleet/relay/notices.go
@@ -58,7 +58,7 @@
 		n.metrics.Noticed("leaving")
 		n.log.WithFields(fields).Info("endpoint signaled in its answers that it leaves: it gets no new calls")
 		go n.engineTable.refresh()
-		time.AfterFunc(notice.Believed-c.Age, n.engineTable.refresh) // the notice from another node may have expired then
+		time.AfterFunc(notice.ReportLifetime-c.Age, n.engineTable.refresh) // the notice from another node may have expired then
 	}
 }
 
--- a/fleet/relay/operators.go
+++ b/fleet/relay/operators.go
@@ -25,9 +25,9 @@
 }
 
 func (n *Node) listQuarantine(w http.ResponseWriter, _ *http.Request) {
-	held := []quarantine.QuarantineReport{}
+	held := []quarantine.HeldReport{}
 	if tracker, now := n.quarantineTracker(), clock.Now(); tracker != nil {
-		held = lo.Map(tracker.List(now), func(h quarantine.Held, _ int) quarantine.QuarantineReport { return quarantine.ReportOf(h, now) })
+		held = lo.Map(tracker.List(now), func(h quarantine.Held, _ int) quarantine.HeldReport { return quarantine.ReportOf(h, now) })
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(held); err != nil {
--- a/fleet/relay/quarantine.go
+++ b/fleet/relay/quarantine.go
@@ -235,8 +235,8 @@
 }
 
 // decodeHeld decodes a stored request.
-func decodeHeld(o store.Object) (quarantine.QuarantineReport, error) {
-	var k quarantine.QuarantineReport
+func decodeHeld(o store.Object) (quarantine.HeldReport, error) {
+	var k quarantine.HeldReport
 	if err := o.Readable(); err != nil {
 		return k, err
 	}
--- a/fleet/relay/quarantine/probe_test.go
+++ b/fleet/relay/quarantine/probe_test.go
@@ -46,7 +46,7 @@
 		{"it was released", func(n *node, h Held) { n.Release(h.Fingerprint, n.now) }, false},
 		{"it is quarantined in a later round", func(n *node, h Held) {
 			h.Round++
-			n.Receive(Report{Held: []QuarantineReport{ReportOf(h, n.now)}}, n.now)
+			n.Receive(Report{Held: []HeldReport{ReportOf(h, n.now)}}, n.now)
 		}, false},
 	}
 	for _, c := range cases {
@@ -126,7 +126,7 @@
 func TestOutdatedClaimSendsNoProbe(t *testing.T) {
 	again := func(n *node, h Held) {
 		h.Round++
-		n.Receive(Report{Held: []QuarantineReport{ReportOf(h, n.now)}}, n.now)
+		n.Receive(Report{Held: []HeldReport{ReportOf(h, n.now)}}, n.now)
 	}
 	ended := func(n *node, h Held) {
 		n.now = n.ProbeAt(h)
--- a/fleet/relay/quarantine/report.go
+++ b/fleet/relay/quarantine/report.go
@@ -10,10 +10,10 @@
 
 // Report is what one node reports to others of requests under which endpoints end.
 type Report struct {
-	Ends   []EndReport        `json:"ends,omitempty"`   // observed by the sender; for judges
-	Served []ServedReport     `json:"served,omitempty"` // suspects that the sender served since; for judges
-	Near   []NearReport       `json:"near,omitempty"`   // suspects one end short of quarantine; for all nodes
-	Held   []QuarantineReport `json:"held,omitempty"`   // quarantined and released requests; for all nodes
+	Ends   []EndReport    `json:"ends,omitempty"`   // observed by the sender; for judges
+	Served []ServedReport `json:"served,omitempty"` // suspects that the sender served since; for judges
+	Near   []NearReport   `json:"near,omitempty"`   // suspects one end short of quarantine; for all nodes
+	Held   []HeldReport   `json:"held,omitempty"`   // quarantined and released requests; for all nodes
 }
 
 // None reports whether there is nothing to send.
@@ -43,8 +43,8 @@
 	Customer    string      `json:"c,omitempty"`
 }
 
-// QuarantineReport reports a quarantined or released request.
-type QuarantineReport struct {
+// HeldReport reports a quarantined or released request.
+type HeldReport struct {
 	Fingerprint Fingerprint `json:"p"`
 	Round       int         `json:"n"`
 	Released    bool        `json:"free,omitempty"`
@@ -61,8 +61,8 @@
 }
 
 // ReportOf returns a request in the form that is sent and stored.
-func ReportOf(h Held, now time.Time) QuarantineReport {
-	return QuarantineReport{
+func ReportOf(h Held, now time.Time) HeldReport {
+	return HeldReport{
 		Fingerprint: h.Fingerprint, Round: h.Round, Released: h.Released, Why: h.Why, Stored: h.Stored, Answered: h.Answered, Tried: h.Tried, Probes: h.Probes, AgeMs: now.Sub(h.Since).Milliseconds(),
 		ForMs: h.For.Milliseconds(), Customer: h.Customer, Route: h.Route, Ends: h.Ends,
 	}
@@ -188,7 +188,7 @@
 		return Report{}
 	}
 	n := min(len(all), maxHeldReports)
-	reports := lo.Map(lo.Range(n), func(i, _ int) QuarantineReport { return ReportOf(all[(t.outbox.nextDigest+i)%len(all)], now) })
+	reports := lo.Map(lo.Range(n), func(i, _ int) HeldReport { return ReportOf(all[(t.outbox.nextDigest+i)%len(all)], now) })
 	t.outbox.nextDigest = (t.outbox.nextDigest + n) % len(all)
 	return Report{Held: reports}
 }
@@ -221,7 +221,7 @@
 			t.markServed(s.Fingerprint, now.Add(-age), now)
 		}
 	}
-	learned := lo.FilterMap(r.Held[:min(len(r.Held), maxHeldReports)], func(h QuarantineReport, _ int) (Held, bool) { return t.learn(h, now) })
+	learned := lo.FilterMap(r.Held[:min(len(r.Held), maxHeldReports)], func(h HeldReport, _ int) (Held, bool) { return t.learn(h, now) })
 	if changed {
 		t.judge(now)
 	}
@@ -229,13 +229,13 @@
 }
 
 // Learn processes the stored state of a request.
-func (t *Tracker) Learn(r QuarantineReport, now time.Time) (Held, bool) {
+func (t *Tracker) Learn(r HeldReport, now time.Time) (Held, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.learn(r, now)
 }
 
-func (t *Tracker) learn(r QuarantineReport, now time.Time) (Held, bool) {
+func (t *Tracker) learn(r HeldReport, now time.Time) (Held, bool) {
 	known, ok := t.held[r.Fingerprint]
 	h := Held{
 		Fingerprint: r.Fingerprint, Round: r.Round, Released: r.Released, Why: r.Why, Stored: r.Stored, Answered: r.Answered, Tried: r.Tried, Probes: max(r.Probes, 0), Since: now.Add(-time.Duration(max(r.AgeMs, 0)) * time.Millisecond),
--- a/fleet/relay/quarantine/report_test.go
+++ b/fleet/relay/quarantine/report_test.go
@@ -114,10 +114,10 @@
 	assert.True(t, joined.holds("deadly"))
 	require.True(t, joined.Release(fingerprintOf("deadly"), joined.now))
 	f.exchange(noneLost)
-	f[0].Receive(Report{Held: []QuarantineReport{ReportOf(old, f[0].now)}}, f[0].now)
+	f[0].Receive(Report{Held: []HeldReport{ReportOf(old, f[0].now)}}, f[0].now)
 	late := newNode(Peer) // it missed the release
 	late.now = f[0].now
-	late.Receive(Report{Held: []QuarantineReport{ReportOf(old, late.now)}}, late.now)
+	late.Receive(Report{Held: []HeldReport{ReportOf(old, late.now)}}, late.now)
 	f = append(f, late)
 	assert.True(t, late.holds("deadly"))
 	for range 2 {
--- a/fleet/relay/quarantine_probe_test.go
+++ b/fleet/relay/quarantine_probe_test.go
@@ -168,7 +168,7 @@
 func TestANegativeProbeCountIsZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &quarantineStore{objects: map[string]store.Object{}}
-		data, err := json.Marshal(quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
+		data, err := json.Marshal(quarantine.HeldReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Answered: true, Probes: -9, Customer: "customer"})
 		require.NoError(t, err)
 		s.objects[deadlyFingerprint.String()] = store.Object{Kind: quarantineKind, Name: deadlyFingerprint.String(), Data: data, Revision: 1}
 		q := quarantineNode(s)
@@ -190,15 +190,15 @@
 func TestARequestKnownToBeAnsweredIsProbed(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(q *quarantineManager, reported quarantine.QuarantineReport)
+		then func(q *quarantineManager, reported quarantine.HeldReport)
 		want bool
 	}{
-		{"nobody", func(*quarantineManager, quarantine.QuarantineReport) {}, false},
-		{"a node that reports it later", func(q *quarantineManager, reported quarantine.QuarantineReport) {
+		{"nobody", func(*quarantineManager, quarantine.HeldReport) {}, false},
+		{"a node that reports it later", func(q *quarantineManager, reported quarantine.HeldReport) {
 			reported.Answered = true
-			q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
+			q.Receive("another", quarantine.Report{Held: []quarantine.HeldReport{reported}}, clock.Now())
 		}, true},
-		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.QuarantineReport) {
+		{"this node, when an endpoint ends", func(q *quarantineManager, reported quarantine.HeldReport) {
 			s := quarantine.Suspect{Fingerprint: reported.Fingerprint, Customer: reported.Customer, Answered: true}
 			q.Receive("another", quarantine.Report{Ends: []quarantine.EndReport{{Endpoint: "e1", Suspects: []quarantine.Suspect{s}}}}, clock.Now())
 		}, true},
@@ -208,8 +208,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}}
 				q := quarantineNode(s)
-				reported := quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
-				q.Receive("first", quarantine.Report{Held: []quarantine.QuarantineReport{reported}}, clock.Now())
+				reported := quarantine.HeldReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: time.Minute.Milliseconds(), Customer: "customer"}
+				q.Receive("first", quarantine.Report{Held: []quarantine.HeldReport{reported}}, clock.Now())
 				h, _ := q.Lookup(deadlyFingerprint)
 				q.persist(h)
 				c.then(q, reported)
@@ -233,8 +233,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &quarantineStore{objects: map[string]store.Object{}, lost: true}
 				q := quarantineNode(s)
-				w := quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
-				q.Receive("another", quarantine.Report{Held: []quarantine.QuarantineReport{w}}, clock.Now())
+				w := quarantine.HeldReport{Fingerprint: deadlyFingerprint, Round: 1, ForMs: (10 * time.Minute).Milliseconds(), Answered: true, Customer: "customer"}
+				q.Receive("another", quarantine.Report{Held: []quarantine.HeldReport{w}}, clock.Now())
 				h, _ := q.Lookup(deadlyFingerprint)
 				go q.persist(h)
 				time.Sleep(out)
--- a/fleet/relay/quarantine_test.go
+++ b/fleet/relay/quarantine_test.go
@@ -80,8 +80,8 @@
 // learnHeld has a node learn of a quarantined request.
 func (q *quarantineManager) learnHeld(t *testing.T, round int) quarantine.Held {
 	t.Helper()
-	w := quarantine.QuarantineReport{Fingerprint: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
-	require.Len(t, q.Tracker.Receive(quarantine.Report{Held: []quarantine.QuarantineReport{w}}, clock.Now()), 1)
+	w := quarantine.HeldReport{Fingerprint: deadlyFingerprint, Round: round, ForMs: time.Minute.Milliseconds(), Answered: true, Customer: "customer", Ends: []string{"e1"}}
+	require.Len(t, q.Tracker.Receive(quarantine.Report{Held: []quarantine.HeldReport{w}}, clock.Now()), 1)
 	h, _ := q.Lookup(deadlyFingerprint)
 	return h
 }
@@ -118,7 +118,7 @@
 	s.lost = false
 	writer.persist(h)
 	other := quarantine.FingerprintOf("customer", "POST", "h", "/", []byte("other"))
-	data, err := json.Marshal(quarantine.QuarantineReport{Fingerprint: other, Round: 1, ForMs: 60_000})
+	data, err := json.Marshal(quarantine.HeldReport{Fingerprint: other, Round: 1, ForMs: 60_000})
 	require.NoError(t, err)
 	for name, text := range map[string]string{"malformed": "{", "of another name": string(data), other.String(): `{"p":"zz"}`} {
 		s.objects[name] = store.Object{Kind: quarantineKind, Name: name, Data: json.RawMessage(text), Revision: 1}
--- a/fleet/relay/relay.go
+++ b/fleet/relay/relay.go
@@ -141,7 +141,7 @@
 	incarnation := uuid.NewString()
 	self := peer.Member{Name: s.Node, Incarnation: incarnation, Zone: s.Zone, Address: s.Peer, LinkMbps: s.LinkMbps, Build: version.Build()}
 	n.allowance = account.NewAllowance(s.Node, incarnation, s.Budget.Tuning())
-	n.bounds = bound.NewGate(s.Node).WithCutOff(func() bool { return n.syncer.Unavailable() })
+	n.bounds = bound.NewGate(s.Node).WithPartitioned(func() bool { return n.syncer.Unavailable() })
 	n.picker = choice.NewPicker(s.Zone, s.Choice()).WithColdGate(n.bounds, cold.Rule{Overrun: s.Cold.Overrun, Tolerance: s.Cold.Tolerance}).WithPlaces(n.places)
 	n.engineTable, n.trials = newEngineTable(n), newTrials(n, incarnation)
 	n.registry = peer.NewRegistry(n.store, self, n.health, s.History(), l).WithFaults(n.faults)
--- a/fleet/relay/suspicion/suspicion.go
+++ b/fleet/relay/suspicion/suspicion.go
@@ -79,5 +79,5 @@
 	Engine    engine.Engine
 	Reporters []Reporter
 	For       time.Duration // until the first node uses the endpoint again
-	Again     bool          // it failed again soon after the previous period
+	Repeated  bool          // it failed again soon after the previous period
 }
--- a/fleet/relay/suspicion/tracker.go
+++ b/fleet/relay/suspicion/tracker.go
@@ -179,7 +179,7 @@
 	if !running {
 		t.started = true
 		t.signalUrgent()
-		t.avoided(Avoided{Engine: e, Reporters: f.reporters, For: s.until.Sub(now), Again: repeated})
+		t.avoided(Avoided{Engine: e, Reporters: f.reporters, For: s.until.Sub(now), Repeated: repeated})
 	}
 }
 
--- a/fleet/relay/suspicions.go
+++ b/fleet/relay/suspicions.go
@@ -22,7 +22,7 @@
 // logAvoided logs that an endpoint is avoided, and which nodes reported it.
 func (n *Node) logAvoided(a suspicion.Avoided) {
 	fields := log.Fields{
-		"endpoint": a.Engine.ID, "born": a.Engine.Born, "service": a.Engine.Service, "zone": a.Engine.Zone, "forMs": a.For.Milliseconds(), "again": a.Again,
+		"endpoint": a.Engine.ID, "born": a.Engine.Born, "service": a.Engine.Service, "zone": a.Engine.Zone, "forMs": a.For.Milliseconds(), "again": a.Repeated,
 		"tellers": lo.Map(a.Reporters, func(r suspicion.Reporter, _ int) string { return r.Node }),
 		"ageMs":   lo.Map(a.Reporters, func(r suspicion.Reporter, _ int) int64 { return r.AgeMs }),
 	}
