--- a/fleet/relay/bound/gate.go
+++ b/fleet/relay/bound/gate.go
@@ -37,7 +37,8 @@
 	return &Gate{self: self, partitioned: func() bool { return false }, sent: map[string][]time.Time{}, restarted: map[string]time.Time{}}
 }
 
-// WithPartitioned makes the node use the smaller share while partitioned reports that it might miss a new list.
+// WithPartitioned makes the node use the smaller share while partitioned reports that it might
+// miss a new list.
 func (g *Gate) WithPartitioned(partitioned func() bool) *Gate {
 	g.partitioned = partitioned
 	return g
